--- a/bench/micro.py
+++ b/bench/micro.py
@@ -18,7 +18,7 @@
 from berylshift.process.knowledge.health import Health
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.knowledge.prefixes import PrefixIndex, prefix_hashes
-from berylshift.request.choice import Knowledge, LeastLateness, WorkItem
+from berylshift.request.router import Knowledge, LeastLateness, WorkItem
 from berylshift.settings import PolicySettings
 from berylshift.stand_ins.text import make_prompt
 from berylshift.targets import EngineChunk, LoadReport, Role
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -38,19 +38,19 @@
     TableFollower,
     TableHolder,
 )
-from berylshift.request.baselines import LeastReported, RoundRobin
 from berylshift.request.call_watching import CallWatching
-from berylshift.request.choice import (
-    Knowledge,
-    LeastLateness,
-    ReplicaChooser,
-    Router,
-)
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.engine_attempt import CompletionParts
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.front import Front, FrontParts
 from berylshift.request.plain_send import PlainSend
+from berylshift.request.router import (
+    Knowledge,
+    LeastLateness,
+    ReplicaChooser,
+    Router,
+)
+from berylshift.request.router_baselines import LeastReported, RoundRobin
 from berylshift.request.service_call import (
     RECORD_SECONDS,
     ServiceCalls,
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -43,9 +43,9 @@
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.key_gate import KeyGate
-from berylshift.request.placing_policies import PLACINGS, PlacingParts
-from berylshift.request.prompt_read import PromptReads
-from berylshift.request.reading_choice import ReadingChooser
+from berylshift.request.placement_policies import PLACINGS, PlacingParts
+from berylshift.request.prefill_client import PromptReads
+from berylshift.request.prefill_scheduler import ReadingChooser
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.routed_front import RoutedFront
 from berylshift.request.target_gate import ReplicaGate
--- a/berylshift/model/experiment.py
+++ b/berylshift/model/experiment.py
@@ -8,7 +8,7 @@
 
 from berylshift.model.fleet import PlaySpec, play
 from berylshift.model.result import PlayResult
-from berylshift.request import placement, standing
+from berylshift.request import placement, slo_status
 
 # What may vary in a play, with the type of its values.
 SPEC_FIELDS = {
@@ -18,7 +18,7 @@
     "holds_back": lambda text: text == "yes",
 }
 # Modules whose constants may vary.
-POLICIES = (placement, standing)
+POLICIES = (placement, slo_status)
 
 
 class NoSuchSettingError(Exception):
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -11,8 +11,8 @@
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.process.telling.telling import REPEAT_SECONDS, TELL_SECONDS
-from berylshift.request.placing_policies import PLACINGS, PlacingParts
-from berylshift.request.reading_choice import ReadingChooser
+from berylshift.request.placement_policies import PLACINGS, PlacingParts
+from berylshift.request.prefill_scheduler import ReadingChooser
 from berylshift.version.routes import EngineFacts
 
 # How often engines renew their entries.
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -12,10 +12,10 @@
 from berylshift.model.traffic import Arrival
 from berylshift.process.targets.target_load import MILD, SEVERE
 from berylshift.request.placement import Placement
-from berylshift.request.reading_choice import ReadingAsk
+from berylshift.request.prefill_scheduler import ReadingAsk
 from berylshift.request.refusals import LEAST_RETRY_AFTER, MOST_RETRY_AFTER
 from berylshift.request.relay import MOST_READS
-from berylshift.request.standing import Standing, rank_of, urgency_in
+from berylshift.request.slo_status import Standing, rank_of, urgency_in
 
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -11,7 +11,6 @@
     target_preferred,
     targets_excluded,
 )
-from berylshift.request.choice import Plan, Refusal, WorkItem
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.engine_attempt import (
     AttemptFailedError,
@@ -27,6 +26,7 @@
     Reason,
 )
 from berylshift.request.retry_rule import SendEnd, SendHistory, Sent
+from berylshift.request.router import Plan, Refusal, WorkItem
 from berylshift.request.send_loop import LoopEnd, send_until_done
 from berylshift.request.target_check import takes_connections
 from berylshift.targets import (
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -8,8 +8,8 @@
 from berylshift.clock import Clock
 from berylshift.ids import RequestId, TargetName
 from berylshift.metrics import Metrics
-from berylshift.request.choice import Plan, Refusal
 from berylshift.request.messages import Decision, Ending
+from berylshift.request.router import Plan, Refusal
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -14,12 +14,12 @@
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
 from berylshift.request.call_watching import CallWatching
-from berylshift.request.choice import Knowledge, Router
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import (
     ModelCall,
 )
 from berylshift.request.retry_rule import SendEnd, end_of, retry_after_of
+from berylshift.request.router import Knowledge, Router
 from berylshift.settings import TargetSettings
 from berylshift.targets import (
     EngineCall,
--- a/berylshift/request/reading_choice.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -10,7 +10,7 @@
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.reading_flow import ReadingFlow
 from berylshift.request.placement import Placement, Placing
-from berylshift.request.standing import (
+from berylshift.request.slo_status import (
     Goal,
     Standing,
     late_wait,
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -12,13 +12,12 @@
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Dispatch, Prompt, RoutedRequest
 from berylshift.process.targets.target_load import MILD, SEVERE
-from berylshift.request.allowance import TimeBound, allowance_of
 from berylshift.request.answer_stream import AnswerStream
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
-from berylshift.request.prompt_read import KvSource
-from berylshift.request.reading_choice import ReadingAsk, ReadingChoice
+from berylshift.request.prefill_client import KvSource
+from berylshift.request.prefill_scheduler import ReadingAsk, ReadingChoice
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.relay_result import (
     HopelessError,
@@ -28,6 +27,7 @@
     Verdict,
 )
 from berylshift.request.replica_choice import ReplicaChoice
+from berylshift.request.request_timeout import TimeBound, allowance_of
 from berylshift.request.retry_rule import (
     NEVER_SENT,
     SendEnd,
@@ -38,7 +38,7 @@
 from berylshift.request.routed_watch import RoutedWatch
 from berylshift.request.send_loop import LoopEnd, send_until_done
 from berylshift.request.single_send import FailedAnswer, Reading, SingleSend
-from berylshift.request.standing import Standing, rank_of, urgency_in
+from berylshift.request.slo_status import Standing, rank_of, urgency_in
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -17,8 +17,8 @@
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.placement import Placing
-from berylshift.request.prompt_read import PromptReads
-from berylshift.request.reading_choice import ReadingChooser
+from berylshift.request.prefill_client import PromptReads
+from berylshift.request.prefill_scheduler import ReadingChooser
 
 
 @dataclass
--- a/berylshift/request/relay_result.py
+++ b/berylshift/request/relay_result.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from berylshift.request.allowance import TimeBound
+from berylshift.request.request_timeout import TimeBound
 
 
 class Verdict(StrEnum):
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_front.py
@@ -14,7 +14,6 @@
 from berylshift.messages.fingerprint import shown
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.request.allowance import TimeBound, allowance_of
 from berylshift.request.errors import BadRequestError
 from berylshift.request.key_gate import Admission, KeyGate, KeyVerdict
 from berylshift.request.refusals import (
@@ -30,6 +29,7 @@
 from berylshift.request.relay import Relay
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.relay_result import Result, Verdict
+from berylshift.request.request_timeout import TimeBound, allowance_of
 from berylshift.request.single_send import FailedAnswer
 from berylshift.utils import host_of
 from berylshift.version.routes import Route
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_watch.py
@@ -6,13 +6,13 @@
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.pools import Pool
-from berylshift.request.aside import is_last, left_of, set_aside
 from berylshift.request.crash_watch import (
     CONNECT_SECONDS,
     CrashWatch,
     QuarantinedError,
 )
 from berylshift.request.fingerprint import BODY_BYTES
+from berylshift.request.isolation import is_last, left_of, set_aside
 from berylshift.request.relay_parts import RelayParts
 
 # When a suspect may come back that only the last replica could serve, in seconds: those
--- a/berylshift/request/choice.py
+++ b/berylshift/request/router.py
@@ -21,8 +21,8 @@
 from berylshift.process.knowledge.health import Health
 from berylshift.process.knowledge.load import Estimate, LoadView
 from berylshift.process.knowledge.prefixes import Prefixes, PrefixIndex
+from berylshift.request.candidate_pool import Picker, Pool, Pools
 from berylshift.request.messages import Reason, Weighed
-from berylshift.request.pool import Picker, Pool, Pools
 from berylshift.targets import Role
 from berylshift.version.rows import Row
 from berylshift.version.table import Candidate, Table
--- a/berylshift/request/baselines.py
+++ b/berylshift/request/router_baselines.py
@@ -6,8 +6,8 @@
 
 from berylshift.ids import TargetName
 from berylshift.process.knowledge.cost import Prediction
-from berylshift.request.choice import Knowledge, Plan, Refusal, WorkItem, no_target
-from berylshift.request.pool import Pool
+from berylshift.request.candidate_pool import Pool
+from berylshift.request.router import Knowledge, Plan, Refusal, WorkItem, no_target
 from berylshift.targets import Role
 from berylshift.version.table import Candidate, Table
 
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -16,7 +16,6 @@
 from berylshift.request import confirmation
 from berylshift.request.confirmation import Confirmation, ConfirmRow, Event, Step
 from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.lookup import Lookup
 from berylshift.request.messages import (
     Ending,
     Outcome,
@@ -26,6 +25,7 @@
 )
 from berylshift.request.plain_send import PlainSend
 from berylshift.request.retry_rule import Sent
+from berylshift.request.retryable_call import Lookup
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
--- a/berylshift/tests/test_request_aside.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -7,7 +7,7 @@
 from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
 from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS, Quarantine
-from berylshift.request.aside import ASIDE_PART, is_last, left_of, set_aside
+from berylshift.request.isolation import ASIDE_PART, is_last, left_of, set_aside
 from berylshift.request.routed_watch import LAST_SECONDS
 from berylshift.tests.entry_world import prompt_headers, run_entry
 
--- a/berylshift/tests/test_request_reading_choice.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -11,8 +11,12 @@
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement import Placer
-from berylshift.request.reading_choice import ReadingAsk, ReadingChoice, ReadingChooser
-from berylshift.request.standing import LEAST_LATE_SHARE, Standing
+from berylshift.request.prefill_scheduler import (
+    ReadingAsk,
+    ReadingChoice,
+    ReadingChooser,
+)
+from berylshift.request.slo_status import LEAST_LATE_SHARE, Standing
 from berylshift.tests.entry_world import route
 from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
--- a/berylshift/tests/test_request_standing.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -6,7 +6,7 @@
 
 from berylshift.messages.load_digest import Urgency
 from berylshift.process.targets.reading_flow import FLOW_SECONDS, ReadingFlow
-from berylshift.request.standing import (
+from berylshift.request.slo_status import (
     LAST_RANK,
     LEAST_LATE_SHARE,
     ON_TIME_SHARE,
--- a/berylshift/tests/test_request_allowance.py
+++ b/berylshift/tests/test_request_timeout.py
@@ -4,7 +4,7 @@
 
 from berylshift.ids import RequestId
 from berylshift.messages.routed import RoutedRequest
-from berylshift.request.allowance import TimeBound, allowance_of
+from berylshift.request.request_timeout import TimeBound, allowance_of
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
 
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -10,7 +10,7 @@
 from berylshift.model.figures import SITES
 from berylshift.model.fleet import ModelFleet, PlaySpec
 from berylshift.model.plots import plot_day, plot_rows
-from berylshift.request.placing_policies import PLACINGS
+from berylshift.request.placement_policies import PLACINGS
 from berylshift.tools.session import Exit
 
 PLACING = "placing"
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -29,7 +29,7 @@
 RELAY = "test_request_relay"
 KEYS = "test_entry_keys"
 GATE = "test_request_key_gate"
-ASIDE = "test_request_aside"
+ASIDE = "test_request_isolation"
 USAGE = "test_usage_loop"
 SCALING = "test_scaling_planner"
 STREAMS = "test_request_streams"
@@ -126,7 +126,7 @@
     ),
     Proof(
         "suspects go on at few engines",
-        "request/aside.py",
+        "request/isolation.py",
         "return ranked[: max(1, len(left) // ASIDE_PART)]",
         "return ranked",
         f"{ASIDE}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
@@ -639,10 +639,10 @@
     ),
     Proof(
         "prompts that can be on time go before those that can't",
-        "request/reading_choice.py",
+        "request/prefill_scheduler.py",
         "if standing_of(ask.goal, ask.waited + seconds) is Standing.ON_TIME:",
         "if True:",
-        "test_request_reading_choice.RushTest",
+        "test_request_prefill_scheduler.RushTest",
     ),
     Proof(
         "what is beyond an engine's memory is not taken for kept",
