--- a/bench/placing.py
+++ b/bench/placing.py
@@ -6,7 +6,7 @@
 from bench.report import print_rows
 from berylshift.messages.load_digest import LoadDigest, LoadEntry, Urgency, target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
-from berylshift.messages.routed import Prompt, PromptPart
+from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
@@ -60,17 +60,17 @@
     peers = make_peers(hosts, pool, rng)
     placer = Placer(TargetLoads(), peers, WarmParts(), EngineSpeeds(), "d1", rng)
     prompts = [
-        Prompt((PromptPart(f"p{n}", 13_000), PromptPart("own", 3_000)), 16_000, 80)
+        Prompt((PromptBlock(f"p{n}", 13_000), PromptBlock("own", 3_000)), 16_000, 80)
         for n in range(PARTS)
     ]
     for prompt in prompts:
-        pool.homes(prompt.shared[-1].part)
+        pool.homes(prompt.prefix_blocks[-1].id)
     start = time.process_time()
     for number in range(ROUNDS):
         prompt = prompts[number % PARTS]
-        place = placer.reader(pool, prompt, Urgency.USUAL, (), 0.0)
+        place = placer.choose_prefill(pool, prompt, Urgency.USUAL, (), 0.0)
         placer.note_sent(place, prompt, 0.0)
-        placer.answerer(pool, prompt, place.target, (), 0.0)
+        placer.choose_decode(pool, prompt, place.target, (), 0.0)
     return (time.process_time() - start) / ROUNDS * 1e6
 
 
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -43,9 +43,9 @@
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.key_gate import KeyGate
-from berylshift.request.placement_policies import PLACINGS, PlacingParts
-from berylshift.request.prefill_client import PromptReads
-from berylshift.request.prefill_scheduler import ReadingChooser
+from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.prefill_client import PrefillClient
+from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.routed_front import RoutedFront
 from berylshift.request.target_gate import ReplicaGate
@@ -126,7 +126,7 @@
         self.fingerprints = Fingerprints()
         self.speeds = EngineSpeeds(self._engine_facts)
         self.throttle = self._make_throttle()
-        placing = PlacingParts(
+        placing = PlacementContext(
             self.loads,
             self.peers,
             self.warm,
@@ -134,8 +134,8 @@
             DomainName(cfg.host.domain),
             ports.rng,
         )
-        placer = PLACINGS[cfg.entry.placing](placing)
-        reads = PromptReads(
+        placer = PLACEMENT_POLICIES[cfg.entry.placing](placing)
+        reads = PrefillClient(
             ports.language,
             ports.client,
             self.loads,
@@ -159,7 +159,7 @@
             reads=reads,
             shutdown=self.shutdown,
             budget=self.budget,
-            readings=ReadingChooser(placer, self.speeds, self._hosts_that_share),
+            readings=PrefillScheduler(placer, self.speeds, self._hosts_that_share),
             times=self.times,
             quarantine=self.quarantine,
             fingerprints=self.fingerprints,
--- a/berylshift/messages/routed.py
+++ b/berylshift/messages/routed.py
@@ -11,29 +11,29 @@
 Header = tuple[bytes, bytes]
 
 
-class PromptPart(msgspec.Struct, frozen=True):
+class PromptBlock(msgspec.Struct, frozen=True):
     """One part of a prompt; other requests may begin with the same parts."""
 
-    part: PartId
+    id: PartId
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
     """What a request asks an engine to read, and how much to write at most."""
 
-    parts: tuple[PromptPart, ...]
+    blocks: tuple[PromptBlock, ...]
     tokens: int
     output_limit: int
 
     @property
-    def shared(self) -> tuple[PromptPart, ...]:
+    def prefix_blocks(self) -> tuple[PromptBlock, ...]:
         """Return the parts that other requests may have too: all but the last."""
-        return self.parts[:-1]
+        return self.blocks[:-1]
 
     @property
-    def shared_tokens(self) -> int:
+    def prefix_tokens(self) -> int:
         """Return how many tokens the shared parts have."""
-        return sum(part.tokens for part in self.shared)
+        return sum(block.tokens for block in self.prefix_blocks)
 
 
 class Body(Protocol):
--- a/berylshift/model/engine.py
+++ b/berylshift/model/engine.py
@@ -166,7 +166,7 @@
     def _begin(self, reading: Reading) -> None:
         """Begin a prompt behind what is kept of it."""
         reading.read = min(self.kept.begins(reading.prompt), _most_kept(reading))
-        self.again_tokens += max(0, reading.prompt.shared_tokens - reading.read)
+        self.again_tokens += max(0, reading.prompt.prefix_tokens - reading.read)
         self._reading = reading
 
     def _read_piece(self, reading: Reading) -> float:
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -11,8 +11,8 @@
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.process.telling.telling import REPEAT_SECONDS, TELL_SECONDS
-from berylshift.request.placement_policies import PLACINGS, PlacingParts
-from berylshift.request.prefill_scheduler import ReadingChooser
+from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.version.routes import EngineFacts
 
 # How often engines renew their entries.
@@ -40,13 +40,13 @@
         self.warm = WarmParts()
         self.rng = random.Random(seed)
         self.speeds = EngineSpeeds(lambda service: facts)
-        parts = PlacingParts(
+        parts = PlacementContext(
             self.loads, self.peers, self.warm, self.speeds, domain, self.rng
         )
-        self.placer = PLACINGS[placing](parts)
+        self.placer = PLACEMENT_POLICIES[placing](parts)
         self.quarantine = Quarantine(HEARTBEAT_SECONDS)
         self._others: list[ModelHost] = []
-        self.readings = ReadingChooser(
+        self.readings = PrefillScheduler(
             self.placer, self.speeds, lambda: len(self._others) + 1
         )
         self._sequence = 0
--- a/berylshift/model/kept.py
+++ b/berylshift/model/kept.py
@@ -18,8 +18,8 @@
     def begins(self, prompt: Prompt) -> int:
         """Return how many tokens of a prompt's beginning are held."""
         found = 0
-        for part in prompt.parts:
-            if part.part not in self._parts:
+        for part in prompt.blocks:
+            if part.id not in self._parts:
                 break
             found += part.tokens
         return found
@@ -29,11 +29,11 @@
 
         Its own part goes with the answer: nothing begins with it again.
         """
-        for part in prompt.shared:
-            if part.part not in self._parts:
+        for part in prompt.prefix_blocks:
+            if part.id not in self._parts:
                 self._tokens += part.tokens
-                self._parts[part.part] = part.tokens
-            self._parts.move_to_end(part.part)
+                self._parts[part.id] = part.tokens
+            self._parts.move_to_end(part.id)
         while self._tokens > self._most and self._parts:
             _, tokens = self._parts.popitem(last=False)
             self._tokens -= tokens
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -12,10 +12,10 @@
 from berylshift.model.traffic import Arrival
 from berylshift.process.targets.target_load import MILD, SEVERE
 from berylshift.request.placement import Placement
-from berylshift.request.prefill_scheduler import ReadingAsk
+from berylshift.request.prefill_scheduler import PrefillJob
 from berylshift.request.refusals import LEAST_RETRY_AFTER, MOST_RETRY_AFTER
 from berylshift.request.relay import MOST_READS
-from berylshift.request.slo_status import Standing, rank_of, urgency_in
+from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
@@ -36,7 +36,7 @@
         self._queue = fleet.queue
         self._arrival = arrival
         self._kind = arrival.kind
-        self._standing = Standing.ON_TIME
+        self._standing = SloStatus.ON_TIME
         self._began_at = 0.0
         self._host: ModelHost = fleet.hosts[arrival.host]
         self._tried: list[InstanceId] = []
@@ -77,7 +77,7 @@
 
     @property
     def _urgency(self) -> Urgency:
-        return urgency_in(self._kind, self._standing)
+        return urgency_for(self._kind, self._standing)
 
     # Reading
 
@@ -89,16 +89,16 @@
         if self._reads >= MOST_READS:
             self._refuse(0.0)
             return
-        ask = ReadingAsk(
-            goal=self._kind,
+        ask = PrefillJob(
+            route=self._kind,
             service=SERVICE,
             pool=pool,
             prompt=prompt,
-            waited=now - self._began_at,
+            waited_seconds=now - self._began_at,
             avoid=self._tried,
         )
         choice = host.readings.choose(ask, now)
-        self._standing = choice.standing if choice else Standing.ON_TIME
+        self._standing = choice.slo_status if choice else SloStatus.ON_TIME
         if choice is None:
             self._answer(None)
             return
@@ -111,7 +111,7 @@
         host.readings.sent(ask, choice, now)
         host.loads.sent(place.target.instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
-        rank = rank_of(self._kind, self._standing)
+        rank = engine_rank(self._kind, self._standing)
         self._queue.after(
             self._hop(place.target),
             lambda: engine.read(prompt, rank, lambda good: self._was_read(place, good)),
@@ -130,7 +130,7 @@
         if good:
             seconds = self._queue.monotonic() - self._sent_at
             host.speeds.was_read(
-                place.target.service, place.tokens, place.ahead, seconds
+                place.target.service, place.tokens, place.queued, seconds
             )
             self._answer(place.target)
         else:
@@ -144,7 +144,9 @@
         if self._over:
             return
         prompt = self._arrival.prompt
-        place = host.placer.answerer(self._fleet.pool, prompt, source, self._tried, now)
+        place = host.placer.choose_decode(
+            self._fleet.pool, prompt, source, self._tried, now
+        )
         if place is None:
             self._refuse(0.0)
             return
@@ -152,7 +154,7 @@
         self._sent_at, self._source = now, source
         host.loads.sent(instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
-        rank = rank_of(self._kind, self._standing)
+        rank = engine_rank(self._kind, self._standing)
         stream = Stream(
             prompt,
             self._arrival.events,
@@ -182,7 +184,7 @@
             if self._source is not None:
                 tokens = self._arrival.prompt.tokens
                 seconds = now - self._sent_at
-                host.speeds.began(place.target.service, tokens, place.ahead, seconds)
+                host.speeds.began(place.target.service, tokens, place.queued, seconds)
         else:
             self._pause = max(self._pause, now - self._last)
         self._last = now
--- a/berylshift/model/traffic.py
+++ b/berylshift/model/traffic.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from berylshift.ids import Fingerprint, PartId
-from berylshift.messages.routed import Prompt, PromptPart
+from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.model.figures import KindFigures, PartFigures, SiteFigures
 
 OUTPUT_TOKENS = 80
@@ -31,7 +31,7 @@
     @property
     def fingerprint(self) -> Fingerprint:
         """Return what all tries of the prompt share."""
-        own = self.prompt.parts[-1].part
+        own = self.prompt.blocks[-1].id
         return Fingerprint(int(own, 16))
 
 
@@ -126,18 +126,18 @@
         ]
         own = max(1, round(self._draw(kind.own)))
         name = PartId(f"{self._rng.getrandbits(64):016x}")
-        parts.append(PromptPart(name, own))
+        parts.append(PromptBlock(name, own))
         tokens = sum(part.tokens for part in parts)
         return Prompt(tuple(parts), tokens, OUTPUT_TOKENS)
 
-    def _shared(self, kind: KindFigures, place: int, part: PartFigures) -> PromptPart:
+    def _shared(self, kind: KindFigures, place: int, part: PartFigures) -> PromptBlock:
         weights = [(number + 1) ** -part.skew for number in range(part.count)]
         (number,) = self._rng.choices(range(part.count), weights)
         name = PartId(f"{kind.name}-{place}-{number}")
         size = self._sizes.get(name)
         if size is None:
             size = self._sizes[name] = max(1, round(self._draw(part)))
-        return PromptPart(name, size)
+        return PromptBlock(name, size)
 
     def _draw(self, part: PartFigures) -> float:
         """Draw a size of the mean, spread and bound given, log-normally."""
--- a/berylshift/platform/exchange.py
+++ b/berylshift/platform/exchange.py
@@ -13,7 +13,7 @@
     Header,
     KvHandle,
     Prompt,
-    PromptPart,
+    PromptBlock,
     ReportedLoad,
     RoutedRequest,
 )
@@ -226,11 +226,11 @@
         return None
 
 
-def _parts(value: bytes) -> tuple[PromptPart, ...]:
+def _parts(value: bytes) -> tuple[PromptBlock, ...]:
     found = []
     for entry in value.decode("ascii").split(","):
         part, _, tokens = entry.strip().partition(":")
-        found.append(PromptPart(PartId(part), int(tokens)))
+        found.append(PromptBlock(PartId(part), int(tokens)))
     return tuple(found)
 
 
--- a/berylshift/request/fingerprint.py
+++ b/berylshift/request/fingerprint.py
@@ -77,5 +77,5 @@
 def _prompt_text(prompt: Prompt | None) -> bytes:
     if prompt is None:
         return b""
-    parts = ",".join(f"{part.part}:{part.tokens}" for part in prompt.parts)
-    return f"{prompt.tokens},{prompt.output_limit};{parts}".encode()
+    blocks = ",".join(f"{block.id}:{block.tokens}" for block in prompt.blocks)
+    return f"{prompt.tokens},{prompt.output_limit};{blocks}".encode()
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -90,20 +90,20 @@
     reason: Reason
     seconds: float
     tokens: int = 0
-    weight: float = 0.0
-    ahead: float = 0.0
-    again: int = 0
+    cost: float = 0.0
+    queued: float = 0.0
+    uncached_prefix_tokens: int = 0
 
 
-class Placing(Protocol):
+class PlacementPolicy(Protocol):
     """Chooses replicas; ``None``: there is none left."""
 
-    def plain(
+    def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
         """Return the place of a request without a prompt."""
 
-    def reader(
+    def choose_prefill(
         self,
         pool: Pool,
         prompt: Prompt,
@@ -113,11 +113,11 @@
     ) -> Placement | None:
         """Return the engine that should read a prompt; ``None``: none reads apart."""
 
-    def answerer(
+    def choose_decode(
         self,
         pool: Pool,
         prompt: Prompt,
-        reader: Replica | None,
+        prefill_engine: Replica | None,
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
@@ -147,7 +147,7 @@
         self._domain = domain
         self._rng = rng
 
-    def plain(
+    def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
         """Return the place of a request without a prompt."""
@@ -155,9 +155,9 @@
             self._plain_place(rep, now)
             for rep in self._some(_without(pool.replicas, avoid))
         ]
-        return min(places, key=lambda place: place.weight, default=None)
+        return min(places, key=lambda place: place.cost, default=None)
 
-    def reader(
+    def choose_prefill(
         self,
         pool: Pool,
         prompt: Prompt,
@@ -173,20 +173,20 @@
             self._reading(rep, prompt, urgency, homes, most_kept, now)
             for rep in _without(found, avoid)
         ]
-        best = min(places, key=lambda place: place.weight, default=None)
+        best = min(places, key=lambda place: place.cost, default=None)
         if best is None or prompt.tokens > DIRECT_TOKENS:
             return best
-        direct = self.answerer(pool, prompt, None, avoid, now)
+        direct = self.choose_decode(pool, prompt, None, avoid, now)
         apart = best.seconds + APART_TOKENS / self._rate(best.target)
         if direct is not None and direct.seconds < apart:
             return None
         return best
 
-    def answerer(
+    def choose_decode(
         self,
         pool: Pool,
         prompt: Prompt,
-        reader: Replica | None,
+        prefill_engine: Replica | None,
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
@@ -195,16 +195,16 @@
         Without a reader it reads the prompt itself.
         """
         places = [
-            self._answering(rep, prompt, reader, now)
+            self._answering(rep, prompt, prefill_engine, now)
             for rep in self._some(_without(pool.answerers, avoid))
         ]
-        return min(places, key=lambda place: place.weight, default=None)
+        return min(places, key=lambda place: place.cost, default=None)
 
     def _homes(self, pool: Pool, prompt: Prompt) -> tuple[Replica, ...]:
         """Return the homes of a prompt's shared parts; small ones have none."""
-        if prompt.shared_tokens < HOME_TOKENS:
+        if prompt.prefix_tokens < HOME_TOKENS:
             return ()
-        return pool.homes(prompt.shared[-1].part)
+        return pool.homes(prompt.prefix_blocks[-1].id)
 
     def _candidates(
         self, pool: Pool, prompt: Prompt, homes: tuple[Replica, ...]
@@ -218,7 +218,7 @@
             return pool.readers
         found = {rep.instance: rep for rep in (*homes, *self._some(pool.readers))}
         if homes:
-            for hashed in self._warm.keepers(prompt.shared[-1].part):
+            for hashed in self._warm.keepers(prompt.prefix_blocks[-1].id):
                 keeper = pool.reader(hashed)
                 if keeper is not None:
                     found[keeper.instance] = keeper
@@ -240,15 +240,15 @@
         now: float,
     ) -> Placement:
         kept = self._kept(replica, prompt)
-        tokens = reading_work(prompt.tokens, kept)
+        tokens = prefill_work(prompt.tokens, kept)
         backlog = self._backlog(replica, urgency, now)
         rate = self._rate(replica)
         seconds = (backlog + tokens) / rate
-        reason = self._reason(replica, homes, kept >= prompt.shared_tokens)
-        weight = seconds + _burden(prompt, kept, most_kept, reason) / rate
-        weight += self._way(replica, prompt.tokens) + self._distrust(replica, now)
-        again = max(0, prompt.shared_tokens - kept)
-        return Placement(replica, reason, seconds, tokens, weight, backlog, again)
+        reason = self._reason(replica, homes, kept >= prompt.prefix_tokens)
+        cost = seconds + _burden(prompt, kept, most_kept, reason) / rate
+        cost += self._way(replica, prompt.tokens) + self._distrust(replica, now)
+        again = max(0, prompt.prefix_tokens - kept)
+        return Placement(replica, reason, seconds, tokens, cost, backlog, again)
 
     def _rate(self, replica: Replica) -> float:
         return self._speeds.read_rate(replica.service)
@@ -272,17 +272,17 @@
         """Return the tokens that an engine is likely to keep of a prompt."""
         kept = 0
         room = self._speeds.memory_tokens(replica.service)
-        for part in prompt.shared:
-            if not self._warm.keeps(part.part, replica.instance, room):
+        for block in prompt.prefix_blocks:
+            if not self._warm.keeps(block.id, replica.instance, room):
                 break
-            kept += part.tokens
+            kept += block.tokens
         return kept
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
         """Note that a prompt goes where a placement says."""
-        if prompt.shared_tokens >= HOME_TOKENS:
-            for part in prompt.shared:
-                self._warm.sent(part.part, part.tokens, place.target.instance, now)
+        if prompt.prefix_tokens >= HOME_TOKENS:
+            for block in prompt.prefix_blocks:
+                self._warm.sent(block.id, block.tokens, place.target.instance, now)
 
     def _backlog(self, replica: Replica, urgency: Urgency, now: float) -> float:
         """Return the tokens that are read before a new prompt's, as far as known."""
@@ -294,7 +294,11 @@
         return max(known, load.waiting(now) * WAITING_TOKENS)
 
     def _answering(
-        self, replica: Replica, prompt: Prompt, reader: Replica | None, now: float
+        self,
+        replica: Replica,
+        prompt: Prompt,
+        prefill_engine: Replica | None,
+        now: float,
     ) -> Placement:
         load, service = self._loads.of(replica.instance), replica.service
         running = self._running(replica, load, now)
@@ -303,23 +307,23 @@
         seconds += waiting * self._speeds.slot_seconds(service, replica.slots)
         backlog = sum(load.reading) + sum(self._peers.reading(replica.instance, now))
         tokens = 0
-        if reader is None:
-            tokens = reading_work(prompt.tokens, 0)
+        if prefill_engine is None:
+            tokens = prefill_work(prompt.tokens, 0)
         else:
             move = self._speeds.move_seconds(service, prompt.tokens)
-            near = reader.domain == replica.domain
+            near = prefill_engine.domain == replica.domain
             seconds += move if near else AWAY_MOVE_FACTOR * move
         seconds += (backlog + tokens) / (ANSWERING_READ_SHARE * self._rate(replica))
-        weight = seconds + self._way(replica, prompt.tokens)
-        weight += self._distrust(replica, now)
-        return Placement(replica, Reason.LEAST_LOADED, seconds, tokens, weight, running)
+        cost = seconds + self._way(replica, prompt.tokens)
+        cost += self._distrust(replica, now)
+        return Placement(replica, Reason.LEAST_LOADED, seconds, tokens, cost, running)
 
     def _plain_place(self, replica: Replica, now: float) -> Placement:
         load = self._loads.of(replica.instance)
         busy = self._running(replica, load, now) + load.waiting(now)
         seconds = PLAIN_SECONDS * busy / max(1, replica.slots)
-        weight = seconds + self._way(replica) + self._distrust(replica, now)
-        return Placement(replica, Reason.LEAST_LOADED, seconds, 0, weight)
+        cost = seconds + self._way(replica) + self._distrust(replica, now)
+        return Placement(replica, Reason.LEAST_LOADED, seconds, 0, cost)
 
     def _running(self, replica: Replica, load: TargetLoad, now: float) -> float:
         known = load.in_flight + self._peers.in_flight(replica.instance, now)
@@ -346,16 +350,16 @@
 
 def _burden(prompt: Prompt, kept: int, most_kept: int, reason: Reason) -> float:
     """Return what others pay for a reading, as tokens that are read meanwhile."""
-    least = reading_work(prompt.tokens, most_kept)
-    burden = SHARED_WEIGHT * (reading_work(prompt.tokens, kept) - least)
-    if prompt.shared_tokens < HOME_TOKENS:
+    least = prefill_work(prompt.tokens, most_kept)
+    burden = SHARED_WEIGHT * (prefill_work(prompt.tokens, kept) - least)
+    if prompt.prefix_tokens < HOME_TOKENS:
         return burden
     if reason is Reason.SECOND_HOME:
         return burden + SECOND_TOKENS
     return burden + (AWAY_TOKENS if reason is Reason.LEAST_LOADED else 0.0)
 
 
-def reading_work(tokens: int, kept: int) -> int:
+def prefill_work(tokens: int, kept: int) -> int:
     """Return the work of reading a prompt of which ``kept`` tokens are kept.
 
     It is told in tokens that are read without any before them.
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -9,7 +9,7 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.placement import Placement, Placer, Reason, reading_work
+from berylshift.request.placement import Placement, Placer, Reason, prefill_work
 
 Pick = Callable[[list[Replica], float], Replica]
 
@@ -21,13 +21,13 @@
         """Choose among the untried replicas by ``pick``."""
         self._pick = pick
 
-    def plain(
+    def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
         """Return the place of a request without a prompt."""
         return self._place(pool.replicas, avoid, now, 0)
 
-    def reader(
+    def choose_prefill(
         self,
         pool: Pool,
         prompt: Prompt,
@@ -36,19 +36,19 @@
         now: float,
     ) -> Placement | None:
         """Return the engine that should read a prompt."""
-        work = reading_work(prompt.tokens, 0)
+        work = prefill_work(prompt.tokens, 0)
         return self._place(pool.readers, avoid, now, work)
 
-    def answerer(
+    def choose_decode(
         self,
         pool: Pool,
         prompt: Prompt,
-        reader: Replica | None,
+        prefill_engine: Replica | None,
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
         """Return the engine that should answer."""
-        work = 0 if reader is not None else reading_work(prompt.tokens, 0)
+        work = 0 if prefill_engine is not None else prefill_work(prompt.tokens, 0)
         return self._place(pool.answerers, avoid, now, work)
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -46,14 +46,14 @@
         return f"{self.engine.address}/{self.handle}"
 
 
-class ReadEnd(msgspec.Struct, frozen=True):
+class PrefillResult(msgspec.Struct, frozen=True):
     """How a reading ended; ``source`` is set if it is done."""
 
     end: SendEnd
     source: KvSource | None = None
 
 
-class PromptReads:
+class PrefillClient:
     """Sends prompts to engines that read them; the prompt is not run by that."""
 
     def __init__(
@@ -78,7 +78,7 @@
         urgency: Urgency,
         out: TargetRequest,
         seconds: float,
-    ) -> ReadEnd:
+    ) -> PrefillResult:
         """Have ``place`` read the prompt of ``out`` within ``seconds``."""
         instance = place.target.instance
         self._loads.sent(instance, place.tokens, urgency)
@@ -86,25 +86,25 @@
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as answer:
                     return await self._take(request, place.target, answer)
-            return ReadEnd(SendEnd.SILENT)
+            return PrefillResult(SendEnd.SILENT)
         except ThrottledError:
-            return ReadEnd(SendEnd.THROTTLED)
+            return PrefillResult(SendEnd.THROTTLED)
         except ConnectFailedError:
-            return ReadEnd(SendEnd.NOT_REACHED)
+            return PrefillResult(SendEnd.NOT_REACHED)
         except ConnectionLayerError:
-            return ReadEnd(SendEnd.BROKEN)
+            return PrefillResult(SendEnd.BROKEN)
         finally:
             self._loads.read(instance, place.tokens, urgency)
             self._loads.ended(instance)
 
     async def _take(
         self, request: RequestId, engine: Replica, answer: TargetAnswer
-    ) -> ReadEnd:
+    ) -> PrefillResult:
         head = self._language.read_answer(answer.status, answer.headers)
         if head.request is not None and head.request != request:
             # A late answer to an earlier request on a kept connection.
             answer.usable = False
-            return ReadEnd(SendEnd.BROKEN)
+            return PrefillResult(SendEnd.BROKEN)
         if head.keep_seconds is not None:
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
@@ -112,11 +112,11 @@
             self._loads.heard(engine.instance, head.load, now)
         body = await answer.read(MOST_CONTROL_BYTES)
         if head.status != STATUS_OK:
-            return ReadEnd(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
+            return PrefillResult(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
         handle = self._language.read_handle(body)
         if handle is None:
-            return ReadEnd(SendEnd.SPOILED)
-        return ReadEnd(SendEnd.DONE, KvSource(engine, handle.handle))
+            return PrefillResult(SendEnd.SPOILED)
+        return PrefillResult(SendEnd.DONE, KvSource(engine, handle.handle))
 
     def release(self, source: KvSource) -> None:
         """Free a KV cache that was not taken; it would hold memory until it expires."""
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -9,88 +9,92 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.reading_flow import ReadingFlow
-from berylshift.request.placement import Placement, Placing
+from berylshift.request.placement import Placement, PlacementPolicy
 from berylshift.request.slo_status import (
-    Goal,
-    Standing,
-    late_wait,
-    standing_of,
-    urgency_in,
+    RouteObjective,
+    SloStatus,
+    late_prefill_seconds,
+    slo_status_of,
+    urgency_for,
 )
 
 
-class ReadingAsk(msgspec.Struct, frozen=True):
+class PrefillJob(msgspec.Struct, frozen=True):
     """A prompt to read; ``waited``: the seconds since its request arrived.
 
     ``avoid`` are engines that failed to read it, ``avoid_answering`` those that failed
     to answer it.
     """
 
-    goal: Goal
+    route: RouteObjective
     service: ServiceName
     pool: Pool
     prompt: Prompt
-    waited: float
+    waited_seconds: float
     avoid: Iterable[InstanceId] = ()
-    avoid_answering: Iterable[InstanceId] = ()
+    avoid_decode: Iterable[InstanceId] = ()
 
 
-class ReadingChoice(msgspec.Struct, frozen=True):
+class PrefillDecision(msgspec.Struct, frozen=True):
     """Where a prompt is read, its standing, and the seconds until a first piece."""
 
     place: Placement
-    standing: Standing
+    slo_status: SloStatus
     seconds: float
 
 
-class ReadingChooser:
+class PrefillScheduler:
     """Chooses for all prompts of a process; ``hosts``: how many send to the engines."""
 
-    def __init__(self, placer: Placing, speeds: EngineSpeeds, hosts: Callable[[], int]):
+    def __init__(
+        self, placer: PlacementPolicy, speeds: EngineSpeeds, hosts: Callable[[], int]
+    ):
         """Place by ``placer``."""
         self._placer = placer
         self._speeds = speeds
         self._hosts = hosts
         self._flow = ReadingFlow()
 
-    def choose(self, ask: ReadingAsk, now: float) -> ReadingChoice | None:
+    def choose(self, job: PrefillJob, now: float) -> PrefillDecision | None:
         """Return where to read a prompt; ``None``: no engine reads it apart.
 
         A prompt that can't be on time, even before all that is less urgent, stands
         behind those that can.
         """
-        place = self._place(ask, Standing.ON_TIME, now)
+        place = self._place(job, SloStatus.ON_TIME, now)
         if place is None:
             return None
-        seconds = place.seconds + self._answer_seconds(ask, place, now)
-        if standing_of(ask.goal, ask.waited + seconds) is Standing.ON_TIME:
-            return ReadingChoice(place, Standing.ON_TIME, seconds)
-        place = self._place(ask, Standing.LATE, now) or place
-        wait = late_wait(place.seconds, self._on_time_share(ask, now))
-        seconds = wait + self._answer_seconds(ask, place, now)
-        return ReadingChoice(place, Standing.LATE, seconds)
-
-    def sent(self, ask: ReadingAsk, choice: ReadingChoice, now: float) -> None:
+        seconds = place.seconds + self._answer_seconds(job, place, now)
+        if slo_status_of(job.route, job.waited_seconds + seconds) is SloStatus.ON_TIME:
+            return PrefillDecision(place, SloStatus.ON_TIME, seconds)
+        place = self._place(job, SloStatus.LATE, now) or place
+        wait = late_prefill_seconds(place.seconds, self._on_time_share(job, now))
+        seconds = wait + self._answer_seconds(job, place, now)
+        return PrefillDecision(place, SloStatus.LATE, seconds)
+
+    def sent(self, job: PrefillJob, choice: PrefillDecision, now: float) -> None:
         """Note that a prompt goes where it was chosen to go."""
-        self._placer.note_sent(choice.place, ask.prompt, now)
-        if choice.standing is Standing.ON_TIME:
-            self._flow.sent(ask.service, choice.place.tokens, now)
+        self._placer.note_sent(choice.place, job.prompt, now)
+        if choice.slo_status is SloStatus.ON_TIME:
+            self._flow.sent(job.service, choice.place.tokens, now)
 
     def _place(
-        self, ask: ReadingAsk, standing: Standing, now: float
+        self, job: PrefillJob, slo_status: SloStatus, now: float
     ) -> Placement | None:
-        urgency = urgency_in(ask.goal, standing)
-        return self._placer.reader(ask.pool, ask.prompt, urgency, ask.avoid, now)
+        urgency = urgency_for(job.route, slo_status)
+        return self._placer.choose_prefill(
+            job.pool, job.prompt, urgency, job.avoid, now
+        )
 
-    def _answer_seconds(self, ask: ReadingAsk, reading: Placement, now: float) -> float:
+    def _answer_seconds(self, job: PrefillJob, reading: Placement, now: float) -> float:
         """Return the seconds predicted from a read prompt to a first piece."""
-        answering = self._placer.answerer(
-            ask.pool, ask.prompt, reading.target, ask.avoid_answering, now
+        answering = self._placer.choose_decode(
+            job.pool, job.prompt, reading.target, job.avoid_decode, now
         )
         return answering.seconds if answering is not None else 0.0
 
-    def _on_time_share(self, ask: ReadingAsk, now: float) -> float:
+    def _on_time_share(self, job: PrefillJob, now: float) -> float:
         """Return the part of the engines' time that prompts on time take."""
-        flow = self._flow.rate(ask.service, now) * self._hosts()
-        rate = self._speeds.read_rate(ask.service)
-        return flow / max(1.0, len(ask.pool.readers) * rate)
+        flow = self._flow.rate(job.service, now) * self._hosts()
+        rate = self._speeds.read_rate(job.service)
+        return flow / max(1.0, len(job.pool.readers) * rate)
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -17,7 +17,7 @@
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_client import KvSource
-from berylshift.request.prefill_scheduler import ReadingAsk, ReadingChoice
+from berylshift.request.prefill_scheduler import PrefillDecision, PrefillJob
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.relay_result import (
     HopelessError,
@@ -38,7 +38,7 @@
 from berylshift.request.routed_watch import RoutedWatch
 from berylshift.request.send_loop import LoopEnd, send_until_done
 from berylshift.request.single_send import FailedAnswer, Reading, SingleSend
-from berylshift.request.slo_status import Standing, rank_of, urgency_in
+from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
@@ -91,7 +91,7 @@
         self._source: KvSource | None = None
         self._source_uses = 0
         self._reads = 0
-        self._standing = Standing.ON_TIME
+        self._standing = SloStatus.ON_TIME
         self._started = parts.clock.monotonic()
         self._allowance = allowance_of(route, req)
         self._until = self._started + self._allowance.seconds
@@ -195,7 +195,7 @@
         ms = (self._now() - self._started) * 1000
         sent_ms = (sent_at - self._started) * 1000
         inputs = f"predicted={place.seconds * 1000:.0f}ms tokens={place.tokens}"
-        inputs += f" again={place.again} ahead={place.ahead:.0f}"
+        inputs += f" again={place.uncached_prefix_tokens} ahead={place.queued:.0f}"
         inputs += f" standing={self._standing} sent={sent_ms:.0f}ms"
         self._sends.append(f"{place.target.instance} {what} {inputs} {ms:.0f}ms")
 
@@ -237,7 +237,7 @@
         """Place and send once; ``None`` if there is no place."""
         self._check_may_go()
         if self._req.prompt is None:
-            return await self._send(self._choice.plain(self._out.started), None)
+            return await self._send(self._choice.choose_plain(self._out.started), None)
         place = self._answerer(None)
         if place is None:
             return await self._send(None, None)
@@ -258,7 +258,7 @@
         prompt = self._req.prompt
         if prompt is None:
             return None
-        return self._choice.answerer(prompt, reader, self._out.started)
+        return self._choice.choose_decode(prompt, reader, self._out.started)
 
     def _check_hope(self, seconds: float) -> None:
         """Raise ``HopelessError`` if a first piece in ``seconds`` comes too late."""
@@ -308,7 +308,7 @@
         else:
             self.crash_watch.answered(place.target, sent_at)
             self._parts.speeds.was_read(
-                self.service, place.tokens, place.ahead, self._now() - sent_at
+                self.service, place.tokens, place.queued, self._now() - sent_at
             )
         self._source, self._source_uses = found.source, 0
         return found.end
@@ -321,30 +321,30 @@
 
     def _choose_reader(
         self, prompt: Prompt, tried: list[InstanceId]
-    ) -> ReadingChoice | None:
+    ) -> PrefillDecision | None:
         """Return where to read; raise ``HopelessError`` if it would be too late."""
         ask = self._ask(prompt, tried)
         choice = self._parts.readings.choose(ask, self._now())
-        self._standing = choice.standing if choice else Standing.ON_TIME
+        self._standing = choice.slo_status if choice else SloStatus.ON_TIME
         if choice is not None:
             self._check_hope(choice.seconds)
         return choice
 
-    def _ask(self, prompt: Prompt, tried: list[InstanceId]) -> ReadingAsk:
+    def _ask(self, prompt: Prompt, tried: list[InstanceId]) -> PrefillJob:
         avoided = self._choice.avoided(self._out.started)
-        return ReadingAsk(
-            goal=self._route,
+        return PrefillJob(
+            route=self._route,
             service=self.service,
             pool=self._choice.pool(),
             prompt=prompt,
-            waited=self._now() - self._started,
+            waited_seconds=self._now() - self._started,
             avoid=[*tried, *avoided],
-            avoid_answering=avoided,
+            avoid_decode=avoided,
         )
 
     @property
     def _urgency(self) -> Urgency:
-        return urgency_in(self._route, self._standing)
+        return urgency_for(self._route, self._standing)
 
     # One send
 
@@ -404,7 +404,7 @@
         speeds.answered(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.began(self.service, tokens, place.ahead, waited)
+            speeds.began(self.service, tokens, place.queued, waited)
 
     def _use_source(self, end: SendEnd) -> None:
         """Keep the cache for another engine if this one did not take it.
@@ -457,7 +457,7 @@
         dispatch = Dispatch(
             replica=target.name,
             seconds_left=self._until - self._now(),
-            rank=rank_of(self._route, self._standing),
+            rank=engine_rank(self._route, self._standing),
             resume_after=after,
             prefill_only=prefill_only,
             kv_source=source.place if source is not None else "",
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -16,9 +16,9 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import Fingerprints
-from berylshift.request.placement import Placing
-from berylshift.request.prefill_client import PromptReads
-from berylshift.request.prefill_scheduler import ReadingChooser
+from berylshift.request.placement import PlacementPolicy
+from berylshift.request.prefill_client import PrefillClient
+from berylshift.request.prefill_scheduler import PrefillScheduler
 
 
 @dataclass
@@ -31,11 +31,11 @@
     replicas: ReplicaSet
     loads: TargetLoads
     speeds: EngineSpeeds
-    placer: Placing
-    reads: PromptReads
+    placer: PlacementPolicy
+    reads: PrefillClient
     shutdown: Shutdown
     budget: Callable[[ServiceName], ArrivalBudget]
-    readings: ReadingChooser
+    readings: PrefillScheduler
     times: RecentTimes
     quarantine: Quarantine
     fingerprints: Fingerprints
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_choice.py
@@ -29,19 +29,21 @@
         """Return the service's replicas that take new work."""
         return self._parts.replicas.pool(self._service)
 
-    def plain(self, begun: bool) -> Placement | None:
+    def choose_plain(self, begun: bool) -> Placement | None:
         """Return where a request without a prompt should go.
 
         ``begun``: its caller has a part of the answer.
         """
-        return self._parts.placer.plain(self.pool(), self.avoided(begun), self._now())
+        return self._parts.placer.choose_plain(
+            self.pool(), self.avoided(begun), self._now()
+        )
 
-    def answerer(
-        self, prompt: Prompt, reader: Replica | None, begun: bool
+    def choose_decode(
+        self, prompt: Prompt, prefill_engine: Replica | None, begun: bool
     ) -> Placement | None:
         """Return the engine that should answer what ``reader`` has read."""
-        return self._parts.placer.answerer(
-            self.pool(), prompt, reader, self.avoided(begun), self._now()
+        return self._parts.placer.choose_decode(
+            self.pool(), prompt, prefill_engine, self.avoided(begun), self._now()
         )
 
     def avoided(self, begun: bool) -> list[InstanceId]:
--- a/berylshift/request/slo_status.py
+++ b/berylshift/request/slo_status.py
@@ -24,7 +24,7 @@
 LEAST_LATE_SHARE = 0.5
 
 
-class Goal(Protocol):
+class RouteObjective(Protocol):
     """What a route asks for: seconds to a first piece, and a rank, 0 first."""
 
     @property
@@ -36,37 +36,37 @@
         """Return the rank."""
 
 
-class Standing(StrEnum):
+class SloStatus(StrEnum):
     """Whether a prompt can still meet its route's objective."""
 
     ON_TIME = "on-time"
     LATE = "late"
 
 
-def standing_of(goal: Goal, seconds: float) -> Standing:
+def slo_status_of(route: RouteObjective, seconds: float) -> SloStatus:
     """Return the standing of a prompt; ``seconds``: from its arrival to a first piece.
 
     A route without an objective has nothing to miss.
     """
-    if goal.objective and seconds > ON_TIME_SHARE * goal.objective:
-        return Standing.LATE
-    return Standing.ON_TIME
+    if route.objective and seconds > ON_TIME_SHARE * route.objective:
+        return SloStatus.LATE
+    return SloStatus.ON_TIME
 
 
-def rank_of(goal: Goal, standing: Standing) -> int:
+def engine_rank(route: RouteObjective, slo_status: SloStatus) -> int:
     """Return the rank that an engine is told."""
-    behind = LATE_RANKS if standing is Standing.LATE else 0
-    return min(LAST_RANK, goal.rank + behind)
+    behind = LATE_RANKS if slo_status is SloStatus.LATE else 0
+    return min(LAST_RANK, route.rank + behind)
 
 
-def urgency_in(goal: Goal, standing: Standing) -> Urgency:
+def urgency_for(route: RouteObjective, slo_status: SloStatus) -> Urgency:
     """Return the class of a prompt among those that hosts tell each other of."""
-    if standing is Standing.LATE:
+    if slo_status is SloStatus.LATE:
         return Urgency.PATIENT
-    return urgency_of(goal.rank)
+    return urgency_of(route.rank)
 
 
-def late_wait(seconds: float, on_time_share: float) -> float:
+def late_prefill_seconds(seconds: float, on_time_share: float) -> float:
     """Return the seconds that a late prompt waits for ``seconds`` of reading.
 
     ``on_time_share`` is the part of the engines' time that prompts which are on time
--- a/berylshift/tests/test_model_engine.py
+++ b/berylshift/tests/test_model_engine.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from berylshift.messages.replicas import EnginePhase, Replica
-from berylshift.messages.routed import Prompt, PromptPart
+from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.model.engine import ModelEngine, Stream
 from berylshift.model.event_queue import EventQueue
 from berylshift.model.figures import EngineFigures
@@ -16,7 +16,7 @@
 
 def prompt(part: str, shared: int = 4000, own: int = 2140) -> Prompt:
     """Return a prompt of 6,140 tokens, read in 0.1 s where nothing is kept."""
-    parts = (PromptPart(part, shared), PromptPart(f"own-{part}", own))
+    parts = (PromptBlock(part, shared), PromptBlock(f"own-{part}", own))
     return Prompt(parts, shared + own, 80)
 
 
@@ -54,7 +54,7 @@
         self.ends: list[tuple[str, float, bool]] = []
 
     def read(self, of: Prompt, rank: int = 1) -> None:
-        name = of.parts[0].part
+        name = of.blocks[0].id
 
         def done(good: bool) -> None:
             self.ends.append((name, round(self.queue.monotonic(), 3), good))
--- a/berylshift/tests/test_model_fleet.py
+++ b/berylshift/tests/test_model_fleet.py
@@ -30,7 +30,7 @@
             with self.subTest(kind=kind.name):
                 prompts = [a.prompt for a in found if a.kind is kind]
                 self.assertAlmostEqual(len(prompts) / 120 / kind.rate, 1, delta=0.1)
-                own = [prompt.parts[-1].tokens for prompt in prompts]
+                own = [prompt.blocks[-1].tokens for prompt in prompts]
                 mean = sum(own) / len(own)
                 self.assertAlmostEqual(mean / kind.own.mean, 1, delta=0.15)
 
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -304,7 +304,7 @@
     def test_prompt(self):
         req = self.language.read_request(b"POST", b"/x/", USUAL, NO_BODY)
         self.assertEqual(req.prompt.tokens, 1460)
-        self.assertEqual(req.prompt.shared_tokens, 1210)
+        self.assertEqual(req.prompt.prefix_tokens, 1210)
 
     def test_announced_nonsense_only_costs_the_placement(self):
         for value in (b"a", b"a:b", b":,", b"\xff:1"):
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -6,7 +6,7 @@
 
 from berylshift.messages.load_digest import LoadDigest, LoadEntry, Urgency, target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
-from berylshift.messages.routed import Prompt, PromptPart, ReportedLoad
+from berylshift.messages.routed import Prompt, PromptBlock, ReportedLoad
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE, EngineSpeeds
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
@@ -18,7 +18,7 @@
     LOOKED_AT,
     Placer,
     Reason,
-    reading_work,
+    prefill_work,
 )
 
 
@@ -29,7 +29,7 @@
 
 def prompt(part: str = "p1", shared: int = 13_000, own: int = 3_000) -> Prompt:
     """Return a prompt of one shared part and one of its own."""
-    parts = (PromptPart(part, shared), PromptPart("own", own))
+    parts = (PromptBlock(part, shared), PromptBlock("own", own))
     return Prompt(parts, shared + own, 80)
 
 
@@ -42,7 +42,7 @@
 
 def home_of(of: Prompt, readers: list[Replica]) -> Replica:
     """Return the first home of a prompt's shared parts."""
-    return Pool(readers).homes(of.shared[-1].part)[0]
+    return Pool(readers).homes(of.prefix_blocks[-1].id)[0]
 
 
 class PlacerCase(unittest.TestCase):
@@ -59,9 +59,9 @@
         speeds = EngineSpeeds()
         return Placer(self.loads, self.peers, self.warm, speeds, "d1", rng)
 
-    def reader(self, of: Prompt, engines=None, avoid=(), now: float = 0.0):
+    def choose_prefill(self, of: Prompt, engines=None, avoid=(), now: float = 0.0):
         pool = Pool(ENGINES if engines is None else engines)
-        return self.placer.reader(pool, of, Urgency.USUAL, avoid, now)
+        return self.placer.choose_prefill(pool, of, Urgency.USUAL, avoid, now)
 
 
 class HomesTest(PlacerCase):
@@ -72,17 +72,17 @@
         random.Random(5).shuffle(shuffled)
         for number in range(50):
             wanted = prompt(f"p{number}")
-            here = self.reader(wanted).target
-            there = self.make_placer(number).reader(
+            here = self.choose_prefill(wanted).target
+            there = self.make_placer(number).choose_prefill(
                 Pool(shuffled), wanted, Urgency.USUAL, (), 0.0
             )
             self.assertEqual(here, there.target)
 
     def test_a_leaving_engine_moves_only_its_own_parts(self):
         parts = [prompt(f"p{number}") for number in range(300)]
-        before = {p.shared[0].part: home_of(p, READERS) for p in parts}
+        before = {p.prefix_blocks[0].id: home_of(p, READERS) for p in parts}
         left = READERS[:-1]
-        moved = [p for p in parts if home_of(p, left) != before[p.shared[0].part]]
+        moved = [p for p in parts if home_of(p, left) != before[p.prefix_blocks[0].id]]
         held = Counter(rep.instance for rep in before.values())[READERS[-1].instance]
         self.assertEqual(len(moved), held)
 
@@ -92,7 +92,7 @@
         self.assertLess(max(homes.values()), 2 * 600 / len(READERS))
 
     def test_small_shared_parts_have_no_home(self):
-        self.assertIs(self.reader(prompt(shared=300, own=9000)).reason, LEAST)
+        self.assertIs(self.choose_prefill(prompt(shared=300, own=9000)).reason, LEAST)
 
 
 class SpillTest(PlacerCase):
@@ -104,52 +104,58 @@
 
     def warm_home(self) -> Replica:
         """Send a prompt to its home; return it."""
-        place = self.reader(prompt())
+        place = self.choose_prefill(prompt())
         self.placer.note_sent(place, prompt(), 0.0)
         return place.target
 
     def test_a_part_that_nobody_keeps_goes_to_its_home(self):
-        place = self.reader(prompt())
+        place = self.choose_prefill(prompt())
         self.assertEqual(place.target, home_of(prompt(), READERS))
-        self.assertEqual(place.tokens, reading_work(16_000, 0))
+        self.assertEqual(place.tokens, prefill_work(16_000, 0))
 
     def test_a_part_that_was_sent_counts_as_kept(self):
         """Also at a home: an engine that has just taken one over keeps nothing."""
         home = self.warm_home()
-        again = self.reader(prompt())
+        again = self.choose_prefill(prompt())
         self.assertEqual((again.target, again.reason), (home, Reason.HOME))
-        self.assertEqual(again.tokens, reading_work(16_000, 13_000))
+        self.assertEqual(again.tokens, prefill_work(16_000, 13_000))
 
     def test_a_usual_queue_does_not_move_a_prompt(self):
         """Reading the shared part anew elsewhere costs 13,000 tokens for all."""
         home = self.warm_home()
         self.busy(home.instance, 30_000)
-        self.assertEqual(self.reader(prompt()).target, home)
+        self.assertEqual(self.choose_prefill(prompt()).target, home)
 
     def test_a_queue_of_seconds_does(self):
         home = self.warm_home()
         self.busy(home.instance, 200_000)
-        place = self.reader(prompt())
+        place = self.choose_prefill(prompt())
         self.assertNotEqual(place.target, home)
         self.assertIs(place.reason, Reason.SECOND_HOME)
 
     def test_spilled_parts_are_known_where_they_went(self):
         home = self.warm_home()
         self.busy(home.instance, 200_000)
-        place = self.reader(prompt())
+        place = self.choose_prefill(prompt())
         self.placer.note_sent(place, prompt(), 0.0)
-        again = self.reader(prompt())
+        again = self.choose_prefill(prompt())
         self.assertEqual((again.target, again.reason), (place.target, Reason.WARM))
         self.assertLess(again.tokens, place.tokens / 2)
 
     def test_leading_parts_alone_are_kept_too(self):
-        root = PromptPart("root", 2_500)
-        one = Prompt((root, PromptPart("a", 4_000), PromptPart("x", 1_000)), 7_500, 80)
-        two = Prompt((root, PromptPart("b", 4_000), PromptPart("y", 1_000)), 7_500, 80)
-        place = self.reader(one)
+        root = PromptBlock("root", 2_500)
+        one = Prompt(
+            (root, PromptBlock("a", 4_000), PromptBlock("x", 1_000)), 7_500, 80
+        )
+        two = Prompt(
+            (root, PromptBlock("b", 4_000), PromptBlock("y", 1_000)), 7_500, 80
+        )
+        place = self.choose_prefill(one)
         self.placer.note_sent(place, one, 0.0)
-        beside = self.placer.reader(Pool([place.target]), two, Urgency.USUAL, (), 0.0)
-        self.assertEqual(beside.tokens, reading_work(7_500, 2_500))
+        beside = self.placer.choose_prefill(
+            Pool([place.target]), two, Urgency.USUAL, (), 0.0
+        )
+        self.assertEqual(beside.tokens, prefill_work(7_500, 2_500))
 
     def test_a_leading_part_alone_does_not_draw_a_prompt_from_its_home(self):
         """All prompts begin with one of a few large parts; every engine keeps them.
@@ -157,26 +163,26 @@
         The home is a little busier than the others. The rest of the shared parts is
         there alone: anywhere else it is read anew, for this prompt and its next ones.
         """
-        root, branch = PromptPart("root", 2_500), PromptPart("branch", 4_000)
-        of = Prompt((root, branch, PromptPart("x", 1_000)), 7_500, 80)
+        root, branch = PromptBlock("root", 2_500), PromptBlock("branch", 4_000)
+        of = Prompt((root, branch, PromptBlock("x", 1_000)), 7_500, 80)
         home = home_of(of, READERS)
         for engine in READERS:
             self.warm.sent("root", 2_500, engine.instance, 0.0)
         self.busy(home.instance, 5_000)
-        place = self.reader(of)
+        place = self.choose_prefill(of)
         self.assertEqual((place.target, place.reason), (home, Reason.HOME))
 
     def test_others_work_is_forgotten_when_they_fall_silent(self):
         home = self.warm_home()
         self.busy(home.instance, 200_000)
-        self.assertEqual(self.reader(prompt(), now=1.0).target, home)
+        self.assertEqual(self.choose_prefill(prompt(), now=1.0).target, home)
 
     def test_more_urgent_work_waits_less(self):
         home = self.warm_home()
         self.loads.sent(home.instance, 60_000, Urgency.PATIENT)
         pool = Pool([home])
-        urgent = self.placer.reader(pool, prompt(), Urgency.URGENT, (), 0.0)
-        patient = self.placer.reader(pool, prompt(), Urgency.PATIENT, (), 0.0)
+        urgent = self.placer.choose_prefill(pool, prompt(), Urgency.URGENT, (), 0.0)
+        patient = self.placer.choose_prefill(pool, prompt(), Urgency.PATIENT, (), 0.0)
         skipped = (60_000 - BEGUN_TOKENS) / PRIOR_READ_RATE
         self.assertAlmostEqual(patient.seconds - urgent.seconds, skipped, delta=0.005)
 
@@ -186,7 +192,9 @@
         engines = READERS[:2]
         self.loads.sent(engines[0].instance, 20_000, Urgency.PATIENT)
         short = prompt("p9", shared=200, own=2_500)
-        place = self.placer.reader(Pool(engines), short, Urgency.URGENT, (), 0.0)
+        place = self.placer.choose_prefill(
+            Pool(engines), short, Urgency.URGENT, (), 0.0
+        )
         self.assertIs(place.target, engines[1])
 
 
@@ -199,14 +207,14 @@
         pool = Pool(self.MANY)
         for number in range(50):
             wanted = prompt(f"p{number}")
-            place = self.placer.reader(pool, wanted, Urgency.USUAL, (), 0.0)
+            place = self.placer.choose_prefill(pool, wanted, Urgency.USUAL, (), 0.0)
             self.assertIs(place.reason, Reason.HOME)
 
     def test_engines_that_keep_the_parts_are_too(self):
         home = home_of(prompt(), self.MANY)
         keeper = next(rep for rep in self.MANY if rep != home)
         self.warm.sent("p1", 13_000, keeper.instance, 0.0)
-        place = self.reader(prompt(), engines=self.MANY)
+        place = self.choose_prefill(prompt(), engines=self.MANY)
         self.assertEqual((place.target, place.reason), (keeper, Reason.WARM))
 
     def test_of_the_others_a_few_are_drawn(self):
@@ -218,21 +226,23 @@
     """Prompts that the answering engine reads itself."""
 
     def test_short_prompts_are_read_by_the_answering_engine(self):
-        self.assertIsNone(self.reader(prompt(shared=300, own=1000)))
+        self.assertIsNone(self.choose_prefill(prompt(shared=300, own=1000)))
 
     def test_long_ones_never(self):
         """Each piece read stops the engine's streams for 33 ms."""
-        self.assertIsNotNone(self.reader(prompt(shared=0, own=DIRECT_TOKENS + 1)))
+        self.assertIsNotNone(
+            self.choose_prefill(prompt(shared=0, own=DIRECT_TOKENS + 1))
+        )
 
     def test_not_where_answering_engines_have_a_queue(self):
         for engine in DECODERS:
             self.loads.sent(engine.instance, 20_000, Urgency.URGENT)
-        self.assertIsNotNone(self.reader(prompt(shared=300, own=1000)))
+        self.assertIsNotNone(self.choose_prefill(prompt(shared=300, own=1000)))
 
     def test_without_reading_engines_the_answering_one_reads(self):
-        self.assertIsNone(self.reader(prompt(), engines=DECODERS))
-        place = self.placer.answerer(Pool(DECODERS), prompt(), None, (), 0.0)
-        self.assertEqual(place.tokens, reading_work(16_000, 0))
+        self.assertIsNone(self.choose_prefill(prompt(), engines=DECODERS))
+        place = self.placer.choose_decode(Pool(DECODERS), prompt(), None, (), 0.0)
+        self.assertEqual(place.tokens, prefill_work(16_000, 0))
 
 
 class AnswererTest(PlacerCase):
@@ -242,44 +252,48 @@
         for engine in DECODERS[:-1]:
             for _ in range(10):
                 self.loads.sent(engine.instance, 0, Urgency.USUAL)
-        place = self.placer.answerer(Pool(ENGINES), prompt(), READERS[0], (), 0.0)
+        place = self.placer.choose_decode(Pool(ENGINES), prompt(), READERS[0], (), 0.0)
         self.assertEqual(place.target, DECODERS[-1])
 
     def test_near_the_cache(self):
         far = replica(21, EnginePhase.DECODE, "d2")
         near = replica(22, EnginePhase.DECODE, "d1")
-        place = self.placer.answerer(Pool([far, near]), prompt(), READERS[0], (), 0.0)
+        place = self.placer.choose_decode(
+            Pool([far, near]), prompt(), READERS[0], (), 0.0
+        )
         self.assertEqual(place.target, near)
 
     def test_engines_that_were_tried_are_left_out(self):
         tried = [engine.instance for engine in DECODERS]
-        place = self.placer.answerer(Pool(ENGINES), prompt(), READERS[0], tried, 0.0)
+        place = self.placer.choose_decode(
+            Pool(ENGINES), prompt(), READERS[0], tried, 0.0
+        )
         self.assertIsNone(place)
 
 
 class DistanceTest(PlacerCase):
     """Bytes between domains are dear; the longer the prompt, the more there are."""
 
-    def answerer(self, of: Prompt, running: int):
+    def choose_decode(self, of: Prompt, running: int):
         near = replica(1, EnginePhase.DECODE, "d1")
         far = replica(2, EnginePhase.DECODE, "d2")
         for _ in range(running):
             self.loads.sent(near.instance, 0, Urgency.USUAL)
         reader = replica(3, EnginePhase.PREFILL, "d3")
-        place = self.placer.answerer(Pool([near, far]), of, reader, (), 0.0)
+        place = self.placer.choose_decode(Pool([near, far]), of, reader, (), 0.0)
         return place, place.target is near
 
     def test_a_long_prompt_stays_in_its_domain_where_a_short_one_goes_away(self):
-        short, stays_short = self.answerer(prompt(shared=100, own=100), 7)
+        short, stays_short = self.choose_decode(prompt(shared=100, own=100), 7)
         self.setUp()
-        long, stays_long = self.answerer(prompt(), 7)
+        long, stays_long = self.choose_decode(prompt(), 7)
         self.assertEqual((stays_short, stays_long), (False, True))
         # Distance orders engines; it is not time that a caller waits.
         self.assertLess(short.seconds, 0.02)
-        self.assertGreater(long.weight, long.seconds)
+        self.assertGreater(long.cost, long.seconds)
 
     def test_a_long_queue_outweighs_the_distance(self):
-        _, stays = self.answerer(prompt(), 70)
+        _, stays = self.choose_decode(prompt(), 70)
         self.assertFalse(stays)
 
 
@@ -288,37 +302,49 @@
 
     def test_own_domain_first(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
-        self.assertEqual(self.placer.plain(Pool([far, near]), (), 0.0).target, near)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([far, near]), (), 0.0).target, near
+        )
 
     def test_a_busy_neighbour_is_passed_by(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
         self.loads.heard(near.instance, ReportedLoad(8, 6, 8), 0.0)
-        self.assertEqual(self.placer.plain(Pool([far, near]), (), 0.0).target, far)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([far, near]), (), 0.0).target, far
+        )
 
     def test_a_failing_replica_is_avoided_and_tried_again(self):
         one, two = replica(1), replica(2)
         self.loads.failed(one.instance, SEVERE, 0.0)
-        self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, two)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([one, two]), (), 0.1).target, two
+        )
         for _ in range(3):
             self.loads.sent(two.instance, 0, Urgency.USUAL)
-        self.assertEqual(self.placer.plain(Pool([one, two]), (), 15.0).target, one)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([one, two]), (), 15.0).target, one
+        )
 
     def test_one_cut_off_host_does_not_condemn_a_replica_for_all(self):
         """A host that is cut off finds every replica failing and says so."""
         one, two = replica(1), replica(2, domain="d2")
         entry = LoadEntry(target_hash(one.instance), 0, (0, 0, 0), 5.0)
         self.peers.take(LoadDigest("cut-off", 1, (entry,)), 0.0)
-        self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, one)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([one, two]), (), 0.1).target, one
+        )
         self.peers.take(LoadDigest("another", 1, (entry,)), 0.0)
-        self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, two)
+        self.assertEqual(
+            self.placer.choose_plain(Pool([one, two]), (), 0.1).target, two
+        )
 
 
 class WorkTest(unittest.TestCase):
     """The work of reading."""
 
     def test_kept_tokens_are_not_read(self):
-        self.assertLess(reading_work(16_000, 13_000), reading_work(16_000, 0) / 3)
+        self.assertLess(prefill_work(16_000, 13_000), prefill_work(16_000, 0) / 3)
 
     def test_reading_slows_with_the_context(self):
-        self.assertGreater(reading_work(50_000, 0), 1.5 * 50_000)
-        self.assertLess(reading_work(1_000, 0), 1.05 * 1_000)
+        self.assertGreater(prefill_work(50_000, 0), 1.5 * 50_000)
+        self.assertLess(prefill_work(1_000, 0), 1.05 * 1_000)
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -10,7 +10,7 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.request.placement_policies import PLACINGS, PlacingParts
+from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
 from berylshift.settings import CHOICES
 from berylshift.tests.test_request_placement import DECODERS, ENGINES, READERS, prompt
 
@@ -20,7 +20,7 @@
 
     def setUp(self):
         self.loads = TargetLoads()
-        self.parts = PlacingParts(
+        self.parts = PlacementContext(
             self.loads,
             PeerLoads("me"),
             WarmParts(),
@@ -30,17 +30,19 @@
         )
         self.pool = Pool(ENGINES)
 
-    def reader(self, name: str, of=None, avoid=()):
-        placing = PLACINGS[name](self.parts)
-        return placing.reader(self.pool, of or prompt(), Urgency.USUAL, avoid, 0.0)
+    def choose_prefill(self, name: str, of=None, avoid=()):
+        placing = PLACEMENT_POLICIES[name](self.parts)
+        return placing.choose_prefill(
+            self.pool, of or prompt(), Urgency.USUAL, avoid, 0.0
+        )
 
     def test_settings_name_each(self):
-        self.assertEqual(set(CHOICES["entry", "placing"]), set(PLACINGS))
+        self.assertEqual(set(CHOICES["entry", "placing"]), set(PLACEMENT_POLICIES))
 
     def test_round_robin_takes_each_in_turn(self):
-        placing = PLACINGS["round-robin"](self.parts)
+        placing = PLACEMENT_POLICIES["round-robin"](self.parts)
         found = [
-            placing.reader(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
+            placing.choose_prefill(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
             for _ in READERS
         ]
         self.assertEqual({rep.instance for rep in found}, {r.instance for r in READERS})
@@ -48,26 +50,26 @@
     def test_least_reported_goes_by_the_last_word(self):
         for number, rep in enumerate(DECODERS):
             self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
-        placing = PLACINGS["least-reported"](self.parts)
-        place = placing.answerer(self.pool, prompt(), READERS[0], (), 0.0)
+        placing = PLACEMENT_POLICIES["least-reported"](self.parts)
+        place = placing.choose_decode(self.pool, prompt(), READERS[0], (), 0.0)
         self.assertIs(place.target, DECODERS[-1])
 
     def test_without_homes_a_kept_prompt_draws_nobody(self):
-        placing = PLACINGS["no-homes"](self.parts)
+        placing = PLACEMENT_POLICIES["no-homes"](self.parts)
         of = prompt()
-        home = self.pool.homes(of.shared[-1].part)[0]
-        for part in of.shared:
-            self.parts.warm.sent(part.part, part.tokens, home.instance, 0.0)
+        home = self.pool.homes(of.prefix_blocks[-1].id)[0]
+        for part in of.prefix_blocks:
+            self.parts.warm.sent(part.id, part.tokens, home.instance, 0.0)
         self.loads.sent(home.instance, 5_000, Urgency.USUAL)
-        place = placing.reader(self.pool, of, Urgency.USUAL, (), 0.0)
+        place = placing.choose_prefill(self.pool, of, Urgency.USUAL, (), 0.0)
         self.assertIsNot(place.target, home)
-        self.assertIs(self.reader("warm", of).target, home)
+        self.assertIs(self.choose_prefill("warm", of).target, home)
 
     def test_tried_replicas_are_left_out(self):
         tried = [rep.instance for rep in READERS]
         for name in ("round-robin", "least-reported"):
             with self.subTest(name=name):
-                self.assertIsNone(self.reader(name, avoid=tried))
+                self.assertIsNone(self.choose_prefill(name, avoid=tried))
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -12,11 +12,11 @@
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement import Placer
 from berylshift.request.prefill_scheduler import (
-    ReadingAsk,
-    ReadingChoice,
-    ReadingChooser,
+    PrefillDecision,
+    PrefillJob,
+    PrefillScheduler,
 )
-from berylshift.request.slo_status import LEAST_LATE_SHARE, Standing
+from berylshift.request.slo_status import LEAST_LATE_SHARE, SloStatus
 from berylshift.tests.entry_world import route
 from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
@@ -41,16 +41,16 @@
         self.loads, speeds = TargetLoads(), EngineSpeeds()
         peers, warm, rng = PeerLoads("me"), WarmParts(), random.Random(1)
         placer = Placer(self.loads, peers, warm, speeds, "d1", rng)
-        self.chooser = ReadingChooser(placer, speeds, lambda: 1)
+        self.chooser = PrefillScheduler(placer, speeds, lambda: 1)
         self.now = 0.0
 
     def come(self, waited: float = 0.0):
         """Let a prompt of 16,000 tokens come and be sent; return its choice."""
-        ask = ReadingAsk(WAY, "s", POOL, prompt(), waited)
+        ask = PrefillJob(WAY, "s", POOL, prompt(), waited)
         choice = self.chooser.choose(ask, self.now)
         if choice.seconds <= WAY.patience:
             urgency = Urgency.URGENT
-            if choice.standing is Standing.LATE:
+            if choice.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
             self.chooser.sent(ask, choice, self.now)
             self.loads.sent(READER.instance, choice.place.tokens, urgency)
@@ -58,44 +58,44 @@
 
     def test_of_a_rush_the_first_are_on_time_and_the_last_are_refused(self):
         rush = [self.come() for _ in range(60)]
-        standings = [choice.standing for choice in rush]
-        on_time = standings.count(Standing.ON_TIME)
+        standings = [choice.slo_status for choice in rush]
+        on_time = standings.count(SloStatus.ON_TIME)
         self.assertGreater(on_time, 1)
-        self.assertEqual(standings[:on_time], [Standing.ON_TIME] * on_time)
+        self.assertEqual(standings[:on_time], [SloStatus.ON_TIME] * on_time)
         refused = [choice for choice in rush if choice.seconds > WAY.patience]
         self.assertGreater(len(refused), 10)
-        self.assertNotIn(Standing.ON_TIME, {choice.standing for choice in refused})
+        self.assertNotIn(SloStatus.ON_TIME, {choice.slo_status for choice in refused})
 
     def test_who_comes_when_the_engine_has_read_on_passes_the_late_ones(self):
         for _ in range(60):
             self.come()
         self.loads.of(READER.instance).reading[Urgency.URGENT] = 0
         choice = self.come()
-        self.assertIs(choice.standing, Standing.ON_TIME)
+        self.assertIs(choice.slo_status, SloStatus.ON_TIME)
         self.assertLess(choice.seconds, WAY.objective)
 
     def test_who_has_waited_too_long_is_late_at_an_idle_engine(self):
-        self.assertIs(self.come(waited=0.5).standing, Standing.LATE)
+        self.assertIs(self.come(waited=0.5).slo_status, SloStatus.LATE)
 
-    def late_wait_after(self, standing: Standing) -> float:
+    def late_wait_after(self, slo_status: SloStatus) -> float:
         """Return how long a late prompt waits after 40 others of a standing."""
         self.setUp()
-        ask = ReadingAsk(WAY, "s", POOL, prompt(), 0.0)
+        ask = PrefillJob(WAY, "s", POOL, prompt(), 0.0)
         for _ in range(40):
             place = self.chooser.choose(ask, self.now).place
-            self.chooser.sent(ask, ReadingChoice(place, standing, 0.0), self.now)
+            self.chooser.sent(ask, PrefillDecision(place, slo_status, 0.0), self.now)
         self.loads.sent(READER.instance, 2 * HALF_A_SECOND, Urgency.URGENT)
         return self.come().seconds
 
     def test_late_ones_expect_to_be_overtaken(self):
         """The more prompts on time keep the engine, the longer a late one waits."""
-        calm = self.late_wait_after(Standing.LATE)
-        rush = self.late_wait_after(Standing.ON_TIME)
+        calm = self.late_wait_after(SloStatus.LATE)
+        rush = self.late_wait_after(SloStatus.ON_TIME)
         self.assertGreater(rush, 1.5 * calm)
         self.assertLess(rush, calm / LEAST_LATE_SHARE + 0.1)
 
     def test_no_engine_reads_apart_where_none_is_there_to_read(self):
-        ask = ReadingAsk(
+        ask = PrefillJob(
             WAY, "s", Pool([replica(2, EnginePhase.DECODE)]), prompt(), 0.0
         )
         self.assertIsNone(self.chooser.choose(ask, 0.0))
--- a/berylshift/tests/test_request_slo_status.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -10,11 +10,11 @@
     LAST_RANK,
     LEAST_LATE_SHARE,
     ON_TIME_SHARE,
-    Standing,
-    late_wait,
-    rank_of,
-    standing_of,
-    urgency_in,
+    SloStatus,
+    engine_rank,
+    late_prefill_seconds,
+    slo_status_of,
+    urgency_for,
 )
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
@@ -28,27 +28,27 @@
 
     def test_a_prompt_is_late_before_its_objective_is_over(self):
         limit = ON_TIME_SHARE * WAY.objective
-        self.assertIs(standing_of(WAY, limit), Standing.ON_TIME)
-        self.assertIs(standing_of(WAY, limit + 0.001), Standing.LATE)
+        self.assertIs(slo_status_of(WAY, limit), SloStatus.ON_TIME)
+        self.assertIs(slo_status_of(WAY, limit + 0.001), SloStatus.LATE)
 
     def test_a_route_without_an_objective_is_never_late(self):
         way = msgspec.structs.replace(WAY, objective=0.0)
-        self.assertIs(standing_of(way, 100.0), Standing.ON_TIME)
+        self.assertIs(slo_status_of(way, 100.0), SloStatus.ON_TIME)
 
     def test_late_prompts_stand_behind_all_that_are_on_time(self):
         on_time = route("z", RouteKind.STREAM, objective=0.2, rank=4)
-        late = rank_of(WAY, Standing.LATE)
-        self.assertGreater(late, rank_of(on_time, Standing.ON_TIME))
-        self.assertEqual(urgency_in(WAY, Standing.LATE), Urgency.PATIENT)
-        self.assertEqual(urgency_in(WAY, Standing.ON_TIME), Urgency.URGENT)
+        late = engine_rank(WAY, SloStatus.LATE)
+        self.assertGreater(late, engine_rank(on_time, SloStatus.ON_TIME))
+        self.assertEqual(urgency_for(WAY, SloStatus.LATE), Urgency.PATIENT)
+        self.assertEqual(urgency_for(WAY, SloStatus.ON_TIME), Urgency.URGENT)
 
     def test_no_rank_is_beyond_the_last(self):
-        self.assertEqual(rank_of(SLOW_WAY, Standing.LATE), LAST_RANK)
+        self.assertEqual(engine_rank(SLOW_WAY, SloStatus.LATE), LAST_RANK)
 
     def test_a_late_prompt_expects_to_be_overtaken(self):
-        self.assertEqual(late_wait(0.3, 0.0), 0.3)
-        self.assertAlmostEqual(late_wait(0.3, 0.5), 0.6)
-        self.assertAlmostEqual(late_wait(0.3, 5.0), 0.3 / LEAST_LATE_SHARE)
+        self.assertEqual(late_prefill_seconds(0.3, 0.0), 0.3)
+        self.assertAlmostEqual(late_prefill_seconds(0.3, 0.5), 0.6)
+        self.assertAlmostEqual(late_prefill_seconds(0.3, 5.0), 0.3 / LEAST_LATE_SHARE)
 
 
 class ReadingFlowTest(unittest.TestCase):
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -10,7 +10,7 @@
 from berylshift.model.figures import SITES
 from berylshift.model.fleet import ModelFleet, PlaySpec
 from berylshift.model.plots import plot_day, plot_rows
-from berylshift.request.placement_policies import PLACINGS
+from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.tools.session import Exit
 
 PLACING = "placing"
@@ -30,7 +30,7 @@
             None,
             "NAME=VALUE,VALUE: a setting, or a constant of the placement.",
             flag=False,
-            default=f"{PLACING}={','.join(PLACINGS)}",
+            default=f"{PLACING}={','.join(PLACEMENT_POLICIES)}",
         ),
         option("plot", None, "Plot the table to this SVG file.", flag=False),
         option("plot-day", None, "Plot the day's first seed to it.", flag=False),
@@ -93,7 +93,7 @@
 
     def _plot_day(self, spec: PlaySpec) -> None:
         plays = {}
-        for name in PLACINGS:
+        for name in PLACEMENT_POLICIES:
             fleet = ModelFleet(msgspec.structs.replace(spec, placing=name))
             fleet.play()
             plays[name] = fleet.ends
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -640,7 +640,8 @@
     Proof(
         "prompts that can be on time go before those that can't",
         "request/prefill_scheduler.py",
-        "if standing_of(ask.goal, ask.waited + seconds) is Standing.ON_TIME:",
+        "if slo_status_of(job.route, job.waited_seconds + seconds) "
+        "is SloStatus.ON_TIME:",
         "if True:",
         "test_request_prefill_scheduler.RushTest",
     ),
@@ -654,7 +655,7 @@
     Proof(
         "warm is who keeps all shared parts",
         "request/placement.py",
-        "self._reason(replica, homes, kept >= prompt.shared_tokens)",
+        "self._reason(replica, homes, kept >= prompt.prefix_tokens)",
         "self._reason(replica, homes, kept > 0)",
         "test_request_placement.SpillTest",
     ),
