--- a/bench/micro.py
+++ b/bench/micro.py
@@ -18,7 +18,7 @@
 from berylshift.process.knowledge.health import Health
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.knowledge.prefixes import PrefixIndex, prefix_hashes
-from berylshift.request.router import Knowledge, LeastLateness, WorkItem
+from berylshift.request.router import LeastLateness, RoutingContext, WorkItem
 from berylshift.settings import PolicySettings
 from berylshift.stand_ins.text import make_prompt
 from berylshift.targets import EngineChunk, LoadReport, Role
@@ -33,7 +33,7 @@
 REPEATS = 5
 
 
-def _knowledge(size: int) -> tuple[Knowledge, Table]:
+def _knowledge(size: int) -> tuple[RoutingContext, Table]:
     rows = []
     for number in range(size):
         name = f"engine-{number + 1}"
@@ -54,7 +54,7 @@
         report = LoadReport(Incarnation("e/1"), 1.0, Role.MIXED, running=5)
         load.reported(row.name, report, 0.0)
     cost = CostModel(PolicySettings())
-    know = Knowledge(
+    know = RoutingContext(
         load, Health(), cost, PrefixIndex(), Plans(), MixMeter(), random.Random(1)
     )
     return know, Table(TableVersion(1), rows)
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -41,14 +41,14 @@
 from berylshift.request.call_watching import CallWatching
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.engine_attempt import CompletionParts
-from berylshift.request.fingerprint import Fingerprints
+from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.front import Front, FrontParts
 from berylshift.request.plain_send import PlainSend
 from berylshift.request.router import (
-    Knowledge,
     LeastLateness,
     ReplicaChooser,
     Router,
+    RoutingContext,
 )
 from berylshift.request.router_baselines import LeastReported, RoundRobin
 from berylshift.request.service_call import (
@@ -116,7 +116,7 @@
     admin: str
 
 
-def make_router(cfg: PolicySettings, know: Knowledge) -> Router:
+def make_router(cfg: PolicySettings, know: RoutingContext) -> Router:
     """Return the router that the settings name."""
     if cfg.router == "round-robin":
         return RoundRobin(know)
@@ -152,7 +152,7 @@
         )
         self.plans = Plans()
         self.meter = MixMeter()
-        self.know = Knowledge(
+        self.know = RoutingContext(
             self.load,
             Health(),
             CostModel(cfg.policy),
@@ -166,7 +166,9 @@
         self.quarantine = Quarantine(
             cfg.targets.report_interval, TOLD_TIMES * cfg.peers.interval
         )
-        self.watching = CallWatching(self.quarantine, Fingerprints(), self.load, clock)
+        self.watching = CallWatching(
+            self.quarantine, RequestFingerprinter(), self.load, clock
+        )
         self.shutdown = Shutdown(clock)
         self.last_sends = Shutdown(clock)
         self.gate = self._make_gate()
--- a/berylshift/connection/target_client.py
+++ b/berylshift/connection/target_client.py
@@ -242,7 +242,7 @@
             return wire
         raise ConnectFailedError(f"{address}: no answer to the connection request")
 
-    async def takes_connections(
+    async def accepts_connections(
         self, instance: InstanceId, address: str, seconds: float
     ) -> bool:
         """Return whether a replica takes a new connection within ``seconds``.
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -16,7 +16,7 @@
 from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.messages.routed import Language
+from berylshift.messages.routed import WireCodec
 from berylshift.messages.scaling import ScaleOrdering, ScaleRows
 from berylshift.messages.usage import UsageReporting, UsageRows
 from berylshift.process.directory.directory_loop import DirectoryLoop
@@ -41,7 +41,7 @@
 from berylshift.process.telling.digest_maker import DigestParts
 from berylshift.process.telling.load_loop import LoadLink, LoadLoop, LoadParts
 from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.request.fingerprint import Fingerprints
+from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.key_gate import KeyGate
 from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
 from berylshift.request.prefill_client import PrefillClient
@@ -84,7 +84,7 @@
     clock: Clock
     rng: random.Random
     directory: Directory
-    language: Language
+    language: WireCodec
     client: TargetClient
     leases: LeaseRows
     engines: EngineControl
@@ -123,7 +123,7 @@
         self.watch = StoreWatch(in_force, ports.boot_clock)
         self.warm = WarmParts()
         self.quarantine = Quarantine(self.heartbeat)
-        self.fingerprints = Fingerprints()
+        self.fingerprints = RequestFingerprinter()
         self.speeds = EngineSpeeds(self._engine_facts)
         self.throttle = self._make_throttle()
         placing = PlacementContext(
--- a/berylshift/messages/fingerprint.py
+++ b/berylshift/messages/fingerprint.py
@@ -2,19 +2,19 @@
 
 from berylshift.ids import Fingerprint
 
-HALF_BYTES = 4
+HASH_BYTES = 4
 
 
-def joined(head: int, body: int) -> Fingerprint:
+def combine_hashes(head: int, body: int) -> Fingerprint:
     """Return the fingerprint of a head's and a body's hash, 32 bits each."""
-    return Fingerprint(head << 8 * HALF_BYTES | body)
+    return Fingerprint(head << 8 * HASH_BYTES | body)
 
 
-def head_in(fingerprint: Fingerprint) -> int:
+def head_hash_of(fingerprint: Fingerprint) -> int:
     """Return the head's hash."""
-    return fingerprint >> 8 * HALF_BYTES
+    return fingerprint >> 8 * HASH_BYTES
 
 
-def shown(fingerprint: Fingerprint | None) -> str | None:
+def fingerprint_hex(fingerprint: Fingerprint | None) -> str | None:
     """Return a fingerprint as log lines have it."""
     return None if fingerprint is None else f"{fingerprint:016x}"
--- a/berylshift/messages/routed.py
+++ b/berylshift/messages/routed.py
@@ -144,15 +144,15 @@
     headers: tuple[Header, ...]
 
 
-class Language(Protocol):
+class WireCodec(Protocol):
     """How callers and replicas say these things on the wire."""
 
-    def read_request(
+    def parse_request(
         self, method: bytes, target: bytes, headers: list[Header], body: Body
     ) -> RoutedRequest:
         """Return a caller's request; raise ``BadRequestError``."""
 
-    def without_key(
+    def strip_key(
         self, req: RoutedRequest, customer: CustomerName | None
     ) -> RoutedRequest:
         """Return a request that names its customer to replicas, not its key.
@@ -160,19 +160,19 @@
         ``None``: it comes from no customer, whatever it says.
         """
 
-    def onward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
+    def forward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
         """Return the headers of one send."""
 
-    def read_answer(self, status: int, headers: list[Header]) -> AnswerHead:
+    def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
         """Return the head of a replica's answer."""
 
-    def read_flow_control(
+    def parse_flow_control(
         self, status: int, headers: list[Header]
     ) -> FlowControl | None:
         """Return what an answer asks for; ``None``: another replica gave it."""
 
-    def read_handle(self, body: bytes) -> KvHandle | None:
+    def parse_kv_handle(self, body: bytes) -> KvHandle | None:
         """Return the KV cache of a prefill answer, ``None`` if it can't be read."""
 
-    def release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
+    def kv_release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
         """Return the call, a DELETE, that frees a KV cache."""
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -13,7 +13,7 @@
 from berylshift.process.targets.target_load import MILD, SEVERE
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_scheduler import PrefillJob
-from berylshift.request.refusals import LEAST_RETRY_AFTER, MOST_RETRY_AFTER
+from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS, MIN_RETRY_AFTER_SECONDS
 from berylshift.request.relay import MOST_READS
 from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 
@@ -236,7 +236,9 @@
         """Refuse the prompt; its caller comes back if it has tries and time left."""
         self._refused += 1
         now, rng = self._queue.monotonic(), self._host.rng
-        wait = max(0.0, seconds) + rng.uniform(LEAST_RETRY_AFTER, MOST_RETRY_AFTER)
+        wait = max(0.0, seconds) + rng.uniform(
+            MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
+        )
         left = self._arrival.at + self._kind.timeout - now
         if self._refused > self._kind.retries or left <= 0:
             self._close(False)
--- a/berylshift/platform/exchange.py
+++ b/berylshift/platform/exchange.py
@@ -71,14 +71,14 @@
     tokens: int = 0
 
 
-class PlatformLanguage:
+class PlatformCodec:
     """The platform's headers."""
 
     def __init__(self) -> None:
         """Start with no unknown header seen."""
         self._unknown = UnknownHeaders()
 
-    def read_request(
+    def parse_request(
         self, method: bytes, target: bytes, headers: list[Header], body: Body
     ) -> RoutedRequest:
         """Return a caller's request; raise ``BadRequestError``."""
@@ -97,7 +97,7 @@
             key=_key(headers),
         )
 
-    def without_key(
+    def strip_key(
         self, req: RoutedRequest, customer: CustomerName | None
     ) -> RoutedRequest:
         """Return a request that names its customer to replicas, not its key."""
@@ -106,7 +106,7 @@
             headers = (*headers, (names.CUSTOMER, customer.encode()))
         return msgspec.structs.replace(req, headers=headers, customer=customer)
 
-    def onward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
+    def forward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
         """Return the headers of one send."""
         left = max(LEAST_TIME_LEFT_MS, int(dispatch.seconds_left * 1000))
         headers = list(req.headers)
@@ -122,7 +122,7 @@
             headers.append((names.KV_SOURCE, dispatch.kv_source.encode()))
         return headers
 
-    def read_answer(self, status: int, headers: list[Header]) -> AnswerHead:
+    def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
         """Return the head of a replica's answer."""
         found = dict(headers)
         echoed = found.get(names.ATTEMPT_ID)
@@ -139,7 +139,7 @@
             length=_length(found.get(b"content-length")),
         )
 
-    def read_flow_control(
+    def parse_flow_control(
         self, status: int, headers: list[Header]
     ) -> FlowControl | None:
         """Return what an answer asks for; ``None``: another replica gave it."""
@@ -152,7 +152,7 @@
             retry_after=_retry_after(status, found),
         )
 
-    def read_handle(self, body: bytes) -> KvHandle | None:
+    def parse_kv_handle(self, body: bytes) -> KvHandle | None:
         """Return the KV cache of a prefill answer, ``None`` if it can't be read."""
         try:
             found = msgspec.json.decode(body, type=_Handle)
@@ -160,7 +160,7 @@
             return None
         return KvHandle(found.kv_handle, found.tokens)
 
-    def release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
+    def kv_release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
         """Return the call, a DELETE, that frees a KV cache."""
         path = f"{names.KV_HANDLE_PATH}{handle}".encode()
         headers = ((b"host", b"engine"), (names.TARGET_INSTANCE, replica.encode()))
--- a/berylshift/process/membership/readiness.py
+++ b/berylshift/process/membership/readiness.py
@@ -51,7 +51,7 @@
         if self.phase is Phase.CLOSED or self._notice_is_over():
             return Reason.DRAINING
         if not self.may_route():
-            return Reason.STALE_VIEW
+            return Reason.STALE_TABLE
         return None
 
     def _mark(self) -> RowState:
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -14,7 +14,7 @@
 from collections.abc import Iterable
 
 from berylshift.ids import Fingerprint, InstanceId
-from berylshift.messages.fingerprint import head_in
+from berylshift.messages.fingerprint import head_hash_of
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
 from berylshift.process.quarantine.crash_ledger import CrashLedger
@@ -156,7 +156,7 @@
 
     def may_hold(self, head: int) -> bool:
         """Return whether a request is held back that begins with such a head."""
-        return any(head_in(request) == head for request in self._held)
+        return any(head_hash_of(request) == head for request in self._held)
 
     # What hosts tell each other
 
--- a/berylshift/request/call_watching.py
+++ b/berylshift/request/call_watching.py
@@ -7,7 +7,7 @@
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.fingerprint import Fingerprints
+from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.messages import ModelCall, PlainCall
 
 
@@ -16,7 +16,7 @@
     """Makes the watches; wired once for the process."""
 
     quarantine: Quarantine
-    fingerprints: Fingerprints
+    fingerprints: RequestFingerprinter
     load: LoadView
     clock: Clock
 
@@ -25,7 +25,9 @@
         caller = call.caller
         fields = (caller.fleet, caller.customer, call.model, str(call.max_tokens))
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.of_call(fields, call.prompt.encode())
+        watch.fingerprint = self.fingerprints.fingerprint_call(
+            fields, call.prompt.encode()
+        )
         return watch
 
     def of_plain(self, call: PlainCall) -> CrashWatch:
@@ -39,7 +41,7 @@
             call.path,
         )
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.of_call(fields, call.body)
+        watch.fingerprint = self.fingerprints.fingerprint_call(fields, call.body)
         return watch
 
     def instance(self, target: TargetName) -> InstanceId:
--- a/berylshift/request/candidate_pool.py
+++ b/berylshift/request/candidate_pool.py
@@ -16,10 +16,10 @@
 from berylshift.version.rows import RowKind
 from berylshift.version.table import Candidate, Table
 
-RING_POINTS = 40
+VNODES_PER_TARGET = 40
 
 
-class Picker:
+class CandidateSampler:
     """Samples candidates by weight, or by a prompt's prefix."""
 
     def __init__(self, candidates: list[Candidate]):
@@ -48,24 +48,24 @@
                 break
         return list(found.values())
 
-    def named(self, name: TargetName) -> Candidate | None:
+    def by_name(self, name: TargetName) -> Candidate | None:
         """Return the candidate of that name."""
         return self._by_name.get(name)
 
-    def by_prefix(self, prefix: int) -> Candidate | None:
+    def prefix_owner(self, prefix: int) -> Candidate | None:
         """Return the candidate that a prefix belongs to."""
         if not self.candidates:
             return None
         if self._ring is None:
             nodes = {
-                item.row.name: {"weight": 1, "vnodes": RING_POINTS}
+                item.row.name: {"weight": 1, "vnodes": VNODES_PER_TARGET}
                 for item in self.candidates
             }
             self._ring = HashRing(nodes=nodes)
         return self._by_name[self._ring.get_node(str(prefix))]
 
 
-class Pool:
+class CandidatePool:
     """The candidates of one fleet and one model or service, by role."""
 
     def __init__(self, candidates: list[Candidate], load: LoadView):
@@ -76,26 +76,28 @@
             role = Role.MIXED if plain else load.role(item.row.name)
             by_role[role].append(item)
         self.size = len(candidates)
-        self.pickers = {role: Picker(items) for role, items in by_role.items()}
+        self.samplers = {
+            role: CandidateSampler(items) for role, items in by_role.items()
+        }
 
 
-class Pools:
+class CandidatePoolCache:
     """Pools of the table version in force, made when first asked for."""
 
     def __init__(self, load: LoadView):
         """Sort by the roles in ``load``."""
         self._load = load
-        self._made: dict[tuple[FleetName, WorkName], Pool] = {}
-        self._made_for: tuple[int, int] = (-1, -1)
+        self._pools: dict[tuple[FleetName, WorkName], CandidatePool] = {}
+        self._pools_versions: tuple[int, int] = (-1, -1)
 
-    def get(self, table: Table, fleet: FleetName, work: WorkName) -> Pool:
+    def get(self, table: Table, fleet: FleetName, work: WorkName) -> CandidatePool:
         """Return the pool for a fleet's work."""
         current = (table.version, self._load.roles_version)
-        if current != self._made_for:
-            self._made.clear()
-            self._made_for = current
-        pool = self._made.get((fleet, work))
+        if current != self._pools_versions:
+            self._pools.clear()
+            self._pools_versions = current
+        pool = self._pools.get((fleet, work))
         if pool is None:
-            pool = Pool(table.candidates(fleet, work), self._load)
-            self._made[fleet, work] = pool
+            pool = CandidatePool(table.candidates(fleet, work), self._load)
+            self._pools[fleet, work] = pool
         return pool
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -28,7 +28,7 @@
 from berylshift.request.retry_rule import SendEnd, SendHistory, Sent
 from berylshift.request.router import Plan, Refusal, WorkItem
 from berylshift.request.send_loop import LoopEnd, send_until_done
-from berylshift.request.target_check import takes_connections
+from berylshift.request.target_check import accepts_connections
 from berylshift.targets import (
     EngineCall,
     KvSource,
@@ -117,7 +117,7 @@
     def _choose(self) -> Result[Plan, Refusal]:
         # A retry is new work for its target, which may have begun to leave.
         if not self._parts.may_route():
-            return Failure(Refusal(Reason.STALE_VIEW, 1.0))
+            return Failure(Refusal(Reason.STALE_TABLE, 1.0))
         return self._parts.router.choose(self._item(), self._parts.table(), self._now())
 
     def _item(self) -> WorkItem:
@@ -133,7 +133,7 @@
             prompt_tokens=self._prompt_tokens + self._answer.tokens,
             output_tokens=max(1, expected - self._answer.tokens),
             prefixes=self._prefixes,
-            remaining=call.deadline - self._now(),
+            remaining_seconds=call.deadline - self._now(),
             exclude=targets_excluded(self._history),
             prefer=target_preferred(self._history),
             must_place=self._history.may_have_run,
@@ -184,7 +184,7 @@
         client = self._parts.client
         await self._crash_watch.broke_off(
             self._parts.watching.instance(target),
-            lambda: takes_connections(client, row.address),
+            lambda: accepts_connections(client, row.address),
         )
 
     async def _attempt(self, plan: Plan) -> None:
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -158,7 +158,7 @@
                 self.answer = row.answer
                 self._end(Outcome.COMPLETE, Reason.OK)
             case RowState.UNKNOWN:
-                self._end(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
+                self._end(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN)
             case RowState.ABANDONED:
                 self.step = Step.TAKE
             case RowState.STARTED if now >= self.deadline:
@@ -182,7 +182,7 @@
             self.answer = answer
             self._record(RowState.DONE, Outcome.COMPLETE, Reason.OK)
         elif self.history.may_have_run:
-            self._record(RowState.UNKNOWN, Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
+            self._record(RowState.UNKNOWN, Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN)
         elif may_send_again(ONCE, self.history) and now < self.deadline:
             self.step = Step.SEND
         else:
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -5,7 +5,7 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import Fingerprint, InstanceId, RequestId
-from berylshift.messages.fingerprint import shown
+from berylshift.messages.fingerprint import fingerprint_hex
 from berylshift.process.quarantine.quarantine import Quarantine
 
 # How long a target that broke off gets to take a new connection: many times the way to
@@ -53,7 +53,7 @@
             raise QuarantinedError(crashes, wait)
 
     async def broke_off(
-        self, instance: InstanceId, takes_connections: Callable[[], Awaitable[bool]]
+        self, instance: InstanceId, accepts_connections: Callable[[], Awaitable[bool]]
     ) -> None:
         """Note that a target broke off while it had the request.
 
@@ -65,7 +65,7 @@
         if request is None:
             return
         self._quarantine.broke_off(request, instance, self._clock.monotonic())
-        lives = await takes_connections()
+        lives = await accepts_connections()
         now = self._clock.monotonic()
         if lives:
             self._quarantine.lives(instance, now)
@@ -73,7 +73,7 @@
             "replica broke off",
             extra={
                 "request": self._request,
-                "same": shown(request),
+                "same": fingerprint_hex(request),
                 "instance": instance,
                 "lives": lives,
                 "crashes": self._quarantine.crashes(request),
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -17,11 +17,11 @@
 class DecisionLog:
     """Writes and keeps decisions, by request."""
 
-    def __init__(self, clock: Clock, metrics: Metrics, kept: int):
+    def __init__(self, clock: Clock, metrics: Metrics, max_requests: int):
         """Keep the decisions of the last ``kept`` requests."""
         self._clock = clock
         self._metrics = metrics
-        self._kept = kept
+        self._max_requests = max_requests
         self._by_request: OrderedDict[RequestId, list[Decision]] = OrderedDict()
 
     def placed(self, request: RequestId, kind: str, plan: Plan) -> None:
@@ -29,12 +29,12 @@
         reason = plan.reason
         if plan.prefill_on is not None:
             reason = f"{reason}; prefill on {plan.prefill_on.name}"
-        self._add(request, kind, plan.target.name, reason, plan.weighed)
+        self._add(request, kind, plan.target.name, reason, plan.estimates)
 
     def refused(self, request: RequestId, kind: str, refusal: Refusal) -> None:
         """Note that a request finds no place."""
-        nothing = TargetName("")
-        self._add(request, kind, nothing, refusal.reason, refusal.weighed)
+        no_target = TargetName("")
+        self._add(request, kind, no_target, refusal.reason, refusal.estimates)
 
     def failed(self, request: RequestId, target: TargetName, fault: str) -> None:
         """Note a failed attempt."""
@@ -51,12 +51,12 @@
         return self._by_request.get(request, [])
 
     def _add(
-        self, request: RequestId, kind: str, chosen: TargetName, reason: str, weighed
+        self, request: RequestId, kind: str, chosen: TargetName, reason: str, estimates
     ) -> None:
         at = self._clock.now().timestamp()
-        decision = Decision(request, at, kind, chosen, str(reason), weighed)
+        decision = Decision(request, at, kind, chosen, str(reason), estimates)
         self._by_request.setdefault(request, []).append(decision)
-        while len(self._by_request) > self._kept:
+        while len(self._by_request) > self._max_requests:
             self._by_request.popitem(last=False)
         if logger.isEnabledFor(logging.INFO):
             logger.info("decision", extra=msgspec.to_builtins(decision))
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -19,7 +19,7 @@
     ModelCall,
 )
 from berylshift.request.retry_rule import SendEnd, end_of, retry_after_of
-from berylshift.request.router import Knowledge, Router
+from berylshift.request.router import Router, RoutingContext
 from berylshift.settings import TargetSettings
 from berylshift.targets import (
     EngineCall,
@@ -42,7 +42,7 @@
 
     clock: Clock
     client: EngineClient
-    know: Knowledge
+    know: RoutingContext
     router: Router
     retries: RetryBudget
     lengths: OutputLengths
--- a/berylshift/request/fingerprint.py
+++ b/berylshift/request/fingerprint.py
@@ -8,17 +8,17 @@
 from hashlib import blake2b
 
 from berylshift.ids import Fingerprint
-from berylshift.messages.fingerprint import HALF_BYTES, joined
+from berylshift.messages.fingerprint import HASH_BYTES, combine_hashes
 from berylshift.messages.routed import Prompt, RoutedRequest
 
 # Headers that say what is asked for and by whom.
-TELLING_HEADERS = (b"host", b"authorization")
+IDENTITY_HEADERS = (b"host", b"authorization")
 SEPARATOR = b"\0"
 # Of a longer body the start has to do: to wait for its end would hold up its way.
-BODY_BYTES = 65536
+MAX_HASHED_BODY_BYTES = 65536
 
 
-class Fingerprints:
+class RequestFingerprinter:
     """Hashes requests under a key that all hosts share.
 
     Without the key nobody can make up a request that looks like another caller's, to
@@ -33,7 +33,7 @@
         """Hash under ``key`` from now on."""
         self._key = key.encode()[: blake2b.MAX_KEY_SIZE]
 
-    def head_of(self, req: RoutedRequest) -> int:
+    def head_hash(self, req: RoutedRequest) -> int:
         """Return the 32-bit hash of all but the body."""
         return self._head(
             (req.method, req.target, *_telling(req), _prompt_text(req.prompt))
@@ -41,15 +41,15 @@
 
     def of(self, req: RoutedRequest) -> Fingerprint | None:
         """Return the fingerprint; ``None`` while too little of the body has come."""
-        start = req.body.start(BODY_BYTES)
+        start = req.body.start(MAX_HASHED_BODY_BYTES)
         if start is None:
             return None
-        return joined(self.head_of(req), self._body(start))
+        return combine_hashes(self.head_hash(req), self._body(start))
 
-    def of_call(self, fields: Iterable[str], body: bytes) -> Fingerprint:
+    def fingerprint_call(self, fields: Iterable[str], body: bytes) -> Fingerprint:
         """Return the fingerprint of a call that is there as a whole."""
         head = self._head(field.encode() for field in fields)
-        return joined(head, self._body(body[:BODY_BYTES]))
+        return combine_hashes(head, self._body(body[:MAX_HASHED_BODY_BYTES]))
 
     def _head(self, fields: Iterable[bytes]) -> int:
         found = self._hash()
@@ -64,11 +64,11 @@
         return int.from_bytes(found.digest())
 
     def _hash(self) -> blake2b:
-        return blake2b(digest_size=HALF_BYTES, key=self._key)
+        return blake2b(digest_size=HASH_BYTES, key=self._key)
 
 
 def _telling(req: RoutedRequest) -> list[bytes]:
-    found = [value for name, value in req.headers if name in TELLING_HEADERS]
+    found = [value for name, value in req.headers if name in IDENTITY_HEADERS]
     if req.customer is not None:
         found.append(req.customer.encode())
     return found
--- a/berylshift/request/isolation.py
+++ b/berylshift/request/isolation.py
@@ -12,21 +12,23 @@
 from berylshift.messages.replicas import Replica
 
 # Of the replicas left, one in so many takes suspects.
-ASIDE_PART = 3
+REPLICAS_PER_ISOLATION_REPLICA = 3
 
 
-def left_of(replicas: Iterable[Replica], avoid: Iterable[InstanceId]) -> list[Replica]:
+def remaining_replicas(
+    replicas: Iterable[Replica], avoid: Iterable[InstanceId]
+) -> list[Replica]:
     """Return the replicas that are not avoided."""
     avoided = set(avoid)
     return [rep for rep in replicas if rep.instance not in avoided]
 
 
-def set_aside(left: list[Replica]) -> list[Replica]:
+def isolation_replicas(left: list[Replica]) -> list[Replica]:
     """Return the replicas among ``left`` that suspects may go to."""
     ranked = sorted(left, key=lambda rep: target_hash(rep.instance))
-    return ranked[: max(1, len(left) // ASIDE_PART)]
+    return ranked[: max(1, len(left) // REPLICAS_PER_ISOLATION_REPLICA)]
 
 
-def is_last(left: list[Replica], listed: list[Replica]) -> bool:
+def is_last_remaining(left: list[Replica], listed: list[Replica]) -> bool:
     """Return whether one replica alone is left of several: the others ended lately."""
     return len(left) == 1 and len(listed) > 1
--- a/berylshift/request/key_gate.py
+++ b/berylshift/request/key_gate.py
@@ -23,7 +23,7 @@
     NO_KEY = "no key"
     UNKNOWN_KEY = "unknown key"
     # The routes are too old to tell whether the key holds.
-    UNSURE = "routes too old"
+    STALE_ROUTES = "routes too old"
 
 
 class Admission(msgspec.Struct, frozen=True):
@@ -35,7 +35,7 @@
 
     verdict: KeyVerdict
     customer: Customer | None = None
-    keyed: bool = True
+    keys_configured: bool = True
 
 
 class KeyGate:
@@ -58,7 +58,7 @@
         table = self._routes.table
         customers = None if table is None else table.customers
         if customers is None:
-            return Admission(KeyVerdict.ADMITTED, keyed=False)
+            return Admission(KeyVerdict.ADMITTED, keys_configured=False)
         holder = None if req.key is None else customers.holder(req.key)
         if route.public:
             return Admission(KeyVerdict.ADMITTED, holder)
@@ -66,12 +66,14 @@
             return Admission(KeyVerdict.NO_KEY)
         if holder is None:
             is_old = self._is_older(self._in_force, now)
-            return Admission(KeyVerdict.UNSURE if is_old else KeyVerdict.UNKNOWN_KEY)
+            return Admission(
+                KeyVerdict.STALE_ROUTES if is_old else KeyVerdict.UNKNOWN_KEY
+            )
         if self._expires is not None and self._is_older(self._expires, now):
-            return Admission(KeyVerdict.UNSURE)
+            return Admission(KeyVerdict.STALE_ROUTES)
         return Admission(KeyVerdict.ADMITTED, holder)
 
-    def still_holds(self, req: RoutedRequest, route: Route) -> bool:
+    def is_still_authorized(self, req: RoutedRequest, route: Route) -> bool:
         """Return whether a request that was admitted would be admitted now.
 
         Between its arrival and a send it may have waited while its key was taken away,
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -35,7 +35,7 @@
     BAD_REQUEST = "bad request"
     UNKNOWN_CALLER = "unknown caller"
     NO_SUCH_WORK = "the table has no such model or service"
-    STALE_VIEW = "this host can't confirm its table version"
+    STALE_TABLE = "this host can't confirm its table version"
     DRAINING = "this host is leaving"
     NO_TARGET = "no target takes this work now"
     AT_LIMIT = "the targets' limits are reached"
@@ -47,7 +47,7 @@
     STORE_DOWN = "the table service does not answer"
     KEY_REUSED = "the key was used with another body"
     KEY_PENDING = "another call with this key is under way"
-    FATE_UNKNOWN = "the call may have run"
+    OUTCOME_UNKNOWN = "the call may have run"
 
 
 class Caller(msgspec.Struct, frozen=True):
@@ -110,7 +110,7 @@
         """Pass some text on; waits while the caller reads slowly."""
 
 
-class Weighed(msgspec.Struct, frozen=True, omit_defaults=True):
+class CandidateEstimate(msgspec.Struct, frozen=True, omit_defaults=True):
     """A candidate of a decision with its figures; times in seconds."""
 
     target: TargetName
@@ -130,4 +130,4 @@
     kind: str
     chosen: TargetName
     reason: str
-    weighed: list[Weighed] = []
+    weighed: list[CandidateEstimate] = []
--- a/berylshift/request/plain_send.py
+++ b/berylshift/request/plain_send.py
@@ -14,8 +14,8 @@
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import Ending, Outcome, PlainCall, Reason
 from berylshift.request.retry_rule import SendEnd, end_of, retry_after_of
-from berylshift.request.router import Knowledge, Plan, ReplicaChooser, WorkItem
-from berylshift.request.target_check import takes_connections
+from berylshift.request.router import Plan, ReplicaChooser, RoutingContext, WorkItem
+from berylshift.request.target_check import accepts_connections
 from berylshift.targets import (
     ServiceAnswer,
     ServiceCall,
@@ -39,7 +39,7 @@
 
     clock: Clock
     client: ServiceClient
-    know: Knowledge
+    know: RoutingContext
     chooser: ReplicaChooser
     decisions: DecisionLog
     table: Callable[[], Table]
@@ -58,7 +58,7 @@
     def place(self, call: PlainCall, exclude: frozenset[TargetName]) -> Plan | Ending:
         """Return the replica for ``call``, or how the call ends without one."""
         if not self.may_route():
-            return Ending(Outcome.NOT_RUN, Reason.STALE_VIEW, "", 1.0)
+            return Ending(Outcome.NOT_RUN, Reason.STALE_TABLE, "", 1.0)
         now = self.clock.monotonic()
         item = WorkItem(
             request=call.request,
@@ -68,7 +68,7 @@
             prompt_tokens=0,
             output_tokens=0,
             prefixes=(),
-            remaining=call.deadline - now,
+            remaining_seconds=call.deadline - now,
             exclude=exclude,
         )
         match self.chooser.choose(item, self.table(), now):
@@ -89,7 +89,7 @@
         elif found.end is SendEnd.BROKEN and self._takes_work(plan.target.name):
             await watch.broke_off(
                 self.watching.instance(plan.target.name),
-                lambda: takes_connections(self.client, plan.target.address),
+                lambda: accepts_connections(self.client, plan.target.address),
             )
         return found
 
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -20,7 +20,7 @@
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
-from berylshift.messages.routed import Language
+from berylshift.messages.routed import WireCodec
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
 from berylshift.request.retry_rule import SendEnd
@@ -29,7 +29,7 @@
 
 STATUS_OK = 200
 # The largest answer of an engine's own interface, in bytes.
-MOST_CONTROL_BYTES = 65536
+MAX_CONTROL_BYTES = 65536
 # Freeing a KV cache that is not needed is worth this long.
 RELEASE_SECONDS = 0.3
 
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        language: Language,
+        language: WireCodec,
         client: TargetClient,
         loads: TargetLoads,
         clock: Clock,
@@ -100,7 +100,7 @@
     async def _take(
         self, request: RequestId, engine: Replica, answer: TargetAnswer
     ) -> PrefillResult:
-        head = self._language.read_answer(answer.status, answer.headers)
+        head = self._language.parse_answer_head(answer.status, answer.headers)
         if head.request is not None and head.request != request:
             # A late answer to an earlier request on a kept connection.
             answer.usable = False
@@ -110,10 +110,10 @@
         if head.load is not None:
             now = self._clock.monotonic()
             self._loads.heard(engine.instance, head.load, now)
-        body = await answer.read(MOST_CONTROL_BYTES)
+        body = await answer.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
-        handle = self._language.read_handle(body)
+        handle = self._language.parse_kv_handle(body)
         if handle is None:
             return PrefillResult(SendEnd.SPOILED)
         return PrefillResult(SendEnd.DONE, KvSource(engine, handle.handle))
@@ -121,7 +121,7 @@
     def release(self, source: KvSource) -> None:
         """Free a KV cache that was not taken; it would hold memory until it expires."""
         engine = source.engine
-        call = self._language.release_call(source.handle, engine.name)
+        call = self._language.kv_release_call(source.handle, engine.name)
         out = TargetRequest(
             engine.instance, engine.address, b"DELETE", call.path, list(call.headers)
         )
@@ -131,7 +131,7 @@
         with trio.move_on_after(RELEASE_SECONDS):
             try:
                 async with self._client.exchange(out) as answer:
-                    await answer.read(MOST_CONTROL_BYTES)
+                    await answer.read(MAX_CONTROL_BYTES)
             except ConnectionLayerError as exc:
                 logger.info(
                     "cache not freed",
--- a/berylshift/request/refusals.py
+++ b/berylshift/request/refusals.py
@@ -14,12 +14,12 @@
 STATUS_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
 # Which scheme a key is shown by (RFC 9110, section 11.6.1).
-CHALLENGE: Header = (b"www-authenticate", b"Bearer")
+AUTH_CHALLENGE: Header = (b"www-authenticate", b"Bearer")
 PROBLEM_TYPE: Header = (b"content-type", b"application/problem+json")
 # When a caller whose request was not run may come back, in seconds: replicas free
 # their slots within tens of milliseconds, and the spread keeps returns apart.
-LEAST_RETRY_AFTER = 0.1
-MOST_RETRY_AFTER = 0.4
+MIN_RETRY_AFTER_SECONDS = 0.1
+MAX_RETRY_AFTER_SECONDS = 0.4
 
 
 class Refusal(msgspec.Struct, frozen=True):
@@ -27,24 +27,26 @@
 
     status: int
     title: str
-    again: float | None = None
+    retry_after: float | None = None
 
 
-def come_back(title: str, rng: random.Random, wait: float = 0.0) -> Refusal:
+def retry_later(title: str, rng: random.Random, wait: float = 0.0) -> Refusal:
     """Return the refusal of a request that has not run.
 
     Its caller may come back after ``wait`` seconds and a little more.
     """
-    again = max(0.0, wait) + rng.uniform(LEAST_RETRY_AFTER, MOST_RETRY_AFTER)
-    return Refusal(STATUS_UNAVAILABLE, title, again)
+    retry_after = max(0.0, wait) + rng.uniform(
+        MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
+    )
+    return Refusal(STATUS_UNAVAILABLE, title, retry_after)
 
 
 async def refuse(responder: Responder, refusal: Refusal) -> None:
     """Send a refusal as a problem document (RFC 9457)."""
     body = msgspec.json.encode({"title": refusal.title, "status": refusal.status})
     headers = [PROBLEM_TYPE]
-    if refusal.again is not None:
-        headers.append((b"retry-after", b"%.2f" % refusal.again))
+    if refusal.retry_after is not None:
+        headers.append((b"retry-after", b"%.2f" % refusal.retry_after))
     if refusal.status == STATUS_UNAUTHORIZED:
-        headers.append(CHALLENGE)
+        headers.append(AUTH_CHALLENGE)
     await responder.full_raw(refusal.status, headers, body)
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -27,7 +27,7 @@
     Verdict,
 )
 from berylshift.request.replica_choice import ReplicaChoice
-from berylshift.request.request_timeout import TimeBound, allowance_of
+from berylshift.request.request_timeout import TimeoutSource, request_timeout
 from berylshift.request.retry_rule import (
     NEVER_SENT,
     SendEnd,
@@ -93,7 +93,7 @@
         self._reads = 0
         self._standing = SloStatus.ON_TIME
         self._started = parts.clock.monotonic()
-        self._allowance = allowance_of(route, req)
+        self._allowance = request_timeout(route, req)
         self._until = self._started + self._allowance.seconds
         self._first_until = self._started + min(self._allowance.seconds, route.patience)
 
@@ -130,10 +130,10 @@
         """Return the end of a request whose caller reads its answer too slowly."""
         return Result(Verdict.CUT, why, self._sends, bound=self._bound())
 
-    def _bound(self) -> TimeBound:
+    def _bound(self) -> TimeoutSource:
         """Return whose time ended the request."""
         if self._parts.shutdown.comes_before(self._until - ANSWER_SECONDS):
-            return TimeBound.STOP
+            return TimeoutSource.STOP
         return self._allowance.bound
 
     def _hopeless(self, exc: HopelessError) -> Result:
@@ -462,7 +462,7 @@
             prefill_only=prefill_only,
             kv_source=source.place if source is not None else "",
         )
-        headers = self._parts.language.onward_headers(req, dispatch)
+        headers = self._parts.language.forward_headers(req, dispatch)
         return TargetRequest(
             target.instance,
             target.address,
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -6,7 +6,7 @@
 from berylshift.clock import Clock
 from berylshift.connection.target_client import TargetClient
 from berylshift.ids import CustomerName, ServiceName
-from berylshift.messages.routed import Language
+from berylshift.messages.routed import WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.quarantine import Quarantine
@@ -15,7 +15,7 @@
 from berylshift.process.targets.recent_times import RecentTimes
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
-from berylshift.request.fingerprint import Fingerprints
+from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.placement import PlacementPolicy
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
@@ -26,7 +26,7 @@
     """The parts; ``budget`` gives a service's share of further sends."""
 
     clock: Clock
-    language: Language
+    language: WireCodec
     client: TargetClient
     replicas: ReplicaSet
     loads: TargetLoads
@@ -38,7 +38,7 @@
     readings: PrefillScheduler
     times: RecentTimes
     quarantine: Quarantine
-    fingerprints: Fingerprints
+    fingerprints: RequestFingerprinter
     throttle: Throttle
     # Told the customer of a request that began to run, and how many seconds ago.
     run_began: Callable[[CustomerName | None, float], None] = lambda customer, ago: None
--- a/berylshift/request/relay_result.py
+++ b/berylshift/request/relay_result.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-from berylshift.request.request_timeout import TimeBound
+from berylshift.request.request_timeout import TimeoutSource
 
 
 class Verdict(StrEnum):
@@ -33,7 +33,7 @@
     detail: str = ""
     sends: list[str] = field(default_factory=list)
     again: float = 0.0
-    bound: TimeBound | None = None
+    bound: TimeoutSource | None = None
 
 
 class KeyGoneError(Exception):
--- a/berylshift/request/request_timeout.py
+++ b/berylshift/request/request_timeout.py
@@ -8,7 +8,7 @@
 from berylshift.version.routes import Route
 
 
-class TimeBound(StrEnum):
+class TimeoutSource(StrEnum):
     """Whose time ends a request."""
 
     CALLER = "caller"
@@ -16,15 +16,15 @@
     STOP = "stop"
 
 
-class Allowance(msgspec.Struct, frozen=True):
+class RequestTimeout(msgspec.Struct, frozen=True):
     """The seconds that a request may take from its arrival."""
 
     seconds: float
-    bound: TimeBound
+    bound: TimeoutSource
 
 
-def allowance_of(route: Route, req: RoutedRequest) -> Allowance:
+def request_timeout(route: Route, req: RoutedRequest) -> RequestTimeout:
     """Return the least of the route's time and the caller's."""
     if req.seconds_left is not None and req.seconds_left < route.timeout:
-        return Allowance(req.seconds_left, TimeBound.CALLER)
-    return Allowance(route.timeout, TimeBound.ROUTE)
+        return RequestTimeout(req.seconds_left, TimeoutSource.CALLER)
+    return RequestTimeout(route.timeout, TimeoutSource.ROUTE)
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -9,10 +9,10 @@
 from berylshift.request.send_loop import Budget, LoopEnd, send_until_done
 from berylshift.targets import ServiceAnswer
 
-COME_BACK_SECONDS = 1.0
+RETRY_AFTER_SECONDS = 1.0
 
 
-class Lookup:
+class RetryableCall:
     """One call, sent again elsewhere while that is allowed."""
 
     def __init__(self, sender: PlainSend, call: PlainCall, budget: Budget):
@@ -37,10 +37,10 @@
             return PlainEnding(done, found.status, found.headers, found.body)
         return PlainEnding(self._failed(end))
 
-    def given_up(self) -> PlainEnding:
+    def shutdown_ending(self) -> PlainEnding:
         """Return how the call ended where the process ends sooner than it."""
         outcome = self._history.outcome
-        return PlainEnding(Ending(outcome, Reason.DRAINING, "", COME_BACK_SECONDS))
+        return PlainEnding(Ending(outcome, Reason.DRAINING, "", RETRY_AFTER_SECONDS))
 
     async def send(self) -> Sent | None:
         """Send once, to a replica that has not failed yet."""
@@ -74,4 +74,4 @@
             return Ending(outcome, found.reason, found.detail, found.retry_after)
         spent = end is LoopEnd.NO_BUDGET
         reason = Reason.RETRIES_SPENT if spent else Reason.TARGET_FAILED
-        return Ending(outcome, reason, "", COME_BACK_SECONDS)
+        return Ending(outcome, reason, "", RETRY_AFTER_SECONDS)
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_front.py
@@ -11,7 +11,7 @@
 from berylshift.connection.http_request import HttpRequest
 from berylshift.connection.responder import Responder, SlowCallerError
 from berylshift.ids import CustomerName, RouteName, ServiceName
-from berylshift.messages.fingerprint import shown
+from berylshift.messages.fingerprint import fingerprint_hex
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.request.errors import BadRequestError
@@ -23,13 +23,13 @@
     STATUS_NOT_FOUND,
     STATUS_UNAUTHORIZED,
     Refusal,
-    come_back,
     refuse,
+    retry_later,
 )
 from berylshift.request.relay import Relay
 from berylshift.request.relay_parts import RelayParts
 from berylshift.request.relay_result import Result, Verdict
-from berylshift.request.request_timeout import TimeBound, allowance_of
+from berylshift.request.request_timeout import TimeoutSource, request_timeout
 from berylshift.request.single_send import FailedAnswer
 from berylshift.utils import host_of
 from berylshift.version.routes import Route
@@ -53,7 +53,7 @@
     route: RouteName
     verdict: Verdict
     seconds: float
-    bound: TimeBound | None = None
+    bound: TimeoutSource | None = None
     customer: CustomerName | None = None
 
 
@@ -95,7 +95,7 @@
     async def _route(self, http: HttpRequest, responder: Responder) -> None:
         path = http.target.partition(b"?")[0].decode("latin-1")
         try:
-            req = self._parts.language.read_request(
+            req = self._parts.language.parse_request(
                 http.method.encode(),
                 http.target,
                 list(http.raw_headers),
@@ -139,12 +139,12 @@
         self, req: RoutedRequest, route: Route, admission: Admission
     ) -> tuple[RoutedRequest, Route]:
         """Return request and route as they are for the customer."""
-        if not admission.keyed:
+        if not admission.keys_configured:
             return req, route
         customer = admission.customer
         if customer is None:
-            return self._parts.language.without_key(req, None), route
-        named = self._parts.language.without_key(req, customer.name)
+            return self._parts.language.strip_key(req, None), route
+        named = self._parts.language.strip_key(req, customer.name)
         return named, route.ranked(customer.rank)
 
     async def _deny(
@@ -155,7 +155,7 @@
         responder: Responder,
     ) -> None:
         """Answer a request that is served for no customer; its body is not read."""
-        if admission.verdict is KeyVerdict.UNSURE:
+        if admission.verdict is KeyVerdict.STALE_ROUTES:
             refusal = self._come_back("keys can't be judged here", NO_REPLICA_SECONDS)
         else:
             refusal = Refusal(STATUS_UNAUTHORIZED, admission.verdict)
@@ -169,7 +169,7 @@
                 "version": None if table is None else table.version,
                 "routes_age": _rounded(self._routes.age(now)),
                 "outcome": refusal.status,
-                "again": refusal.again,
+                "again": refusal.retry_after,
             },
         )
         await refuse(responder, refusal)
@@ -177,7 +177,7 @@
     def _ends_in_time(self, req: RoutedRequest, route: Route) -> bool:
         """Return whether a request ends before a planned stop of this host does."""
         stop = self._parts.shutdown
-        if stop.has_time_for(allowance_of(route, req).seconds):
+        if stop.has_time_for(request_timeout(route, req).seconds):
             return True
         return stop.is_news and stop.has_time_for(self._parts.times.likely(route.name))
 
@@ -190,10 +190,10 @@
             "turned away",
             extra={
                 "request": req.id,
-                "same": shown(self._parts.fingerprints.of(req)),
+                "same": fingerprint_hex(self._parts.fingerprints.of(req)),
                 "reason": reason,
                 "outcome": refusal.status,
-                "again": refusal.again,
+                "again": refusal.retry_after,
                 "stopping_for": _rounded(self._parts.shutdown.running_for),
             },
         )
@@ -210,7 +210,7 @@
             route,
             service,
             responder,
-            lambda: self._gate.still_holds(req, route),
+            lambda: self._gate.is_still_authorized(req, route),
         )
         started = clock.monotonic()
         measured = self._parts.times.begin(route.name)
@@ -294,7 +294,7 @@
         return Refusal(STATUS_UNAUTHORIZED, KeyVerdict.UNKNOWN_KEY)
 
     def _come_back(self, title: str, wait: float = 0.0) -> Refusal:
-        return come_back(title, self._rng, wait)
+        return retry_later(title, self._rng, wait)
 
     def _log(
         self,
@@ -311,7 +311,7 @@
             "request ended",
             extra={
                 "request": relay.request,
-                "same": shown(relay.crash_watch.fingerprint),
+                "same": fingerprint_hex(relay.crash_watch.fingerprint),
                 "route": route.name,
                 "customer": req.customer,
                 "service": relay.service,
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_watch.py
@@ -11,8 +11,12 @@
     CrashWatch,
     QuarantinedError,
 )
-from berylshift.request.fingerprint import BODY_BYTES
-from berylshift.request.isolation import is_last, left_of, set_aside
+from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES
+from berylshift.request.isolation import (
+    is_last_remaining,
+    isolation_replicas,
+    remaining_replicas,
+)
 from berylshift.request.relay_parts import RelayParts
 
 # When a suspect may come back that only the last replica could serve, in seconds: those
@@ -41,8 +45,8 @@
         quarantine = self._parts.quarantine
         if self.fingerprint is not None or not len(quarantine):
             return
-        if quarantine.may_hold(self._parts.fingerprints.head_of(self._req)):
-            await self._req.body.wait_for_start(BODY_BYTES)
+        if quarantine.may_hold(self._parts.fingerprints.head_hash(self._req)):
+            await self._req.body.wait_for_start(MAX_HASHED_BODY_BYTES)
 
     def check(self) -> None:
         """Raise ``QuarantinedError`` if the request may not go out now."""
@@ -70,10 +74,10 @@
             crashes = quarantine.crashes(self.fingerprint)
         if not crashes:
             return found
-        left = left_of(pool.answerers, found)
-        if is_last(left, pool.answerers) and not begun:
+        left = remaining_replicas(pool.answerers, found)
+        if is_last_remaining(left, pool.answerers) and not begun:
             raise QuarantinedError(crashes, LAST_SECONDS)
-        aside = set_aside(left)
+        aside = isolation_replicas(left)
         return found + [rep.instance for rep in left if rep not in aside]
 
     async def broke_off(self, replica: Replica) -> None:
@@ -86,7 +90,7 @@
         client, instance = self._parts.client, replica.instance
         await self._watch.broke_off(
             instance,
-            lambda: client.takes_connections(
+            lambda: client.accepts_connections(
                 instance, replica.address, CONNECT_SECONDS
             ),
         )
--- a/berylshift/request/router.py
+++ b/berylshift/request/router.py
@@ -21,18 +21,22 @@
 from berylshift.process.knowledge.health import Health
 from berylshift.process.knowledge.load import Estimate, LoadView
 from berylshift.process.knowledge.prefixes import Prefixes, PrefixIndex
-from berylshift.request.candidate_pool import Picker, Pool, Pools
-from berylshift.request.messages import Reason, Weighed
+from berylshift.request.candidate_pool import (
+    CandidatePool,
+    CandidatePoolCache,
+    CandidateSampler,
+)
+from berylshift.request.messages import CandidateEstimate, Reason
 from berylshift.targets import Role
 from berylshift.version.rows import Row
 from berylshift.version.table import Candidate, Table
 
-FIRST_SAMPLE = 2
-FULL_SAMPLE = 8
-PREFILL_WEIGHT = 8.0
-OWN_BONUS = 0.2
-SHORT_RETRY_AFTER = 1.0
-LONGEST_RETRY_AFTER = 30.0
+INITIAL_SAMPLE_SIZE = 2
+FULL_SAMPLE_SIZE = 8
+PREFILL_COST_FACTOR = 8.0
+PREFIX_OWNER_BONUS = 0.2
+MIN_RETRY_AFTER_SECONDS = 1.0
+MAX_RETRY_AFTER_SECONDS = 30.0
 
 
 class WorkItem(msgspec.Struct, frozen=True):
@@ -45,7 +49,7 @@
     prompt_tokens: int
     output_tokens: int
     prefixes: Prefixes
-    remaining: float
+    remaining_seconds: float
     exclude: frozenset[TargetName] = frozenset()
     prefer: TargetName | None = None
     must_place: bool = False
@@ -58,11 +62,11 @@
     target: Row
     prediction: Prediction
     prefill_tokens: int
-    weighed: list[Weighed]
+    estimates: list[CandidateEstimate]
     reason: str
     prefill_on: Row | None = None
     output_tokens: int = 0
-    is_own: bool = False
+    is_prefix_owner: bool = False
     load: Estimate | None = None
 
 
@@ -71,7 +75,7 @@
 
     reason: Reason
     retry_after: float
-    weighed: list[Weighed] = []
+    estimates: list[CandidateEstimate] = []
 
 
 class Router(Protocol):
@@ -82,7 +86,7 @@
 
 
 @dataclass
-class Knowledge:
+class RoutingContext:
     """What all routers look at."""
 
     load: LoadView
@@ -95,7 +99,7 @@
 
     def __post_init__(self) -> None:
         """Prepare the pools."""
-        self.pools = Pools(self.load)
+        self.pools = CandidatePoolCache(self.load)
 
     def usable(self, found: Candidate, item: WorkItem, now: float) -> bool:
         """Return whether a candidate may take this item now."""
@@ -108,75 +112,79 @@
             return True
         return self.load.fleet_streams(name, item.fleet, now) < found.limit
 
-    def prefill_inflow(self, pool: Pool, work: WorkName, now: float) -> float:
+    def prefill_inflow(self, pool: CandidatePool, work: WorkName, now: float) -> float:
         """Return what each engine of a pool gets to prefill, in tokens a second."""
-        takers = pool.pickers[Role.MIXED].size + pool.pickers[Role.PREFILL].size
+        takers = pool.samplers[Role.MIXED].size + pool.samplers[Role.PREFILL].size
         return self.meter.total(PoolName(work), now).prefill_rate / max(1, takers)
 
     def sample(
-        self, picker: Picker, item: WorkItem, count: int, now: float
+        self, sampler: CandidateSampler, item: WorkItem, count: int, now: float
     ) -> list[Candidate]:
         """Return up to ``count`` usable candidates, and the prefix's own."""
-        drawn = picker.sample(self.rng, count)
+        drawn = sampler.sample(self.rng, count)
         if item.prefixes:
-            own = picker.by_prefix(item.prefixes[0][1])
-            if own is not None and own not in drawn:
-                drawn.append(own)
+            prefix_owner = sampler.prefix_owner(item.prefixes[0][1])
+            if prefix_owner is not None and prefix_owner not in drawn:
+                drawn.append(prefix_owner)
         usable = [found for found in drawn if self.usable(found, item, now)]
         if usable:
             return usable
         # All that were drawn are out: look at every one, which is rare.
-        rest = [found for found in picker.candidates if self.usable(found, item, now)]
+        rest = [found for found in sampler.candidates if self.usable(found, item, now)]
         return rest[:count]
 
 
-def no_target(pool: Pool) -> Refusal:
+def no_target(pool: CandidatePool) -> Refusal:
     """Return the refusal of a pool none of whose targets is usable."""
     if not pool.size:
-        return Refusal(Reason.NO_TARGET, LONGEST_RETRY_AFTER)
-    return Refusal(Reason.AT_LIMIT, SHORT_RETRY_AFTER)
+        return Refusal(Reason.NO_TARGET, MAX_RETRY_AFTER_SECONDS)
+    return Refusal(Reason.AT_LIMIT, MIN_RETRY_AFTER_SECONDS)
 
 
 class LeastLateness:
     """Chooses the least predicted end among few samples, and refuses late ones."""
 
-    def __init__(self, know: Knowledge, slack: float, prefill_rate: float):
+    def __init__(self, context: RoutingContext, slack: float, prefill_rate: float):
         """Refuse what is predicted to take over ``slack`` times the time left.
 
         ``prefill_rate`` is an engine's, in tokens a second.
         """
-        self._know = know
+        self._context = context
         self._slack = slack
         self._prefill_rate = prefill_rate
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
         """Return the plan with the least predicted end."""
-        pool = self._know.pools.get(table, item.fleet, item.work)
-        again = self._same_again(pool, item, now)
-        if again is not None:
-            return Success(again)
-        for count in (FIRST_SAMPLE, FULL_SAMPLE):
+        pool = self._context.pools.get(table, item.fleet, item.work)
+        resume_plan = self._resume_plan(pool, item, now)
+        if resume_plan is not None:
+            return Success(resume_plan)
+        for count in (INITIAL_SAMPLE_SIZE, FULL_SAMPLE_SIZE):
             plans = self._plans(pool, item, count, now)
             if not plans:
                 return Failure(no_target(pool))
-            weighed = [_weighed(plan) for plan in plans]
+            estimates = [_estimate_of(plan) for plan in plans]
             best = min(plans, key=lambda plan: self._score(plan, item))
-            late = best.prediction.end - item.remaining * self._slack
+            late = best.prediction.end - item.remaining_seconds * self._slack
             if late <= 0 or item.must_place:
-                return Success(_with(best, weighed, "least predicted end"))
-        wait = min(LONGEST_RETRY_AFTER, max(SHORT_RETRY_AFTER, late))
-        return Failure(Refusal(Reason.TOO_LATE, wait, weighed))
+                return Success(_with_reason(best, estimates, "least predicted end"))
+        wait = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, late))
+        return Failure(Refusal(Reason.TOO_LATE, wait, estimates))
 
-    def _same_again(self, pool: Pool, item: WorkItem, now: float) -> Plan | None:
+    def _resume_plan(
+        self, pool: CandidatePool, item: WorkItem, now: float
+    ) -> Plan | None:
         """Return the plan to resume on the engine that holds the prompt."""
         if item.prefer is None:
             return None
-        found = pool.pickers[Role.MIXED].named(item.prefer)
-        if found is None or not self._know.usable(found, item, now):
+        found = pool.samplers[Role.MIXED].by_name(item.prefer)
+        if found is None or not self._context.usable(found, item, now):
             return None
-        inflow = self._know.prefill_inflow(pool, item.work, now)
-        return _with(
-            self._whole(found, item, inflow, None, now), [], "resume on the same engine"
+        inflow = self._context.prefill_inflow(pool, item.work, now)
+        return _with_reason(
+            self._single_engine_plan(found, item, inflow, None, now),
+            [],
+            "resume on the same engine",
         )
 
     def _score(self, plan: Plan, item: WorkItem) -> float:
@@ -186,37 +194,44 @@
         gets a small bonus, so that a prefix that is cached nowhere yet is not
         prefilled on each engine in turn.
         """
-        held_up = PREFILL_WEIGHT * plan.prefill_tokens / self._prefill_rate
-        end = plan.prediction.end + held_up
-        return end * (1 - OWN_BONUS) if plan.is_own else end
-
-    def _plans(self, pool: Pool, item: WorkItem, count: int, now: float) -> list[Plan]:
-        know = self._know
-        mixed = know.sample(pool.pickers[Role.MIXED], item, count, now)
-        prefill = know.sample(pool.pickers[Role.PREFILL], item, count, now)
-        decode = know.sample(pool.pickers[Role.DECODE], item, count, now)
-        inflow = know.prefill_inflow(pool, item.work, now)
-        picker = pool.pickers[Role.MIXED]
-        own = picker.by_prefix(item.prefixes[0][1]) if item.prefixes else None
-        plans = [self._whole(found, item, inflow, own, now) for found in mixed]
+        blocked_seconds = PREFILL_COST_FACTOR * plan.prefill_tokens / self._prefill_rate
+        end = plan.prediction.end + blocked_seconds
+        return end * (1 - PREFIX_OWNER_BONUS) if plan.is_prefix_owner else end
+
+    def _plans(
+        self, pool: CandidatePool, item: WorkItem, count: int, now: float
+    ) -> list[Plan]:
+        context = self._context
+        mixed = context.sample(pool.samplers[Role.MIXED], item, count, now)
+        prefill = context.sample(pool.samplers[Role.PREFILL], item, count, now)
+        decode = context.sample(pool.samplers[Role.DECODE], item, count, now)
+        inflow = context.prefill_inflow(pool, item.work, now)
+        sampler = pool.samplers[Role.MIXED]
+        prefix_owner = (
+            sampler.prefix_owner(item.prefixes[0][1]) if item.prefixes else None
+        )
+        plans = [
+            self._single_engine_plan(found, item, inflow, prefix_owner, now)
+            for found in mixed
+        ]
         if prefill and decode:
-            plans.append(self._split(prefill, decode, item, now))
+            plans.append(self._disaggregated_plan(prefill, decode, item, now))
         return plans
 
-    def _whole(
+    def _single_engine_plan(
         self,
         found: Candidate,
         item: WorkItem,
         inflow: float,
-        own: Candidate | None,
+        prefix_owner: Candidate | None,
         now: float,
     ) -> Plan:
-        know = self._know
+        context = self._context
         name = found.row.name
-        load = know.load.estimate(name, now)
-        cached = know.prefixes.cached_tokens(name, item.prefixes)
+        load = context.load.estimate(name, now)
+        cached = context.prefixes.cached_tokens(name, item.prefixes)
         prefill = max(1, item.prompt_tokens - cached)
-        prediction = know.cost.predict(load, prefill, item.output_tokens, inflow)
+        prediction = context.cost.predict(load, prefill, item.output_tokens, inflow)
         return Plan(
             found.row,
             prediction,
@@ -224,11 +239,11 @@
             [],
             "",
             output_tokens=item.output_tokens,
-            is_own=found is own,
+            is_prefix_owner=found is prefix_owner,
             load=load,
         )
 
-    def _split(
+    def _disaggregated_plan(
         self,
         prefill: list[Candidate],
         decode: list[Candidate],
@@ -236,9 +251,9 @@
         now: float,
     ) -> Plan:
         """Return the best plan of prefill on one engine and decode on another."""
-        cost = self._know.cost
+        cost = self._context.cost
         first = min(
-            (self._prefill_part(found, item, now) for found in prefill),
+            (self._prefill_estimate(found, item, now) for found in prefill),
             key=lambda part: part[1],
         )
         source, ready, tokens = first
@@ -246,7 +261,7 @@
         ends = [
             (cost.decode_seconds(load, item.output_tokens, 0.0), found.row, load)
             for found in decode
-            for load in [self._know.load.estimate(found.row.name, now)]
+            for load in [self._context.load.estimate(found.row.name, now)]
         ]
         seconds, target, load = min(ends, key=lambda end: end[0])
         prediction = Prediction(ready, ready + seconds)
@@ -261,18 +276,18 @@
             load=load,
         )
 
-    def _prefill_part(
+    def _prefill_estimate(
         self, found: Candidate, item: WorkItem, now: float
     ) -> tuple[Candidate, float, int]:
         name = found.row.name
-        cached = self._know.prefixes.cached_tokens(name, item.prefixes)
+        cached = self._context.prefixes.cached_tokens(name, item.prefixes)
         tokens = max(1, item.prompt_tokens - cached)
-        load = self._know.load.estimate(name, now)
-        return found, self._know.cost.prefill_seconds(load, tokens), tokens
+        load = self._context.load.estimate(name, now)
+        return found, self._context.cost.prefill_seconds(load, tokens), tokens
 
 
-def _weighed(plan: Plan) -> Weighed:
-    return Weighed(
+def _estimate_of(plan: Plan) -> CandidateEstimate:
+    return CandidateEstimate(
         target=plan.target.name,
         first_token=round(plan.prediction.first_token, 3),
         end=round(plan.prediction.end, 3),
@@ -282,30 +297,30 @@
     )
 
 
-def _with(plan: Plan, weighed: list[Weighed], reason: str) -> Plan:
-    return replace(plan, weighed=weighed, reason=reason)
+def _with_reason(plan: Plan, estimates: list[CandidateEstimate], reason: str) -> Plan:
+    return replace(plan, estimates=estimates, reason=reason)
 
 
 class ReplicaChooser:
     """Chooses a replica of a plain service: the less busy of two samples."""
 
-    def __init__(self, know: Knowledge):
+    def __init__(self, context: RoutingContext):
         """Look at the loads in ``know``."""
-        self._know = know
+        self._context = context
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
         """Return the replica with the least open work for its weight."""
-        pool = self._know.pools.get(table, item.fleet, item.work)
-        picker = pool.pickers[Role.MIXED]
-        drawn = self._know.sample(picker, item, FIRST_SAMPLE, now)
+        pool = self._context.pools.get(table, item.fleet, item.work)
+        sampler = pool.samplers[Role.MIXED]
+        drawn = self._context.sample(sampler, item, INITIAL_SAMPLE_SIZE, now)
         if not drawn:
             return Failure(no_target(pool))
-        weighed = [
-            Weighed(found.row.name, streams=load.streams)
+        estimates = [
+            CandidateEstimate(found.row.name, streams=load.streams)
             for found in drawn
-            for load in [self._know.load.estimate(found.row.name, now)]
+            for load in [self._context.load.estimate(found.row.name, now)]
         ]
-        loads = zip(weighed, drawn, strict=True)
+        loads = zip(estimates, drawn, strict=True)
         _, best = min(loads, key=lambda pair: (pair[0].streams + 1) / pair[1].weight)
         nothing = Prediction(0.0, 0.0)
-        return Success(Plan(best.row, nothing, 0, weighed, "least open work"))
+        return Success(Plan(best.row, nothing, 0, estimates, "least open work"))
--- a/berylshift/request/router_baselines.py
+++ b/berylshift/request/router_baselines.py
@@ -6,8 +6,8 @@
 
 from berylshift.ids import TargetName
 from berylshift.process.knowledge.cost import Prediction
-from berylshift.request.candidate_pool import Pool
-from berylshift.request.router import Knowledge, Plan, Refusal, WorkItem, no_target
+from berylshift.request.candidate_pool import CandidatePool
+from berylshift.request.router import Plan, Refusal, RoutingContext, WorkItem, no_target
 from berylshift.targets import Role
 from berylshift.version.table import Candidate, Table
 
@@ -17,16 +17,16 @@
 class RoundRobin:
     """Baseline: each target in turn."""
 
-    def __init__(self, know: Knowledge):
+    def __init__(self, context: RoutingContext):
         """Start with the first target."""
-        self._know = know
+        self._context = context
         self._turn = 0
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
         """Return the next usable target."""
-        pool = self._know.pools.get(table, item.fleet, item.work)
+        pool = self._context.pools.get(table, item.fleet, item.work)
         self._turn += 1
-        return _place(self._know, pool, item, now, self._next)
+        return _place(self._context, pool, item, now, self._next)
 
     def _next(self, found: list[Candidate]) -> Candidate:
         return found[self._turn % len(found)]
@@ -35,36 +35,38 @@
 class LeastReported:
     """Baseline: the least load by the last report, with nothing added."""
 
-    def __init__(self, know: Knowledge):
+    def __init__(self, context: RoutingContext):
         """Look at the reports in ``know``."""
-        self._know = know
+        self._context = context
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
         """Return the target with the fewest reported streams."""
-        pool = self._know.pools.get(table, item.fleet, item.work)
-        return _place(self._know, pool, item, now, self._least)
+        pool = self._context.pools.get(table, item.fleet, item.work)
+        return _place(self._context, pool, item, now, self._least)
 
     def _least(self, found: list[Candidate]) -> Candidate:
         return min(found, key=lambda candidate: self._reported(candidate.row.name))
 
     def _reported(self, name: TargetName) -> tuple[int, int]:
-        report = self._know.load.report(name)
+        report = self._context.load.report(name)
         if report is None:
             return (0, 0)
         return (report.running + report.waiting, report.prefill_tokens)
 
 
 def _place(
-    know: Knowledge, pool: Pool, item: WorkItem, now: float, pick: Pick
+    context: RoutingContext, pool: CandidatePool, item: WorkItem, now: float, pick: Pick
 ) -> Result[Plan, Refusal]:
     """Place an item by ``pick`` in each role that it needs."""
     usable = {
-        role: [c for c in picker.candidates if know.usable(c, item, now)]
-        for role, picker in pool.pickers.items()
+        role: [c for c in sampler.candidates if context.usable(c, item, now)]
+        for role, sampler in pool.samplers.items()
     }
     unknown = Prediction(0.0, 0.0)
     split = usable[Role.PREFILL] and usable[Role.DECODE]
-    if usable[Role.MIXED] and not (split and know.rng.random() < _split_share(usable)):
+    if usable[Role.MIXED] and not (
+        split and context.rng.random() < _split_share(usable)
+    ):
         row = pick(usable[Role.MIXED]).row
         return Success(Plan(row, unknown, item.prompt_tokens, [], "baseline"))
     if not split:
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -25,7 +25,7 @@
 )
 from berylshift.request.plain_send import PlainSend
 from berylshift.request.retry_rule import Sent
-from berylshift.request.retryable_call import Lookup
+from berylshift.request.retryable_call import RetryableCall
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
@@ -82,11 +82,11 @@
         return await self._confirm_apart(call)
 
     async def _look_up(self, call: PlainCall) -> PlainEnding:
-        lookup = Lookup(self._parts.sender, call, self._parts.retries)
+        lookup = RetryableCall(self._parts.sender, call, self._parts.retries)
         scope = trio.CancelScope()
         with scope, self._parts.shutdown.bounding(scope):
             return await lookup.run()
-        return lookup.given_up()
+        return lookup.shutdown_ending()
 
     async def _confirm_apart(self, call: PlainCall) -> PlainEnding:
         """Confirm in a task that lives for the process, not for the request.
@@ -104,7 +104,9 @@
             except Exception:
                 # It must not end the process, with all other requests in it.
                 logger.exception("confirmation failed")
-                found.append(PlainEnding(Ending(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)))
+                found.append(
+                    PlainEnding(Ending(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN))
+                )
             finally:
                 self.open_confirmations -= 1
             done.set()
--- a/berylshift/request/single_send.py
+++ b/berylshift/request/single_send.py
@@ -129,10 +129,10 @@
         limit: SilenceLimit,
         reading: Reading,
     ) -> SendEnd:
-        head = self._parts.language.read_answer(answer.status, answer.headers)
+        head = self._parts.language.parse_answer_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             await limit.bound(answer.skip())
-            head = self._parts.language.read_answer(answer.status, answer.headers)
+            head = self._parts.language.parse_answer_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             answer.usable = False
             return SendEnd.BROKEN
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -6,7 +6,9 @@
 from berylshift.targets import EngineClient, ServiceClient, TargetNotReachedError
 
 
-async def takes_connections(client: EngineClient | ServiceClient, address: str) -> bool:
+async def accepts_connections(
+    client: EngineClient | ServiceClient, address: str
+) -> bool:
     """Return whether a target takes a new connection soon.
 
     A busy one does, however late it answers; a process that has ended does not.
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -5,7 +5,7 @@
 from berylshift.clock import Clock
 from berylshift.connection.errors import ThrottledError
 from berylshift.ids import InstanceId
-from berylshift.messages.routed import Header, Language
+from berylshift.messages.routed import Header, WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.throttle import Throttle
 
@@ -17,7 +17,7 @@
 
     def __init__(
         self,
-        language: Language,
+        language: WireCodec,
         throttle: Throttle,
         replicas: ReplicaSet,
         clock: Clock,
@@ -46,7 +46,7 @@
         entered_at: float,
     ) -> None:
         """Take over what the head of an answer asks for."""
-        control = self._language.read_flow_control(status, headers)
+        control = self._language.parse_flow_control(status, headers)
         if control is None:
             return
         now = self._clock.monotonic()
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -15,7 +15,7 @@
 from berylshift.entry_application import EntryApplication, EntryPorts
 from berylshift.platform.duties import PlatformDuties
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformLanguage
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.platform.own_tables import (
     PlatformCrashes,
     PlatformHosts,
@@ -51,7 +51,7 @@
         clock=LoopClock(),
         rng=random.Random(),
         directory=PlatformDirectory(calls),
-        language=PlatformLanguage(),
+        language=PlatformCodec(),
         client=client,
         leases=PlatformLeases(calls),
         engines=PlatformEngines(client, cfg.targets.report_timeout),
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -22,7 +22,7 @@
 from berylshift.messages.replicas import EnginePhase, Replica, instance_of
 from berylshift.platform import names
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformLanguage
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.settings import parse_settings
 from berylshift.stand_ins.entry_replica import EntryReplica, Kept
 from berylshift.stand_ins.fake_directory import (
@@ -243,7 +243,7 @@
             clock=LoopClock(),
             rng=random.Random(seed),
             directory=self.directory,
-            language=PlatformLanguage(),
+            language=PlatformCodec(),
             client=client,
             leases=self.leases,
             engines=PlatformEngines(client, 0.5),
--- a/berylshift/tests/test_connection_targets.py
+++ b/berylshift/tests/test_connection_targets.py
@@ -10,7 +10,7 @@
 from berylshift.connection.service_client import HttpServiceClient
 from berylshift.connection.target_client import TargetClient
 from berylshift.ids import InstanceId
-from berylshift.request.target_check import takes_connections
+from berylshift.request.target_check import accepts_connections
 
 INSTANCE = InstanceId("engine-1")
 # Long for this computer, however busy it is; what is refused is refused at once.
@@ -35,7 +35,7 @@
 
     def test_a_replica_that_lives_takes_one_and_it_is_kept(self):
         async def task(client, listener, address):
-            found = await client.takes_connections(INSTANCE, address, SECONDS)
+            found = await client.accepts_connections(INSTANCE, address, SECONDS)
             return found, client.kept_targets
 
         self.assertEqual(self.ask(task), (True, 1))
@@ -43,7 +43,7 @@
     def test_one_that_has_ended_refuses_it(self):
         async def task(client, listener, address):
             await listener.aclose()
-            return await client.takes_connections(INSTANCE, address, SECONDS)
+            return await client.accepts_connections(INSTANCE, address, SECONDS)
 
         self.assertFalse(self.ask(task))
 
@@ -55,11 +55,11 @@
             found = []
             for make in (HttpEngineClient, HttpServiceClient):
                 pool = HttpClient(connect_seconds=SECONDS)
-                found.append(await takes_connections(make(pool, ""), address))
+                found.append(await accepts_connections(make(pool, ""), address))
                 pool.close()
             await listener.aclose()
             gone = HttpEngineClient(HttpClient(connect_seconds=SECONDS), "")
-            return found, await takes_connections(gone, address)
+            return found, await accepts_connections(gone, address)
 
         self.assertEqual(self.ask(task), ([True, True], False))
 
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -237,7 +237,7 @@
             ending, _ = await complete(host, model_call(1))
             return host.app.readiness.is_ready(), ending.reason
 
-        self.assertEqual(run_world(task, hosts=3), (False, Reason.STALE_VIEW))
+        self.assertEqual(run_world(task, hosts=3), (False, Reason.STALE_TABLE))
 
     def test_lookups_and_models_go_on_through_a_long_outage(self):
         async def task(world):
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -137,7 +137,7 @@
 
         outcome, ran, reason = self.confirm(prepare)
         self.assertEqual((outcome, ran), (Outcome.NOT_RUN, 0))
-        self.assertIs(reason, Reason.STALE_VIEW)
+        self.assertIs(reason, Reason.STALE_TABLE)
 
     def test_shutdown_waits_for_a_confirmation_under_way(self):
         async def task(world):
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -16,7 +16,7 @@
 from berylshift.platform import names
 from berylshift.platform.configuration import read_routes
 from berylshift.platform.entries import read_replica
-from berylshift.platform.exchange import PlatformLanguage
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.platform.unknown_headers import MOST_NAMES
 from berylshift.request.errors import BadRequestError
 from berylshift.store.directory import MalformedEntryError
@@ -238,12 +238,12 @@
     """What a replica is sent."""
 
     def setUp(self):
-        self.language = PlatformLanguage()
+        self.language = PlatformCodec()
 
     def onward(self, headers, **dispatch):
-        req = self.language.read_request(b"POST", b"/x/", headers, NO_BODY)
+        req = self.language.parse_request(b"POST", b"/x/", headers, NO_BODY)
         values = {"replica": "i-1", "seconds_left": 2.5, "rank": 2, **dispatch}
-        return self.language.onward_headers(req, Dispatch(**values))
+        return self.language.forward_headers(req, Dispatch(**values))
 
     def test_forged_orders_do_not_reach_a_replica(self):
         """Callers send headers that only the system may send.
@@ -302,7 +302,7 @@
             self.onward([(b"host", b"a")])
 
     def test_prompt(self):
-        req = self.language.read_request(b"POST", b"/x/", USUAL, NO_BODY)
+        req = self.language.parse_request(b"POST", b"/x/", USUAL, NO_BODY)
         self.assertEqual(req.prompt.tokens, 1460)
         self.assertEqual(req.prompt.prefix_tokens, 1210)
 
@@ -310,7 +310,7 @@
         for value in (b"a", b"a:b", b":,", b"\xff:1"):
             headers = [h for h in USUAL if h[0] != names.PROMPT_PARTS]
             headers.append((names.PROMPT_PARTS, value))
-            req = self.language.read_request(b"POST", b"/x/", headers, NO_BODY)
+            req = self.language.parse_request(b"POST", b"/x/", headers, NO_BODY)
             self.assertIsNone(req.prompt)
 
 
@@ -318,7 +318,7 @@
     """Heads of replicas' answers."""
 
     def read(self, status: int, *headers):
-        return PlatformLanguage().read_answer(status, list(headers))
+        return PlatformCodec().parse_answer_head(status, list(headers))
 
     def test_signed_answer_is_genuine(self):
         head = self.read(200, (names.SIGNATURE, b"s"), (names.ATTEMPT_ID, b"r1"))
@@ -354,28 +354,28 @@
         self.assertIsNone(head.keep_seconds)
 
     def test_headers_that_are_not_known_are_named_once(self):
-        language = PlatformLanguage()
+        language = PlatformCodec()
         headers = [(b"x-news", b"secret"), (b"content-type", b"text/plain")]
         headers += [(names.ATTEMPT_ID, b"r1"), (names.SIGNATURE, b"s")]
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
-            language.read_answer(200, headers)
-            language.read_answer(200, headers)
+            language.parse_answer_head(200, headers)
+            language.parse_answer_head(200, headers)
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(logs.records[0].headers, ["x-news"])
         self.assertNotIn("secret", str(vars(logs.records[0])))
 
     def test_no_more_than_so_many_unknown_headers_are_named(self):
-        language = PlatformLanguage()
+        language = PlatformCodec()
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
             for number in range(2 * MOST_NAMES):
-                language.read_answer(200, [(b"x-%d" % number, b"1")])
+                language.parse_answer_head(200, [(b"x-%d" % number, b"1")])
         self.assertEqual(len(logs.records), MOST_NAMES)
 
     def test_a_limit_is_a_number_of_requests_a_second(self):
         def limit(value: bytes) -> float | None:
             return (
-                PlatformLanguage()
-                .read_flow_control(200, [(names.RATE_LIMIT, value)])
+                PlatformCodec()
+                .parse_flow_control(200, [(names.RATE_LIMIT, value)])
                 .rate_limit
             )
 
@@ -383,12 +383,12 @@
         self.assertEqual(limit(b"0"), 0)
         for value in (b"-1", b"nan", b"inf", b"soon", b""):
             self.assertIsNone(limit(value))
-        self.assertIsNone(PlatformLanguage().read_flow_control(200, []).rate_limit)
+        self.assertIsNone(PlatformCodec().parse_flow_control(200, []).rate_limit)
 
     def test_a_refusal_may_ask_to_back_off(self):
         def rest(status: int, value: bytes) -> float:
             headers = [(b"retry-after", value)]
-            return PlatformLanguage().read_flow_control(status, headers).retry_after
+            return PlatformCodec().parse_flow_control(status, headers).retry_after
 
         self.assertEqual(rest(503, b"2.5"), 2.5)
         self.assertEqual(rest(429, b"3"), 3)
@@ -398,8 +398,8 @@
     def test_leaving_is_said_by_one_value(self):
         def leaving(value: bytes) -> bool:
             return (
-                PlatformLanguage()
-                .read_flow_control(200, [(names.LEAVING, value)])
+                PlatformCodec()
+                .parse_flow_control(200, [(names.LEAVING, value)])
                 .draining
             )
 
@@ -408,7 +408,7 @@
 
     def test_an_answer_of_another_replica_asks_for_nothing(self):
         headers = [(names.RATE_LIMIT, b"2.6")]
-        self.assertIsNone(PlatformLanguage().read_flow_control(421, headers))
+        self.assertIsNone(PlatformCodec().parse_flow_control(421, headers))
 
     def test_headers_of_the_connection_are_not_passed_on(self):
         head = self.read(200, (b"connection", b"close"), (b"x-one", b"1"))
--- a/berylshift/tests/test_platform_store.py
+++ b/berylshift/tests/test_platform_store.py
@@ -8,7 +8,7 @@
 
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.connection.http_server import HttpServer
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.platform import names
 from berylshift.platform.own_tables import (
     PlatformCrashes,
@@ -31,7 +31,7 @@
 from berylshift.tests.support import VirtualTestCase
 
 ADDRESS = "10.0.0.1:80"
-BAD = joined(7, 1)
+BAD = combine_hashes(7, 1)
 ENTRY = {
     "service": "s",
     "address": "10.0.0.9:80",
@@ -343,7 +343,10 @@
 
     def test_replicas_that_ended_under_requests(self):
         """Rows are written, removed, and read past what another writer left."""
-        first, second = CrashRow(joined(2**31, 1), 5, 900), CrashRow(BAD, 6, 950)
+        first, second = (
+            CrashRow(combine_hashes(2**31, 1), 5, 900),
+            CrashRow(BAD, 6, 950),
+        )
 
         async def task(world):
             crashes = PlatformCrashes(world.calls)
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -6,7 +6,7 @@
 from berylshift.connection.datagram_tag import Tagger
 from berylshift.connection.peer_codec import BadDatagramError, PeerCodec
 from berylshift.ids import DomainName, HostName
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.knowledge.load import Share
 from berylshift.process.limits.customer_limits import Demand
@@ -125,8 +125,8 @@
             shares=[Share("engine-1", "nestwatch", 3, 512)],
             demands=[Demand("hobart", 2.5)],
             mixes=[Mix("match-note", 100.0, 50.0)],
-            crashes=[CrashReport(joined(2**31, 5), 7, 0.5)],
-            finished=[joined(2**31, 6)],
+            crashes=[CrashReport(combine_hashes(2**31, 5), 7, 0.5)],
+            finished=[combine_hashes(2**31, 6)],
         )
 
     def test_round_trip(self):
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -3,7 +3,7 @@
 import unittest
 
 from berylshift.ids import Fingerprint, InstanceId
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
 from berylshift.process.quarantine.crash_news import (
@@ -21,7 +21,7 @@
 )
 from berylshift.process.telling.telling import TELL_SECONDS
 
-BAD = joined(7, 1)
+BAD = combine_hashes(7, 1)
 HEARTBEAT = 1.2
 
 
@@ -68,7 +68,7 @@
 
     def test_others_are_not_held_back(self):
         self.crash(BAD, 1, 2)
-        self.assertFalse(self.is_held(1.0, joined(7, 2)))
+        self.assertFalse(self.is_held(1.0, combine_hashes(7, 2)))
 
     def test_a_request_that_begins_alike_is_looked_at_closely(self):
         self.crash(BAD, 1)
@@ -205,7 +205,7 @@
 
     def test_a_digest_holds_a_part_of_many(self):
         for number in range(100):
-            self.crash(joined(number, 1), 1)
+            self.crash(combine_hashes(number, 1), 1)
         self.assertEqual(len(self.quarantine.reports(0.0)), MOST_CRASHES_TOLD)
 
     def test_all_of_many_are_told_in_turn(self):
@@ -214,7 +214,7 @@
         A digest holds fewer. Were always the newest told, the others would never hear
         of the cause, and each host would send it out once more.
         """
-        bad = [joined(number, 1) for number in range(40)]
+        bad = [combine_hashes(number, 1) for number in range(40)]
         for request in bad:
             self.crash(request, 1)
         for step in range(int(TOLD_SECONDS / TELL_SECONDS)):
@@ -230,18 +230,18 @@
     def test_harmless_ones_push_out_none_that_is_held_back(self):
         self.crash(BAD, 1, 2)
         for number in range(2 * MOST_NOTED):
-            self.crash(joined(number, 2), 3)
+            self.crash(combine_hashes(number, 2), 3)
         self.assertTrue(self.is_held(1.0))
         self.assertLessEqual(len(self.quarantine._noted), MOST_NOTED)
 
     def test_those_that_are_held_back_are_bounded(self):
         for number in range(2 * MOST_HELD):
-            self.crash(joined(number, 2), 1, 2)
+            self.crash(combine_hashes(number, 2), 1, 2)
         self.assertEqual(len(self.quarantine), MOST_HELD)
 
     def test_all_is_forgotten_in_time(self):
         self.crash(BAD, 1, 2, 3)
-        self.crash(joined(8, 1), 1)
+        self.crash(combine_hashes(8, 1), 1)
         self.quarantine.reports(PROVEN_SECONDS)
         self.assertEqual(len(self.quarantine), 0)
         self.assertEqual(self.quarantine._under, {})
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -6,7 +6,7 @@
 
 from berylshift.clock import LoopClock
 from berylshift.ids import InstanceId
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.process.directory.store_watch import StoreClock
 from berylshift.process.quarantine.crash_ledger import (
     MOST_IN_ONE,
@@ -26,7 +26,7 @@
 )
 from berylshift.tests.support import run_virtual
 
-BAD = joined(7, 1)
+BAD = combine_hashes(7, 1)
 # Until a host has written what it has to, at the latest.
 WRITTEN_SECONDS = WRITE_SECONDS + 2 * RETRY_SECONDS
 
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -6,11 +6,11 @@
 import trio
 
 from berylshift.ids import InstanceId
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.tests.gathered_world import GatheredHost, GatheredWorld, Path
 from berylshift.tests.test_telling_gathering import SETTLED_SECONDS, run_world
 
-BAD = joined(7, 1)
+BAD = combine_hashes(7, 1)
 # The platform counts a host as in touch after this time without trouble; it also has so
 # long to know of the third replica that ended.
 STABLE_SECONDS = 3.0
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -7,7 +7,12 @@
 from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
 from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS, Quarantine
-from berylshift.request.isolation import ASIDE_PART, is_last, left_of, set_aside
+from berylshift.request.isolation import (
+    REPLICAS_PER_ISOLATION_REPLICA,
+    is_last_remaining,
+    isolation_replicas,
+    remaining_replicas,
+)
 from berylshift.request.routed_watch import LAST_SECONDS
 from berylshift.tests.entry_world import prompt_headers, run_entry
 
@@ -28,21 +33,23 @@
     def test_they_are_few_and_never_all(self):
         """Guards against several suspects that end all replicas at once."""
         for count in range(2, 81):
-            aside = set_aside(replicas(count))
-            self.assertLessEqual(len(aside), max(1, count // ASIDE_PART))
+            aside = isolation_replicas(replicas(count))
+            self.assertLessEqual(
+                len(aside), max(1, count // REPLICAS_PER_ISOLATION_REPLICA)
+            )
             self.assertLess(len(aside), count)
             self.assertTrue(aside)
 
     def test_all_hosts_choose_alike(self):
         found = replicas(20)
-        self.assertEqual(set_aside(found), set_aside(found[::-1]))
+        self.assertEqual(isolation_replicas(found), isolation_replicas(found[::-1]))
 
     def test_the_last_of_several_is_known(self):
         found = replicas(3)
-        left = left_of(found, [found[0].instance, found[1].instance])
-        self.assertTrue(is_last(left, found))
-        self.assertFalse(is_last(found[:1], found[:1]))
-        self.assertFalse(is_last(found[:2], found))
+        left = remaining_replicas(found, [found[0].instance, found[1].instance])
+        self.assertTrue(is_last_remaining(left, found))
+        self.assertFalse(is_last_remaining(found[:1], found[:1]))
+        self.assertFalse(is_last_remaining(found[:2], found))
 
 
 class EndedTest(unittest.TestCase):
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -9,7 +9,7 @@
 from berylshift.ids import CustomerName, ReplicaName, TableVersion
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
-from berylshift.platform.exchange import LONGEST_KEY_BYTES, PlatformLanguage
+from berylshift.platform.exchange import LONGEST_KEY_BYTES, PlatformCodec
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.request.key_gate import KeyGate, KeyVerdict
 from berylshift.tests.entry_world import route
@@ -22,7 +22,7 @@
 IN_FORCE = 3.0
 LOOK = route("look", RouteKind.IDEMPOTENT)
 OPEN = route("open", RouteKind.IDEMPOTENT, public=True)
-LANGUAGE = PlatformLanguage()
+LANGUAGE = PlatformCodec()
 HEADER_NAMES = st.sampled_from(
     [b"host", names.AUTHORIZATION, names.CUSTOMER, b"connection", b"x-other"]
 )
@@ -54,7 +54,7 @@
 def request(*headers: tuple[bytes, bytes]):
     """Return a caller's request."""
     found = [(names.ATTEMPT_ID, b"r1"), *headers]
-    return LANGUAGE.read_request(b"GET", b"/look/x", found, NO_BODY)
+    return LANGUAGE.parse_request(b"GET", b"/look/x", found, NO_BODY)
 
 
 def shown(key: bytes):
@@ -89,7 +89,7 @@
     def test_a_host_with_old_routes_denies_no_key_that_may_be_new(self):
         """Guards against the first callers of a new key being sent away for good."""
         late = IN_FORCE + 1
-        self.assertEqual(self.verdict(shown(b"new"), now=late), KeyVerdict.UNSURE)
+        self.assertEqual(self.verdict(shown(b"new"), now=late), KeyVerdict.STALE_ROUTES)
         self.assertEqual(self.verdict(shown(KEY), now=late), KeyVerdict.ADMITTED)
         self.assertEqual(self.verdict(request(), now=late), KeyVerdict.NO_KEY)
 
@@ -98,31 +98,33 @@
         gate = KeyGate(self.routes, IN_FORCE, expires=5.0)
         self.assertEqual(
             [gate.admit(shown(KEY), LOOK, now).verdict for now in (4.9, 5.1)],
-            [KeyVerdict.ADMITTED, KeyVerdict.UNSURE],
+            [KeyVerdict.ADMITTED, KeyVerdict.STALE_ROUTES],
         )
 
     def test_a_key_that_was_taken_away_holds_no_more(self):
         """Guards against a request that waited and is sent by a key without holder."""
-        req = LANGUAGE.without_key(shown(KEY), HOLDER.name)
-        self.assertTrue(self.gate.still_holds(req, LOOK))
+        req = LANGUAGE.strip_key(shown(KEY), HOLDER.name)
+        self.assertTrue(self.gate.is_still_authorized(req, LOOK))
         self.routes.take(table(keys(), 2), 1.0)
-        self.assertFalse(self.gate.still_holds(req, LOOK))
-        self.assertTrue(self.gate.still_holds(req, OPEN))
+        self.assertFalse(self.gate.is_still_authorized(req, LOOK))
+        self.assertTrue(self.gate.is_still_authorized(req, OPEN))
 
     def test_a_key_that_changed_hands_holds_no_more(self):
         """Guards against a request that runs on the account of the former holder."""
-        req = LANGUAGE.without_key(shown(KEY), HOLDER.name)
+        req = LANGUAGE.strip_key(shown(KEY), HOLDER.name)
         other = Customer(CustomerName("other"))
         self.routes.take(table(keys((KEY, other)), 2), 1.0)
-        self.assertFalse(self.gate.still_holds(req, LOOK))
+        self.assertFalse(self.gate.is_still_authorized(req, LOOK))
 
     def test_without_customers_all_is_as_sent(self):
         """Guards against a change for deployments that know no customers."""
         self.routes.take(table(None, 2), 1.0)
         req = request((names.AUTHORIZATION, b"Basic x"), (names.CUSTOMER, b"y"))
         found = self.gate.admit(req, LOOK, 1.0)
-        self.assertEqual((found.verdict, found.keyed), (KeyVerdict.ADMITTED, False))
-        sent = LANGUAGE.onward_headers(req, Dispatch(ReplicaName("i"), 1.0, 5))
+        self.assertEqual(
+            (found.verdict, found.keys_configured), (KeyVerdict.ADMITTED, False)
+        )
+        sent = LANGUAGE.forward_headers(req, Dispatch(ReplicaName("i"), 1.0, 5))
         self.assertIn((names.AUTHORIZATION, b"Basic x"), sent)
         self.assertIn((names.CUSTOMER, b"y"), sent)
 
@@ -166,8 +168,8 @@
         if found.verdict is not KeyVerdict.ADMITTED:
             return
         self.assertEqual(len(said), 1)
-        named = LANGUAGE.without_key(req, found.customer.name)
-        sent = LANGUAGE.onward_headers(named, Dispatch(ReplicaName("i"), 1.0, 5))
+        named = LANGUAGE.strip_key(req, found.customer.name)
+        sent = LANGUAGE.forward_headers(named, Dispatch(ReplicaName("i"), 1.0, 5))
         told = [value for name, value in sent if name == names.CUSTOMER]
         self.assertEqual(told, [HOLDER.name.encode()])
         self.assertFalse([name for name, _ in sent if name == names.AUTHORIZATION])
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -13,7 +13,7 @@
 from berylshift.ids import AttemptId, InstanceId, RequestId
 from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
-from berylshift.platform.exchange import PlatformLanguage
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.answer_stream import AnswerStream
 from berylshift.request.engine_attempt import AttemptFailedError, AttemptRun
@@ -118,7 +118,7 @@
     """Return parts whose client gives a late answer."""
     return RelayParts(
         clock=LoopClock(),
-        language=PlatformLanguage(),
+        language=PlatformCodec(),
         client=LateClient(late),
         replicas=None,
         loads=TargetLoads(),
@@ -192,7 +192,7 @@
             out = AnswerStream(responder, LoopClock())
             with trio.CancelScope() as scope:
                 scope.cancel()
-                await write(out, PlatformLanguage().read_answer(200, []))
+                await write(out, PlatformCodec().parse_answer_head(200, []))
 
         async def task():
             near, far = pipe_pair()
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -13,7 +13,7 @@
 from berylshift.messages.routed import FlowControl
 from berylshift.platform import names
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformLanguage
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
@@ -60,7 +60,7 @@
                     return near
 
                 client = TargetClient(0.3, dial)
-                language, clock = PlatformLanguage(), LoopClock()
+                language, clock = PlatformCodec(), LoopClock()
                 gate = ReplicaGate(language, self.throttle, self.replicas, clock)
                 client.guard_by(gate)
                 found = await task(client)
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -12,7 +12,7 @@
 )
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import Revision
-from berylshift.messages.fingerprint import joined
+from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import (
     CrashReport,
     FeedWord,
@@ -233,8 +233,8 @@
         (LoadEntry(123456, 3, (16, 32, 48), 0.5), LoadEntry(9, 1, (0, 0, 0), 0.0)),
         (PartRead(5, 6, 4000),),
         (PhaseTold(7, EnginePhase.DECODE, 1.5),),
-        crashes=(CrashReport(joined(2**31, 5), 7, 0.5),),
-        finished=(joined(2**31, 6),),
+        crashes=(CrashReport(combine_hashes(2**31, 5), 7, 0.5),),
+        finished=(combine_hashes(2**31, 6),),
         limits=(LimitTold(9, 2.5, 0.5), LimitTold(7, None, 1.5)),
     )
 
@@ -280,7 +280,9 @@
             for n in range(reads)
         )
         reports = tuple(
-            CrashReport(joined(2**31 + n * 999_983, 2**31 + n), 2**31 + n * 77_777, 9.5)
+            CrashReport(
+                combine_hashes(2**31 + n * 999_983, 2**31 + n), 2**31 + n * 77_777, 9.5
+            )
             for n in range(crashes)
         )
         phases = tuple(
--- a/berylshift/tests/test_tools.py
+++ b/berylshift/tests/test_tools.py
@@ -13,7 +13,7 @@
 from berylshift.connection.status import HostStatus, TargetStatus
 from berylshift.ids import ChangeId, DomainName, HostName, Incarnation
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.request.messages import Decision, Weighed
+from berylshift.request.messages import CandidateEstimate, Decision
 from berylshift.stand_ins.fake_platform import FakePlatform, MemoryPlatform
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import HostEntry, HostState
@@ -165,7 +165,10 @@
         self.assertEqual(self.run_tool("status"), Exit.NOT_DONE)
 
     def test_explain_renders_the_candidates(self):
-        weighed = [Weighed("engine-1", 0.1, 2.0, 3, 10), Weighed("engine-2", 0.2, 4.0)]
+        weighed = [
+            CandidateEstimate("engine-1", 0.1, 2.0, 3, 10),
+            CandidateEstimate("engine-2", 0.2, 4.0),
+        ]
         decision = Decision("r1", 0.0, "engine", "engine-1", "least", weighed)
         self.answers["/decisions/r1"] = msgspec.json.encode([decision])
         self.assertEqual(self.run_tool("explain r1"), Exit.OK)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -43,7 +43,7 @@
     Proof(
         "a replica hears the customer and never the key",
         "request/routed_front.py",
-        "        if not admission.keyed:\n",
+        "        if not admission.keys_configured:\n",
         "        if True:\n",
         f"{KEYS}.AdmissionTest",
     ),
@@ -78,7 +78,7 @@
     Proof(
         "old routes deny no key that may be new",
         "request/key_gate.py",
-        "KeyVerdict.UNSURE if is_old else KeyVerdict.UNKNOWN_KEY",
+        "KeyVerdict.STALE_ROUTES if is_old else KeyVerdict.UNKNOWN_KEY",
         "KeyVerdict.UNKNOWN_KEY",
         f"{GATE}.KeyGateTest",
     ),
@@ -127,14 +127,14 @@
     Proof(
         "suspects go on at few engines",
         "request/isolation.py",
-        "return ranked[: max(1, len(left) // ASIDE_PART)]",
+        "return ranked[: max(1, len(left) // REPLICAS_PER_ISOLATION_REPLICA)]",
         "return ranked",
         f"{ASIDE}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
     ),
     Proof(
         "the last engine takes no suspect",
         "request/routed_watch.py",
-        "        if is_last(left, pool.answerers) and not begun:\n",
+        "        if is_last_remaining(left, pool.answerers) and not begun:\n",
         "        if False:\n",
         f"{ASIDE}.SuspectsTest",
     ),
