--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -1,9 +1,9 @@
-"""Where a request goes: which replica answers it, which engine reads its prompt.
+"""Placement: which replica serves a request, which engine prefills its prompt.
 
-A prompt's shared parts are dear to read and cheap to keep, so each set of shared
-parts has homes that all hosts compute alike, without a message: the first engines of
-a rendezvous order. Prompts go to their home unless its queue is so long that reading
-the shared parts anew elsewhere is quicker.
+Prefix blocks are expensive to prefill and cheap to cache. Each prefix therefore has
+home engines, chosen by rendezvous hashing, so that all hosts agree on them without
+exchanging messages. A prompt goes to its home engine unless the queue there is so long
+that prefilling the prefix again elsewhere is faster.
 """
 
 import random
@@ -23,53 +23,56 @@
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
 
-# Shared parts shorter than this are read in less time than a hop to their home saves.
+# Shorter prefixes have no home engine: prefilling them again takes less time than a hop
+# to the home engine saves.
 HOME_TOKENS = 1000
-# Replicas looked at in a pool; of more than these, so many are drawn. Two drawn ones
-# already avoid long queues; a dozen make the worst of them unlikely.
+# Replicas considered per decision; in a larger pool this many are sampled. Two samples
+# already avoid long queues; a dozen make the longest ones unlikely.
 LOOKED_AT = 12
-# Parts that no engine keeps are read at one of their homes unless both are this many
-# tokens busier than another engine: hosts that have not heard of each other yet meet
-# there.
+# A prefix that no engine has cached goes to one of its home engines unless each of them
+# has this many more tokens queued than another engine, so that hosts that do not know
+# of each other's prompts yet choose the same engine.
 AWAY_TOKENS = 37_000
-# The same for the second home: each spill has the parts read twice and kept twice.
+# The same for the second home engine: each spill prefills and caches the prefix twice.
 SECOND_TOKENS = 20_000
-# Prompts up to this size may be read by the engine that answers: they stop its streams
-# for less than a pause may last.
+# Prompts up to this size may be prefilled by the engine that decodes them: they stall
+# its streams for less than the longest pause allowed between tokens.
 DIRECT_TOKENS = 2048
-# What a prompt read apart loses on its way to the engine that answers, as tokens that
-# are read meanwhile.
+# Overhead of disaggregated prefill (handing the KV cache to the decode engine), in
+# tokens that could be prefilled in that time.
 APART_TOKENS = 6_000
-# What reading shared parts anew costs others, as a multiple of its own time: the
-# engine's queue grows by it, and other prompts' parts yield their memory.
+# Cost to other prompts of prefilling a prefix again, as a multiple of its own time: it
+# lengthens the engine's queue and evicts other prefixes from its KV cache.
 SHARED_WEIGHT = 1.5
-# An engine that answers reads at half the speed, between the tokens of other requests
+# A decode engine prefills at half speed, between the tokens of its running requests
 # (the engines' published interface).
 ANSWERING_READ_SHARE = 0.5
-# Tokens' worth of reading that each pair of a new token and one before it costs:
-# reading slows as the context grows.
+# Attention cost of each pair of a new token and an earlier one, in tokens of prefill
+# work: prefill slows down as the context grows.
 TOKENS_PER_PAIR = 3.2e-5
-# Prompt tokens that a request waiting at an engine is taken to have.
+# Prompt tokens assumed for each request that an engine reports as waiting.
 WAITING_TOKENS = 4_000
-# Tokens of less urgent prompts that a more urgent one is taken to wait for at most: an
-# engine finishes the prompt that it reads.
+# Maximum tokens of less urgent prompts that a more urgent one is assumed to wait for:
+# an engine does not preempt the prompt that it is prefilling.
 BEGUN_TOKENS = 8_000
-# How much longer a KV cache takes to another domain (the engines' published interface).
+# How many times longer a KV cache transfer to another domain takes (the engines'
+# published interface).
 AWAY_MOVE_FACTOR = 2
-# Seconds of waiting that a hop to another domain is worth avoiding: callers lose 2 ms,
-# and bytes between domains are dear. A prompt's text goes to two engines, so it weighs
-# by its size, as this part of the time in which it is read.
+# Cost of a hop to another domain, in seconds of waiting: it adds 2 ms for the caller,
+# and traffic between domains is expensive. A prompt's text is sent to two engines, so
+# its size adds this share of its prefill time.
 DOMAIN_SECONDS = 0.01
 DOMAIN_READ_SHARE = 0.3
-# Seconds that one severe failure just now weighs.
+# Cost of one severe failure that has just occurred.
 FAILURE_SECONDS = 0.4
-# Seconds of work of one request at a plain service.
+# Service time of one request at a plain service.
 PLAIN_SECONDS = 0.03
+# Random addition that breaks ties between equal replicas.
 JITTER_SECONDS = 0.002
 
 
 class Reason(StrEnum):
-    """Why a request goes where it goes."""
+    """Why a replica was chosen, as logged."""
 
     HOME = "home"
     WARM = "warm"
@@ -78,12 +81,13 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """A replica, why, the seconds predicted there, and the tokens it has to read.
+    """A replica chosen for a request, the reason and the predicted work there.
 
-    ``weight`` is what the choice goes by: the seconds, and what others pay for it.
-    ``ahead`` is what is known to be before it: tokens at an engine that reads,
-    requests at one that answers; ``again``: the tokens of shared parts that an engine
-    which reads is not known to keep.
+    ``seconds`` is the predicted latency, ``tokens`` the prefill work. The choice
+    minimizes ``cost``: the latency plus what the placement costs other requests.
+    ``queued`` is the work known to be queued ahead: tokens at a prefill engine,
+    requests at a decode engine. ``uncached_prefix_tokens`` are the prefix tokens that
+    a prefill engine is not known to have cached.
     """
 
     target: Replica
@@ -96,12 +100,12 @@
 
 
 class PlacementPolicy(Protocol):
-    """Chooses replicas; ``None``: there is none left."""
+    """Chooses replicas; ``None`` means that no replica is left to try."""
 
     def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
-        """Return the place of a request without a prompt."""
+        """Return the placement of a request without a prompt."""
 
     def choose_prefill(
         self,
@@ -111,7 +115,7 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should read a prompt; ``None``: none reads apart."""
+        """Return the engine to prefill a prompt; ``None``: the decode engine does."""
 
     def choose_decode(
         self,
@@ -121,14 +125,14 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should answer what ``reader`` has read."""
+        """Return the engine that should decode after ``prefill_engine``."""
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
-        """Note that a prompt goes where a placement says."""
+        """Record that a prompt is sent as placed."""
 
 
 class Placer:
-    """Chooses by predicted time to the first piece of the answer."""
+    """Chooses by predicted time to first token."""
 
     def __init__(
         self,
@@ -139,7 +143,7 @@
         domain: DomainName,
         rng: random.Random,
     ):
-        """Choose for a host in ``domain``."""
+        """Place requests for a host in ``domain``."""
         self._speeds = speeds
         self._loads = loads
         self._peers = peers
@@ -150,10 +154,10 @@
     def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
-        """Return the place of a request without a prompt."""
+        """Return the placement of a request without a prompt."""
         places = [
-            self._plain_place(rep, now)
-            for rep in self._some(_without(pool.replicas, avoid))
+            self._plain_placement(rep, now)
+            for rep in self._sample(_excluding(pool.replicas, avoid))
         ]
         return min(places, key=lambda place: place.cost, default=None)
 
@@ -165,20 +169,22 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should read a prompt; ``None``: none reads apart."""
+        """Return the engine to prefill a prompt; ``None``: the decode engine does."""
         homes = self._homes(pool, prompt)
-        found = self._candidates(pool, prompt, homes)
-        most_kept = max((self._kept(rep, prompt) for rep in found), default=0)
+        candidates = self._candidates(pool, prompt, homes)
+        max_cached = max(
+            (self._cached_tokens(rep, prompt) for rep in candidates), default=0
+        )
         places = [
-            self._reading(rep, prompt, urgency, homes, most_kept, now)
-            for rep in _without(found, avoid)
+            self._prefill_placement(rep, prompt, urgency, homes, max_cached, now)
+            for rep in _excluding(candidates, avoid)
         ]
         best = min(places, key=lambda place: place.cost, default=None)
         if best is None or prompt.tokens > DIRECT_TOKENS:
             return best
         direct = self.choose_decode(pool, prompt, None, avoid, now)
-        apart = best.seconds + APART_TOKENS / self._rate(best.target)
-        if direct is not None and direct.seconds < apart:
+        remote_seconds = best.seconds + APART_TOKENS / self._prefill_rate(best.target)
+        if direct is not None and direct.seconds < remote_seconds:
             return None
         return best
 
@@ -190,18 +196,18 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should answer what ``reader`` has read.
+        """Return the engine that should decode after ``prefill_engine``.
 
-        Without a reader it reads the prompt itself.
+        Without a prefill engine it prefills the prompt itself.
         """
         places = [
-            self._answering(rep, prompt, prefill_engine, now)
-            for rep in self._some(_without(pool.answerers, avoid))
+            self._decode_placement(rep, prompt, prefill_engine, now)
+            for rep in self._sample(_excluding(pool.answerers, avoid))
         ]
         return min(places, key=lambda place: place.cost, default=None)
 
     def _homes(self, pool: Pool, prompt: Prompt) -> tuple[Replica, ...]:
-        """Return the homes of a prompt's shared parts; small ones have none."""
+        """Return the home engines of a prompt's prefix; a short prefix has none."""
         if prompt.prefix_tokens < HOME_TOKENS:
             return ()
         return pool.homes(prompt.prefix_blocks[-1].id)
@@ -209,83 +215,89 @@
     def _candidates(
         self, pool: Pool, prompt: Prompt, homes: tuple[Replica, ...]
     ) -> list[Replica]:
-        """Return the reading engines worth looking at.
+        """Return the prefill engines to consider.
 
-        In a large pool these are the homes, the engines that keep the parts, and a
-        few others: the work of a decision must not grow with the fleet.
+        In a large pool these are the home engines, the engines that have the prefix
+        cached, and a sample of the others: the cost of a decision must not grow with
+        the fleet.
         """
         if len(pool.readers) <= LOOKED_AT:
             return pool.readers
-        found = {rep.instance: rep for rep in (*homes, *self._some(pool.readers))}
+        candidates = {
+            rep.instance: rep for rep in (*homes, *self._sample(pool.readers))
+        }
         if homes:
-            for hashed in self._warm.keepers(prompt.prefix_blocks[-1].id):
-                keeper = pool.reader(hashed)
-                if keeper is not None:
-                    found[keeper.instance] = keeper
-        return list(found.values())
-
-    def _some(self, replicas: list[Replica]) -> list[Replica]:
-        """Return all of a few replicas, or some of many."""
+            for engine_hash in self._warm.keepers(prompt.prefix_blocks[-1].id):
+                caching_engine = pool.reader(engine_hash)
+                if caching_engine is not None:
+                    candidates[caching_engine.instance] = caching_engine
+        return list(candidates.values())
+
+    def _sample(self, replicas: list[Replica]) -> list[Replica]:
+        """Return all replicas, or a random sample of a large number."""
         if len(replicas) <= LOOKED_AT:
             return replicas
         return self._rng.sample(replicas, LOOKED_AT)
 
-    def _reading(
+    def _prefill_placement(
         self,
         replica: Replica,
         prompt: Prompt,
         urgency: Urgency,
         homes: tuple[Replica, ...],
-        most_kept: int,
+        max_cached: int,
         now: float,
     ) -> Placement:
-        kept = self._kept(replica, prompt)
-        tokens = prefill_work(prompt.tokens, kept)
-        backlog = self._backlog(replica, urgency, now)
-        rate = self._rate(replica)
-        seconds = (backlog + tokens) / rate
-        reason = self._reason(replica, homes, kept >= prompt.prefix_tokens)
-        cost = seconds + _burden(prompt, kept, most_kept, reason) / rate
-        cost += self._way(replica, prompt.tokens) + self._distrust(replica, now)
-        again = max(0, prompt.prefix_tokens - kept)
-        return Placement(replica, reason, seconds, tokens, cost, backlog, again)
-
-    def _rate(self, replica: Replica) -> float:
+        cached = self._cached_tokens(replica, prompt)
+        tokens = prefill_work(prompt.tokens, cached)
+        queued = self._queued_tokens(replica, urgency, now)
+        rate = self._prefill_rate(replica)
+        seconds = (queued + tokens) / rate
+        reason = self._reason(replica, homes, cached >= prompt.prefix_tokens)
+        cost = seconds + _cost_to_others(prompt, cached, max_cached, reason) / rate
+        cost += self._distance_cost(replica, prompt.tokens) + self._failure_cost(
+            replica, now
+        )
+        uncached = max(0, prompt.prefix_tokens - cached)
+        return Placement(replica, reason, seconds, tokens, cost, queued, uncached)
+
+    def _prefill_rate(self, replica: Replica) -> float:
         return self._speeds.read_rate(replica.service)
 
     def _reason(
-        self, replica: Replica, homes: tuple[Replica, ...], keeps_all: bool
+        self, replica: Replica, homes: tuple[Replica, ...], caches_all: bool
     ) -> Reason:
-        """Return why an engine is looked at.
+        """Return why an engine is considered.
 
-        Warm is one that keeps all shared parts. The first of them are shared by most
-        prompts and kept by every engine: taken for warmth, they scatter the prompts of
-        one set of parts over all engines, and each of these reads the parts anew.
+        An engine is warm only if it has all prefix blocks cached. The leading blocks
+        are common to most prompts and cached by every engine: if they counted as warm,
+        prompts with the same prefix would scatter over all engines, and each engine
+        would prefill that prefix again.
         """
         if homes and replica is homes[0]:
             return Reason.HOME
-        if homes and keeps_all:
+        if homes and caches_all:
             return Reason.WARM
         return Reason.SECOND_HOME if replica in homes else Reason.LEAST_LOADED
 
-    def _kept(self, replica: Replica, prompt: Prompt) -> int:
-        """Return the tokens that an engine is likely to keep of a prompt."""
-        kept = 0
+    def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
+        """Return the leading tokens of a prompt that an engine probably has cached."""
+        cached = 0
         room = self._speeds.memory_tokens(replica.service)
         for block in prompt.prefix_blocks:
             if not self._warm.keeps(block.id, replica.instance, room):
                 break
-            kept += block.tokens
-        return kept
+            cached += block.tokens
+        return cached
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
-        """Note that a prompt goes where a placement says."""
+        """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
                 self._warm.sent(block.id, block.tokens, place.target.instance, now)
 
-    def _backlog(self, replica: Replica, urgency: Urgency, now: float) -> float:
-        """Return the tokens that are read before a new prompt's, as far as known."""
+    def _queued_tokens(self, replica: Replica, urgency: Urgency, now: float) -> float:
+        """Return the known tokens that are prefilled before a new prompt."""
         load = self._loads.of(replica.instance)
         others = self._peers.reading(replica.instance, now)
         known = sum(load.reading[: urgency + 1]) + sum(others[: urgency + 1])
@@ -293,7 +305,7 @@
         known += min(BEGUN_TOKENS, patient)
         return max(known, load.waiting(now) * WAITING_TOKENS)
 
-    def _answering(
+    def _decode_placement(
         self,
         replica: Replica,
         prompt: Prompt,
@@ -301,75 +313,83 @@
         now: float,
     ) -> Placement:
         load, service = self._loads.of(replica.instance), replica.service
-        running = self._running(replica, load, now)
+        running = self._running_requests(replica, load, now)
         seconds = running * self._speeds.running_seconds(service)
         waiting = max(0.0, running + 1 - replica.slots)
         seconds += waiting * self._speeds.slot_seconds(service, replica.slots)
-        backlog = sum(load.reading) + sum(self._peers.reading(replica.instance, now))
+        queued = sum(load.reading) + sum(self._peers.reading(replica.instance, now))
         tokens = 0
         if prefill_engine is None:
             tokens = prefill_work(prompt.tokens, 0)
         else:
-            move = self._speeds.move_seconds(service, prompt.tokens)
-            near = prefill_engine.domain == replica.domain
-            seconds += move if near else AWAY_MOVE_FACTOR * move
-        seconds += (backlog + tokens) / (ANSWERING_READ_SHARE * self._rate(replica))
-        cost = seconds + self._way(replica, prompt.tokens)
-        cost += self._distrust(replica, now)
+            transfer_seconds = self._speeds.move_seconds(service, prompt.tokens)
+            same_domain = prefill_engine.domain == replica.domain
+            seconds += (
+                transfer_seconds if same_domain else AWAY_MOVE_FACTOR * transfer_seconds
+            )
+        seconds += (queued + tokens) / (
+            ANSWERING_READ_SHARE * self._prefill_rate(replica)
+        )
+        cost = seconds + self._distance_cost(replica, prompt.tokens)
+        cost += self._failure_cost(replica, now)
         return Placement(replica, Reason.LEAST_LOADED, seconds, tokens, cost, running)
 
-    def _plain_place(self, replica: Replica, now: float) -> Placement:
+    def _plain_placement(self, replica: Replica, now: float) -> Placement:
         load = self._loads.of(replica.instance)
-        busy = self._running(replica, load, now) + load.waiting(now)
-        seconds = PLAIN_SECONDS * busy / max(1, replica.slots)
-        cost = seconds + self._way(replica) + self._distrust(replica, now)
+        request_count = self._running_requests(replica, load, now) + load.waiting(now)
+        seconds = PLAIN_SECONDS * request_count / max(1, replica.slots)
+        cost = seconds + self._distance_cost(replica) + self._failure_cost(replica, now)
         return Placement(replica, Reason.LEAST_LOADED, seconds, 0, cost)
 
-    def _running(self, replica: Replica, load: TargetLoad, now: float) -> float:
+    def _running_requests(
+        self, replica: Replica, load: TargetLoad, now: float
+    ) -> float:
         known = load.in_flight + self._peers.in_flight(replica.instance, now)
         return max(known, load.running(now))
 
-    def _way(self, replica: Replica, tokens: int = 0) -> float:
-        """Return the seconds that distance weighs; a hop itself takes 1 ms."""
+    def _distance_cost(self, replica: Replica, tokens: int = 0) -> float:
+        """Return the cost of distance, in seconds; a hop itself takes 1 ms."""
         jitter = JITTER_SECONDS * self._rng.random()
         if replica.domain == self._domain:
             return jitter
-        read_seconds = tokens / self._rate(replica)
-        return DOMAIN_SECONDS + DOMAIN_READ_SHARE * read_seconds + jitter
+        prefill_seconds = tokens / self._prefill_rate(replica)
+        return DOMAIN_SECONDS + DOMAIN_READ_SHARE * prefill_seconds + jitter
 
-    def _distrust(self, replica: Replica, now: float) -> float:
-        """Return the seconds that recent failures weigh.
+    def _failure_cost(self, replica: Replica, now: float) -> float:
+        """Return the cost of recent failures, in seconds.
 
-        They only order replicas: where all have failed, none is slower for it, and a
-        request is not refused as too late.
+        It only orders replicas and is not part of the predicted latency, so that no
+        request is refused as too late when all replicas have failed recently.
         """
         failures = self._loads.of(replica.instance).failures(now)
-        told = self._peers.failures(replica.instance, now)
-        return FAILURE_SECONDS * max(failures, told)
+        reported = self._peers.failures(replica.instance, now)
+        return FAILURE_SECONDS * max(failures, reported)
 
 
-def _burden(prompt: Prompt, kept: int, most_kept: int, reason: Reason) -> float:
-    """Return what others pay for a reading, as tokens that are read meanwhile."""
-    least = prefill_work(prompt.tokens, most_kept)
-    burden = SHARED_WEIGHT * (prefill_work(prompt.tokens, kept) - least)
+def _cost_to_others(
+    prompt: Prompt, cached: int, max_cached: int, reason: Reason
+) -> float:
+    """Return what a prefill costs other prompts, in tokens of prefill work."""
+    min_tokens = prefill_work(prompt.tokens, max_cached)
+    extra_tokens = SHARED_WEIGHT * (prefill_work(prompt.tokens, cached) - min_tokens)
     if prompt.prefix_tokens < HOME_TOKENS:
-        return burden
+        return extra_tokens
     if reason is Reason.SECOND_HOME:
-        return burden + SECOND_TOKENS
-    return burden + (AWAY_TOKENS if reason is Reason.LEAST_LOADED else 0.0)
+        return extra_tokens + SECOND_TOKENS
+    return extra_tokens + (AWAY_TOKENS if reason is Reason.LEAST_LOADED else 0.0)
 
 
-def prefill_work(tokens: int, kept: int) -> int:
-    """Return the work of reading a prompt of which ``kept`` tokens are kept.
+def prefill_work(tokens: int, cached: int) -> int:
+    """Return the work of prefilling a prompt of which ``cached`` tokens are cached.
 
-    It is told in tokens that are read without any before them.
+    The unit is a token that is prefilled without any context before it.
     """
-    new = max(0, tokens - kept)
-    pairs = new * (min(kept, tokens) + new / 2)
+    new = max(0, tokens - cached)
+    pairs = new * (min(cached, tokens) + new / 2)
     return int(new + pairs * TOKENS_PER_PAIR)
 
 
-def _without(replicas: list[Replica], avoid: Iterable[InstanceId]) -> list[Replica]:
-    """Return the replicas that have not been tried."""
-    tried = set(avoid)
-    return [rep for rep in replicas if rep.instance not in tried]
+def _excluding(replicas: list[Replica], avoid: Iterable[InstanceId]) -> list[Replica]:
+    """Return the replicas that are not in ``avoid``."""
+    avoided = set(avoid)
+    return [rep for rep in replicas if rep.instance not in avoided]
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -1,4 +1,4 @@
-"""Simple ways of placing, to compare the placement with."""
+"""Baseline placement policies for comparison with ``Placer``."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -15,16 +15,16 @@
 
 
 class PickedPlacer:
-    """Places by one rule alone; knows no prefix and predicts nothing."""
+    """Places by a single rule, without prefix affinity or predictions."""
 
     def __init__(self, pick: Pick):
-        """Choose among the untried replicas by ``pick``."""
+        """Choose among the untried replicas with ``pick``."""
         self._pick = pick
 
     def choose_plain(
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
-        """Return the place of a request without a prompt."""
+        """Return the placement of a request without a prompt."""
         return self._place(pool.replicas, avoid, now, 0)
 
     def choose_prefill(
@@ -35,7 +35,7 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should read a prompt."""
+        """Return the engine that should prefill a prompt."""
         work = prefill_work(prompt.tokens, 0)
         return self._place(pool.readers, avoid, now, work)
 
@@ -47,12 +47,12 @@
         avoid: Iterable[InstanceId],
         now: float,
     ) -> Placement | None:
-        """Return the engine that should answer."""
+        """Return the engine that should decode."""
         work = 0 if prefill_engine is not None else prefill_work(prompt.tokens, 0)
         return self._place(pool.answerers, avoid, now, work)
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
-        """Keep nothing."""
+        """Do nothing: the policy does not track prompts."""
 
     def _place(
         self,
@@ -62,35 +62,35 @@
         tokens: int,
     ) -> Placement | None:
         tried = set(avoid)
-        left = [rep for rep in replicas if rep.instance not in tried]
-        if not left:
+        untried = [rep for rep in replicas if rep.instance not in tried]
+        if not untried:
             return None
-        return Placement(self._pick(left, now), Reason.LEAST_LOADED, 0.0, tokens)
+        return Placement(self._pick(untried, now), Reason.LEAST_LOADED, 0.0, tokens)
 
 
 class RoundRobinPick:
-    """Each replica in turn."""
+    """Picks the replicas in turn."""
 
     def __init__(self, rng: random.Random):
-        """Begin anywhere, so that hosts don't go round together."""
+        """Start at a random replica, so that hosts don't rotate in step."""
         self._turn = rng.randrange(1 << 16)
 
     def __call__(self, replicas: list[Replica], now: float) -> Replica:
-        """Return the next one."""
+        """Return the next replica."""
         self._turn += 1
         return replicas[self._turn % len(replicas)]
 
 
 class LeastReportedPick:
-    """The least load by each replica's own last word."""
+    """Picks the replica with the least load in its last report."""
 
     def __init__(self, loads: TargetLoads, rng: random.Random):
-        """Look at the reports in ``loads``."""
+        """Use the reports in ``loads``."""
         self._loads = loads
         self._rng = rng
 
     def __call__(self, replicas: list[Replica], now: float) -> Replica:
-        """Return the one with the fewest requests, any of these."""
+        """Return the replica with the fewest requests per slot; ties are random."""
         return min(replicas, key=self._reported)
 
     def _reported(self, replica: Replica) -> tuple[float, float]:
@@ -100,13 +100,13 @@
 
 
 class NoHomesPlacer(Placer):
-    """The placement without what engines keep of prompts."""
+    """The placer without prefix affinity: no home engines, no cached prefixes."""
 
     def _homes(self, pool: Pool, prompt: Prompt) -> tuple[Replica, ...]:
         return ()
 
-    def _kept(self, replica: Replica, prompt: Prompt) -> int:
+    def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
         return 0
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
-        """Keep nothing."""
+        """Do nothing: cached prefixes are ignored."""
--- a/berylshift/request/placement_policies.py
+++ b/berylshift/request/placement_policies.py
@@ -1,4 +1,4 @@
-"""The ways of placing that the settings name."""
+"""Placement policies by the names that the settings use."""
 
 import random
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 
 @dataclass
 class PlacementContext:
-    """What a host knows that a placement may go by."""
+    """The state of a host that a placement policy may use."""
 
     loads: TargetLoads
     peers: PeerLoads
@@ -30,26 +30,31 @@
     rng: random.Random
 
 
-def _make(kind: type[Placer], parts: PlacementContext) -> Placer:
+def _make(kind: type[Placer], context: PlacementContext) -> Placer:
     return kind(
-        parts.loads, parts.peers, parts.warm, parts.speeds, parts.domain, parts.rng
+        context.loads,
+        context.peers,
+        context.warm,
+        context.speeds,
+        context.domain,
+        context.rng,
     )
 
 
-def _warm(parts: PlacementContext) -> PlacementPolicy:
-    return _make(Placer, parts)
+def _warm(context: PlacementContext) -> PlacementPolicy:
+    return _make(Placer, context)
 
 
-def _no_homes(parts: PlacementContext) -> PlacementPolicy:
-    return _make(NoHomesPlacer, parts)
+def _no_homes(context: PlacementContext) -> PlacementPolicy:
+    return _make(NoHomesPlacer, context)
 
 
-def _round_robin(parts: PlacementContext) -> PlacementPolicy:
-    return PickedPlacer(RoundRobinPick(parts.rng))
+def _round_robin(context: PlacementContext) -> PlacementPolicy:
+    return PickedPlacer(RoundRobinPick(context.rng))
 
 
-def _least_reported(parts: PlacementContext) -> PlacementPolicy:
-    return PickedPlacer(LeastReportedPick(parts.loads, parts.rng))
+def _least_reported(context: PlacementContext) -> PlacementPolicy:
+    return PickedPlacer(LeastReportedPick(context.loads, context.rng))
 
 
 PLACEMENT_POLICIES: dict[str, Callable[[PlacementContext], PlacementPolicy]] = {
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -1,4 +1,4 @@
-"""Has an engine read a prompt apart, before another engine answers it."""
+"""Disaggregated prefill: one engine prefills a prompt, another one decodes it."""
 
 import logging
 from collections.abc import Callable
@@ -28,50 +28,53 @@
 logger = logging.getLogger(__name__)
 
 STATUS_OK = 200
-# The largest answer of an engine's own interface, in bytes.
+# Maximum size of a response of an engine's native API.
 MAX_CONTROL_BYTES = 65536
-# Freeing a KV cache that is not needed is worth this long.
+# Timeout of the call that releases an unused KV cache.
 RELEASE_SECONDS = 0.3
 
 
 class KvSource(msgspec.Struct, frozen=True):
-    """A KV cache that an engine keeps for one request."""
+    """A KV cache that an engine holds for one request."""
 
     engine: Replica
     handle: str
 
     @property
-    def place(self) -> str:
-        """Return ``IP:PORT/HANDLE``, as another engine is told of it."""
+    def location(self) -> str:
+        """Return ``IP:PORT/HANDLE``, as it is sent to the decode engine."""
         return f"{self.engine.address}/{self.handle}"
 
 
 class PrefillResult(msgspec.Struct, frozen=True):
-    """How a reading ended; ``source`` is set if it is done."""
+    """How a prefill ended; ``source`` is set if it succeeded."""
 
     end: SendEnd
     source: KvSource | None = None
 
 
 class PrefillClient:
-    """Sends prompts to engines that read them; the prompt is not run by that."""
+    """Sends prompts to prefill engines.
+
+    A prefill alone does not count as running the request.
+    """
 
     def __init__(
         self,
-        language: WireCodec,
+        codec: WireCodec,
         client: TargetClient,
         loads: TargetLoads,
         clock: Clock,
         background: Callable[..., None],
     ):
-        """Send by ``client``; free caches by tasks given to ``background``."""
-        self._language = language
+        """Send with ``client``; release KV caches in ``background`` tasks."""
+        self._codec = codec
         self._client = client
         self._loads = loads
         self._clock = clock
         self._background = background
 
-    async def read(
+    async def prefill(
         self,
         request: RequestId,
         place: Placement,
@@ -79,13 +82,16 @@
         out: TargetRequest,
         seconds: float,
     ) -> PrefillResult:
-        """Have ``place`` read the prompt of ``out`` within ``seconds``."""
+        """Have the engine of ``place`` prefill the prompt of ``out``.
+
+        The call times out after ``seconds``.
+        """
         instance = place.target.instance
         self._loads.sent(instance, place.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as answer:
-                    return await self._take(request, place.target, answer)
+                    return await self._parse_response(request, place.target, answer)
             return PrefillResult(SendEnd.SILENT)
         except ThrottledError:
             return PrefillResult(SendEnd.THROTTLED)
@@ -97,12 +103,12 @@
             self._loads.read(instance, place.tokens, urgency)
             self._loads.ended(instance)
 
-    async def _take(
+    async def _parse_response(
         self, request: RequestId, engine: Replica, answer: TargetAnswer
     ) -> PrefillResult:
-        head = self._language.parse_answer_head(answer.status, answer.headers)
+        head = self._codec.parse_answer_head(answer.status, answer.headers)
         if head.request is not None and head.request != request:
-            # A late answer to an earlier request on a kept connection.
+            # A late response to an earlier request on a reused connection.
             answer.usable = False
             return PrefillResult(SendEnd.BROKEN)
         if head.keep_seconds is not None:
@@ -113,27 +119,27 @@
         body = await answer.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
-        handle = self._language.parse_kv_handle(body)
+        handle = self._codec.parse_kv_handle(body)
         if handle is None:
             return PrefillResult(SendEnd.SPOILED)
         return PrefillResult(SendEnd.DONE, KvSource(engine, handle.handle))
 
     def release(self, source: KvSource) -> None:
-        """Free a KV cache that was not taken; it would hold memory until it expires."""
+        """Release an unused KV cache, which would hold memory until it expires."""
         engine = source.engine
-        call = self._language.kv_release_call(source.handle, engine.name)
+        call = self._codec.kv_release_call(source.handle, engine.name)
         out = TargetRequest(
             engine.instance, engine.address, b"DELETE", call.path, list(call.headers)
         )
-        self._background(self._free, out)
+        self._background(self._send_release, out)
 
-    async def _free(self, out: TargetRequest) -> None:
+    async def _send_release(self, out: TargetRequest) -> None:
         with trio.move_on_after(RELEASE_SECONDS):
             try:
                 async with self._client.exchange(out) as answer:
                     await answer.read(MAX_CONTROL_BYTES)
             except ConnectionLayerError as exc:
                 logger.info(
-                    "cache not freed",
+                    "KV cache not released",
                     extra={"instance": out.instance, "reason": str(exc)},
                 )
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -1,4 +1,4 @@
-"""Which engine reads a prompt, in which order, and whether there is any hope."""
+"""Prefill scheduling: the engine, its queue order and the predicted latency."""
 
 from collections.abc import Callable, Iterable
 
@@ -20,10 +20,10 @@
 
 
 class PrefillJob(msgspec.Struct, frozen=True):
-    """A prompt to read; ``waited``: the seconds since its request arrived.
+    """A prompt to prefill; ``waited_seconds`` is the time since its request arrived.
 
-    ``avoid`` are engines that failed to read it, ``avoid_answering`` those that failed
-    to answer it.
+    ``avoid`` lists engines that failed to prefill it, ``avoid_decode`` those that
+    failed to decode it.
     """
 
     route: RouteObjective
@@ -36,7 +36,7 @@
 
 
 class PrefillDecision(msgspec.Struct, frozen=True):
-    """Where a prompt is read, its standing, and the seconds until a first piece."""
+    """The engine to prefill a prompt, its SLO status and the seconds to first token."""
 
     place: Placement
     slo_status: SloStatus
@@ -44,39 +44,45 @@
 
 
 class PrefillScheduler:
-    """Chooses for all prompts of a process; ``hosts``: how many send to the engines."""
+    """Schedules the prefill of all prompts of a process."""
 
     def __init__(
-        self, placer: PlacementPolicy, speeds: EngineSpeeds, hosts: Callable[[], int]
+        self,
+        placer: PlacementPolicy,
+        speeds: EngineSpeeds,
+        host_count: Callable[[], int],
     ):
-        """Place by ``placer``."""
+        """Place prompts with ``placer``.
+
+        ``host_count`` returns how many hosts send to the engines.
+        """
         self._placer = placer
         self._speeds = speeds
-        self._hosts = hosts
+        self._host_count = host_count
         self._flow = ReadingFlow()
 
     def choose(self, job: PrefillJob, now: float) -> PrefillDecision | None:
-        """Return where to read a prompt; ``None``: no engine reads it apart.
+        """Return where to prefill a prompt; ``None``: the decode engine does.
 
-        A prompt that can't be on time, even before all that is less urgent, stands
-        behind those that can.
+        A prompt that would be late even ahead of all less urgent prompts is queued
+        behind those that can be on time.
         """
         place = self._place(job, SloStatus.ON_TIME, now)
         if place is None:
             return None
-        seconds = place.seconds + self._answer_seconds(job, place, now)
+        seconds = place.seconds + self._decode_seconds(job, place, now)
         if slo_status_of(job.route, job.waited_seconds + seconds) is SloStatus.ON_TIME:
             return PrefillDecision(place, SloStatus.ON_TIME, seconds)
         place = self._place(job, SloStatus.LATE, now) or place
         wait = late_prefill_seconds(place.seconds, self._on_time_share(job, now))
-        seconds = wait + self._answer_seconds(job, place, now)
+        seconds = wait + self._decode_seconds(job, place, now)
         return PrefillDecision(place, SloStatus.LATE, seconds)
 
-    def sent(self, job: PrefillJob, choice: PrefillDecision, now: float) -> None:
-        """Note that a prompt goes where it was chosen to go."""
-        self._placer.note_sent(choice.place, job.prompt, now)
-        if choice.slo_status is SloStatus.ON_TIME:
-            self._flow.sent(job.service, choice.place.tokens, now)
+    def sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
+        """Record that a prompt is sent as decided."""
+        self._placer.note_sent(decision.place, job.prompt, now)
+        if decision.slo_status is SloStatus.ON_TIME:
+            self._flow.sent(job.service, decision.place.tokens, now)
 
     def _place(
         self, job: PrefillJob, slo_status: SloStatus, now: float
@@ -86,15 +92,15 @@
             job.pool, job.prompt, urgency, job.avoid, now
         )
 
-    def _answer_seconds(self, job: PrefillJob, reading: Placement, now: float) -> float:
-        """Return the seconds predicted from a read prompt to a first piece."""
-        answering = self._placer.choose_decode(
-            job.pool, job.prompt, reading.target, job.avoid_decode, now
+    def _decode_seconds(self, job: PrefillJob, prefill: Placement, now: float) -> float:
+        """Return the predicted seconds from the end of prefill to the first token."""
+        decode = self._placer.choose_decode(
+            job.pool, job.prompt, prefill.target, job.avoid_decode, now
         )
-        return answering.seconds if answering is not None else 0.0
+        return decode.seconds if decode is not None else 0.0
 
     def _on_time_share(self, job: PrefillJob, now: float) -> float:
-        """Return the part of the engines' time that prompts on time take."""
-        flow = self._flow.rate(job.service, now) * self._hosts()
+        """Return the share of engine time that prompts on time take."""
+        flow = self._flow.rate(job.service, now) * self._host_count()
         rate = self._speeds.read_rate(job.service)
         return flow / max(1.0, len(job.pool.readers) * rate)
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -26,7 +26,7 @@
     Result,
     Verdict,
 )
-from berylshift.request.replica_choice import ReplicaChoice
+from berylshift.request.replica_selector import ReplicaSelector
 from berylshift.request.request_timeout import TimeoutSource, request_timeout
 from berylshift.request.retry_rule import (
     NEVER_SENT,
@@ -85,7 +85,7 @@
         self._sends: list[str] = []
         self._sender = SingleSend(parts, req, route, self._out, self._history)
         self.crash_watch = RoutedWatch(parts, req)
-        self._choice = ReplicaChoice(parts, service, self.crash_watch)
+        self._choice = ReplicaSelector(parts, service, self.crash_watch)
         self._open_place: Placement | None = None
         self._open_since = 0.0
         self._source: KvSource | None = None
@@ -293,7 +293,7 @@
         """Have one engine read the prompt; keep its cache for the answering one."""
         sent_at = self._open_since = self._now()
         self._open_place = place
-        found = await self._parts.reads.read(
+        found = await self._parts.reads.prefill(
             self._req.id,
             place,
             self._urgency,
@@ -353,7 +353,7 @@
     ) -> Sent | None:
         """Send once and relay what comes; return how it ended."""
         if place is None:
-            self._choice.check_room()
+            self._choice.check_not_throttled()
             return None
         loads, instance = self._parts.loads, place.target.instance
         limit_exempt = self._choice.use(instance)
@@ -460,7 +460,7 @@
             rank=engine_rank(self._route, self._standing),
             resume_after=after,
             prefill_only=prefill_only,
-            kv_source=source.place if source is not None else "",
+            kv_source=source.location if source is not None else "",
         )
         headers = self._parts.language.forward_headers(req, dispatch)
         return TargetRequest(
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_selector.py
@@ -1,4 +1,4 @@
-"""Which replicas one request may still go to."""
+"""The replicas that one request may still be sent to."""
 
 from berylshift.ids import InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
@@ -10,15 +10,15 @@
 from berylshift.request.routed_watch import RoutedWatch
 
 
-class ReplicaChoice:
-    """The replicas of a service, as they are left for one request.
+class ReplicaSelector:
+    """Chooses among the replicas of a service that are left for one request.
 
-    Those that it was sent to are left out, those that take nothing now by their own
-    word, and those that its crash watch keeps it from.
+    It leaves out replicas that the request was already sent to, replicas that are
+    throttled, and those that the request's crash watch excludes.
     """
 
     def __init__(self, parts: RelayParts, service: ServiceName, watch: RoutedWatch):
-        """Choose for a request to ``service`` that is watched by ``watch``."""
+        """Choose for a request to ``service`` that ``watch`` tracks for crashes."""
         self._parts = parts
         self._service = service
         self._watch = watch
@@ -30,9 +30,9 @@
         return self._parts.replicas.pool(self._service)
 
     def choose_plain(self, begun: bool) -> Placement | None:
-        """Return where a request without a prompt should go.
+        """Return the placement of a request without a prompt.
 
-        ``begun``: its caller has a part of the answer.
+        ``begun`` says whether its caller has already received part of the response.
         """
         return self._parts.placer.choose_plain(
             self.pool(), self.avoided(begun), self._now()
@@ -41,34 +41,34 @@
     def choose_decode(
         self, prompt: Prompt, prefill_engine: Replica | None, begun: bool
     ) -> Placement | None:
-        """Return the engine that should answer what ``reader`` has read."""
+        """Return the engine that should decode after ``prefill_engine``."""
         return self._parts.placer.choose_decode(
             self.pool(), prompt, prefill_engine, self.avoided(begun), self._now()
         )
 
     def avoided(self, begun: bool) -> list[InstanceId]:
-        """Return the replicas that the request may not go to."""
+        """Return the replicas that the request may not be sent to."""
         closed = self._parts.throttle.closed(self._now())
         avoided = [*self._tried, *(name for name in closed if name != self._reserved)]
         return self._watch.avoided(self.pool(), avoided, begun)
 
     def reserve(self, instance: InstanceId) -> None:
-        """Keep a throttled replica's turn while the prompt is read elsewhere.
+        """Reserve a throttled replica's send slot while another engine prefills.
 
-        Other requests would use it meanwhile, and this one be refused after a reading
-        in vain.
+        Otherwise another request could take the slot meanwhile, and this one would be
+        refused after a wasted prefill.
         """
         if self._parts.throttle.reserve(instance, self._now()):
             self._reserved = instance
 
     def use(self, instance: InstanceId) -> bool:
-        """Note a send to a replica; return whether its turn was kept for it."""
+        """Record a send to a replica; return whether a slot was reserved there."""
         self._tried.append(instance)
         reserved, self._reserved = self._reserved, None
         return instance == reserved
 
-    def check_room(self) -> None:
-        """Raise ``NoRoomError`` if those that are left are throttled, all of them."""
+    def check_not_throttled(self) -> None:
+        """Raise ``NoRoomError`` if all decode engines that are left are throttled."""
         throttle, now = self._parts.throttle, self._now()
         closed = set(throttle.closed(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().answerers]
--- a/berylshift/request/request_timeout.py
+++ b/berylshift/request/request_timeout.py
@@ -1,4 +1,4 @@
-"""How long a request may take, and whose bound that is."""
+"""The timeout of a request, and whether its route or its caller set it."""
 
 from enum import StrEnum
 
@@ -9,7 +9,7 @@
 
 
 class TimeoutSource(StrEnum):
-    """Whose time ends a request."""
+    """Which limit ends a request."""
 
     CALLER = "caller"
     ROUTE = "route"
@@ -17,14 +17,14 @@
 
 
 class RequestTimeout(msgspec.Struct, frozen=True):
-    """The seconds that a request may take from its arrival."""
+    """The seconds that a request may take from its arrival, and what sets them."""
 
     seconds: float
     bound: TimeoutSource
 
 
 def request_timeout(route: Route, req: RoutedRequest) -> RequestTimeout:
-    """Return the least of the route's time and the caller's."""
+    """Return the shorter of the route's timeout and the caller's."""
     if req.seconds_left is not None and req.seconds_left < route.timeout:
         return RequestTimeout(req.seconds_left, TimeoutSource.CALLER)
     return RequestTimeout(route.timeout, TimeoutSource.ROUTE)
--- a/berylshift/request/slo_status.py
+++ b/berylshift/request/slo_status.py
@@ -1,9 +1,9 @@
-"""In which order prompts are read: those that can still be on time go first.
+"""Prefill priority: prompts that can still meet their latency objective go first.
 
-In a swing of the mix more prompts come than engines read. Read in the order in which
-they came, all wait alike and nearly all are late. Those that have missed their
-objective, or will, therefore stand behind those that can meet it, and are read when
-there is room.
+When the request mix shifts, more prompts arrive than the engines can prefill. In FIFO
+order all of them wait equally long and nearly all miss their objective. Prompts that
+have missed their objective, or are predicted to, are therefore queued behind those
+that can meet it, and are prefilled when there is spare capacity.
 """
 
 from enum import StrEnum
@@ -11,25 +11,26 @@
 
 from berylshift.messages.load_digest import Urgency, urgency_of
 
-# The part of the objective within which a first piece must be predicted for a prompt
-# to count as on time: other hosts place prompts that this one has not heard of yet.
+# Share of the objective within which the first token must be predicted for a prompt to
+# count as on time. The margin covers prompts that other hosts have placed and this host
+# does not know of yet.
 ON_TIME_SHARE = 0.75
-# Ranks that a late prompt stands behind its route's own: more than ranks in use differ
-# by, so that late prompts of all of them stand behind those that are on time.
+# Added to the rank of a late prompt. It exceeds the difference between any two ranks in
+# use, so that late prompts of every route queue behind all prompts that are on time.
 LATE_RANKS = 5
-# The least urgent rank that an engine knows.
+# The least urgent rank that an engine accepts.
 LAST_RANK = 9
-# The part of the engines' time that late prompts are taken to get at least: what is
-# known of the others' prompts lags, and a swing lasts seconds.
+# Minimum share of engine time that late prompts are assumed to get: load data from
+# other hosts lags, and a shift of the mix lasts only seconds.
 LEAST_LATE_SHARE = 0.5
 
 
 class RouteObjective(Protocol):
-    """What a route asks for: seconds to a first piece, and a rank, 0 first."""
+    """What a route asks for: a time to first token, and a rank (0 is most urgent)."""
 
     @property
     def objective(self) -> float:
-        """Return the seconds; 0: none are asked for."""
+        """Return the time to first token in seconds; 0 means no objective."""
 
     @property
     def rank(self) -> int:
@@ -37,16 +38,17 @@
 
 
 class SloStatus(StrEnum):
-    """Whether a prompt can still meet its route's objective."""
+    """Whether a prompt can still meet its route's latency objective."""
 
     ON_TIME = "on-time"
     LATE = "late"
 
 
 def slo_status_of(route: RouteObjective, seconds: float) -> SloStatus:
-    """Return the standing of a prompt; ``seconds``: from its arrival to a first piece.
+    """Return the status of a prompt.
 
-    A route without an objective has nothing to miss.
+    ``seconds`` is the time from its arrival to its first token. A route without an
+    objective is always on time.
     """
     if route.objective and seconds > ON_TIME_SHARE * route.objective:
         return SloStatus.LATE
@@ -54,23 +56,24 @@
 
 
 def engine_rank(route: RouteObjective, slo_status: SloStatus) -> int:
-    """Return the rank that an engine is told."""
-    behind = LATE_RANKS if slo_status is SloStatus.LATE else 0
-    return min(LAST_RANK, route.rank + behind)
+    """Return the rank to send to an engine."""
+    penalty = LATE_RANKS if slo_status is SloStatus.LATE else 0
+    return min(LAST_RANK, route.rank + penalty)
 
 
 def urgency_for(route: RouteObjective, slo_status: SloStatus) -> Urgency:
-    """Return the class of a prompt among those that hosts tell each other of."""
+    """Return the urgency class under which hosts report a prompt to each other."""
     if slo_status is SloStatus.LATE:
         return Urgency.PATIENT
     return urgency_of(route.rank)
 
 
 def late_prefill_seconds(seconds: float, on_time_share: float) -> float:
-    """Return the seconds that a late prompt waits for ``seconds`` of reading.
+    """Return the expected wait of a late prompt for ``seconds`` of prefill work.
 
-    ``on_time_share`` is the part of the engines' time that prompts which are on time
-    take: they go on overtaking it. A caller that waits for nothing is told too late
-    that its request was not run; it leaves after two seconds and more.
+    ``on_time_share`` is the share of engine time taken by prompts that are on time,
+    which keep overtaking it. The wait must not be underestimated: a caller that is
+    refused only after it has waited learns too late that its request was not run, and
+    leaves after two seconds or more.
     """
     return seconds / max(LEAST_LATE_SHARE, 1.0 - on_time_share)
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -1,4 +1,4 @@
-"""Asks a target whether it is there."""
+"""Checks whether a target accepts connections."""
 
 import trio
 
@@ -9,9 +9,9 @@
 async def accepts_connections(
     client: EngineClient | ServiceClient, address: str
 ) -> bool:
-    """Return whether a target takes a new connection soon.
+    """Return whether a target accepts a new connection within ``CONNECT_SECONDS``.
 
-    A busy one does, however late it answers; a process that has ended does not.
+    A busy process does, however slowly it responds; one that has exited does not.
     """
     with trio.move_on_after(CONNECT_SECONDS):
         try:
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -1,4 +1,4 @@
-"""Stands between all calls to replicas and the connections that carry them."""
+"""Flow control between all calls to replicas and their connections."""
 
 import logging
 
@@ -13,29 +13,29 @@
 
 
 class ReplicaGate:
-    """Lets calls out that replicas take, by what their answers said."""
+    """Admits calls to replicas according to the flow control in their responses."""
 
     def __init__(
         self,
-        language: WireCodec,
+        codec: WireCodec,
         throttle: Throttle,
         replicas: ReplicaSet,
         clock: Clock,
     ):
-        """Read answers by ``language``; tell ``throttle`` and ``replicas`` of them."""
-        self._language = language
+        """Parse responses with ``codec``; update ``throttle`` and ``replicas``."""
+        self._codec = codec
         self._throttle = throttle
         self._replicas = replicas
         self._clock = clock
 
     def enter(self, instance: InstanceId, limit_exempt: bool) -> float:
-        """Return the time of a call that may go out; raise ``ThrottledError``."""
+        """Return the time at which a call may be sent; raise ``ThrottledError``."""
         if self._replicas.is_draining(instance):
-            raise ThrottledError(f"{instance} leaves")
+            raise ThrottledError(f"{instance} is draining")
         now = self._clock.monotonic()
         wait = self._throttle.take(instance, now, limit_exempt)
         if wait > 0:
-            raise ThrottledError(f"{instance} takes no request for {wait:.2f} s")
+            raise ThrottledError(f"{instance} accepts no request for {wait:.2f} s")
         return now
 
     def answered(
@@ -45,11 +45,11 @@
         headers: list[Header],
         entered_at: float,
     ) -> None:
-        """Take over what the head of an answer asks for."""
-        control = self._language.parse_flow_control(status, headers)
+        """Apply the flow control in the head of a response."""
+        control = self._codec.parse_flow_control(status, headers)
         if control is None:
             return
         now = self._clock.monotonic()
         self._throttle.heard(instance, control, entered_at, now)
         if control.draining and self._replicas.mark_draining(instance, now):
-            logger.info("replica leaves", extra={"instance": instance})
+            logger.info("replica is draining", extra={"instance": instance})
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go: homes of prompts, queues, and who answers."""
+"""Placement: home engines of prefixes, queues, and the decode engine."""
 
 import random
 import unittest
@@ -23,30 +23,32 @@
 
 
 def replica(number: int, phase=EnginePhase.NONE, domain: str = "d1") -> Replica:
-    """Return a replica of the one service."""
+    """Return a replica of the service."""
     return Replica(f"i-{number}", "s", f"10.0.0.{number}:80", domain, 8, False, phase)
 
 
-def prompt(part: str = "p1", shared: int = 13_000, own: int = 3_000) -> Prompt:
-    """Return a prompt of one shared part and one of its own."""
-    parts = (PromptBlock(part, shared), PromptBlock("own", own))
-    return Prompt(parts, shared + own, 80)
+def prompt(
+    block_id: str = "p1", prefix_tokens: int = 13_000, own_tokens: int = 3_000
+) -> Prompt:
+    """Return a prompt of one prefix block and one block of its own."""
+    blocks = (PromptBlock(block_id, prefix_tokens), PromptBlock("own", own_tokens))
+    return Prompt(blocks, prefix_tokens + own_tokens, 80)
 
 
-READERS = [replica(n, EnginePhase.PREFILL) for n in range(1, 7)]
-DECODERS = [replica(n, EnginePhase.DECODE) for n in range(11, 14)]
-ENGINES = READERS + DECODERS
+PREFILL_ENGINES = [replica(n, EnginePhase.PREFILL) for n in range(1, 7)]
+DECODE_ENGINES = [replica(n, EnginePhase.DECODE) for n in range(11, 14)]
+ENGINES = PREFILL_ENGINES + DECODE_ENGINES
 
-LEAST = Reason.LEAST_LOADED
+LEAST_LOADED = Reason.LEAST_LOADED
 
 
-def home_of(of: Prompt, readers: list[Replica]) -> Replica:
-    """Return the first home of a prompt's shared parts."""
-    return Pool(readers).homes(of.prefix_blocks[-1].id)[0]
+def home_of(wanted: Prompt, prefill_engines: list[Replica]) -> Replica:
+    """Return the first home engine of a prompt's prefix."""
+    return Pool(prefill_engines).homes(wanted.prefix_blocks[-1].id)[0]
 
 
-class PlacerCase(unittest.TestCase):
-    """A placer with its knowledge."""
+class PlacerTestCase(unittest.TestCase):
+    """A placer and the state it uses."""
 
     def setUp(self):
         self.loads = TargetLoads()
@@ -59,13 +61,13 @@
         speeds = EngineSpeeds()
         return Placer(self.loads, self.peers, self.warm, speeds, "d1", rng)
 
-    def choose_prefill(self, of: Prompt, engines=None, avoid=(), now: float = 0.0):
+    def choose_prefill(self, wanted: Prompt, engines=None, avoid=(), now: float = 0.0):
         pool = Pool(ENGINES if engines is None else engines)
-        return self.placer.choose_prefill(pool, of, Urgency.USUAL, avoid, now)
+        return self.placer.choose_prefill(pool, wanted, Urgency.USUAL, avoid, now)
 
 
-class HomesTest(PlacerCase):
-    """Homes that all hosts compute alike."""
+class HomesTest(PlacerTestCase):
+    """Home engines, which all hosts compute alike."""
 
     def test_all_hosts_agree(self):
         shuffled = list(ENGINES)
@@ -73,76 +75,83 @@
         for number in range(50):
             wanted = prompt(f"p{number}")
             here = self.choose_prefill(wanted).target
-            there = self.make_placer(number).choose_prefill(
+            elsewhere = self.make_placer(number).choose_prefill(
                 Pool(shuffled), wanted, Urgency.USUAL, (), 0.0
             )
-            self.assertEqual(here, there.target)
-
-    def test_a_leaving_engine_moves_only_its_own_parts(self):
-        parts = [prompt(f"p{number}") for number in range(300)]
-        before = {p.prefix_blocks[0].id: home_of(p, READERS) for p in parts}
-        left = READERS[:-1]
-        moved = [p for p in parts if home_of(p, left) != before[p.prefix_blocks[0].id]]
-        held = Counter(rep.instance for rep in before.values())[READERS[-1].instance]
-        self.assertEqual(len(moved), held)
-
-    def test_parts_spread_over_all_engines(self):
-        homes = Counter(home_of(prompt(f"p{n}"), READERS) for n in range(600))
-        self.assertEqual(len(homes), len(READERS))
-        self.assertLess(max(homes.values()), 2 * 600 / len(READERS))
-
-    def test_small_shared_parts_have_no_home(self):
-        self.assertIs(self.choose_prefill(prompt(shared=300, own=9000)).reason, LEAST)
+            self.assertEqual(here, elsewhere.target)
+
+    def test_removing_an_engine_moves_only_its_own_prefixes(self):
+        prompts = [prompt(f"p{number}") for number in range(300)]
+        before = {p.prefix_blocks[0].id: home_of(p, PREFILL_ENGINES) for p in prompts}
+        remaining = PREFILL_ENGINES[:-1]
+        moved = [
+            p for p in prompts if home_of(p, remaining) != before[p.prefix_blocks[0].id]
+        ]
+        home_count = Counter(rep.instance for rep in before.values())[
+            PREFILL_ENGINES[-1].instance
+        ]
+        self.assertEqual(len(moved), home_count)
+
+    def test_prefixes_spread_over_all_engines(self):
+        homes = Counter(home_of(prompt(f"p{n}"), PREFILL_ENGINES) for n in range(600))
+        self.assertEqual(len(homes), len(PREFILL_ENGINES))
+        self.assertLess(max(homes.values()), 2 * 600 / len(PREFILL_ENGINES))
+
+    def test_a_short_prefix_has_no_home_engine(self):
+        self.assertIs(
+            self.choose_prefill(prompt(prefix_tokens=300, own_tokens=9000)).reason,
+            LEAST_LOADED,
+        )
 
 
-class SpillTest(PlacerCase):
-    """A home that is busy."""
+class HomeQueueTest(PlacerTestCase):
+    """A home engine with a queue."""
 
-    def busy(self, instance: str, tokens: int) -> None:
+    def report_queue(self, instance: str, tokens: int) -> None:
         entry = LoadEntry(target_hash(instance), 3, (0, tokens, 0), 0.0)
         self.peers.take(LoadDigest("other", 1, (entry,)), 0.0)
 
-    def warm_home(self) -> Replica:
-        """Send a prompt to its home; return it."""
+    def fill_home_cache(self) -> Replica:
+        """Send a prompt to its home engine, which is returned."""
         place = self.choose_prefill(prompt())
         self.placer.note_sent(place, prompt(), 0.0)
         return place.target
 
-    def test_a_part_that_nobody_keeps_goes_to_its_home(self):
+    def test_an_uncached_prefix_goes_to_its_home_engine(self):
         place = self.choose_prefill(prompt())
-        self.assertEqual(place.target, home_of(prompt(), READERS))
+        self.assertEqual(place.target, home_of(prompt(), PREFILL_ENGINES))
         self.assertEqual(place.tokens, prefill_work(16_000, 0))
 
-    def test_a_part_that_was_sent_counts_as_kept(self):
-        """Also at a home: an engine that has just taken one over keeps nothing."""
-        home = self.warm_home()
+    def test_a_prefix_that_was_sent_counts_as_cached(self):
+        """Also at the home engine: one that has just become home has cached nothing."""
+        home = self.fill_home_cache()
         again = self.choose_prefill(prompt())
         self.assertEqual((again.target, again.reason), (home, Reason.HOME))
         self.assertEqual(again.tokens, prefill_work(16_000, 13_000))
 
-    def test_a_usual_queue_does_not_move_a_prompt(self):
-        """Reading the shared part anew elsewhere costs 13,000 tokens for all."""
-        home = self.warm_home()
-        self.busy(home.instance, 30_000)
+    def test_a_normal_queue_does_not_move_a_prompt(self):
+        """Prefilling the prefix again elsewhere costs others 13,000 tokens of work."""
+        home = self.fill_home_cache()
+        self.report_queue(home.instance, 30_000)
         self.assertEqual(self.choose_prefill(prompt()).target, home)
 
-    def test_a_queue_of_seconds_does(self):
-        home = self.warm_home()
-        self.busy(home.instance, 200_000)
+    def test_a_queue_of_seconds_moves_a_prompt(self):
+        home = self.fill_home_cache()
+        self.report_queue(home.instance, 200_000)
         place = self.choose_prefill(prompt())
         self.assertNotEqual(place.target, home)
         self.assertIs(place.reason, Reason.SECOND_HOME)
 
-    def test_spilled_parts_are_known_where_they_went(self):
-        home = self.warm_home()
-        self.busy(home.instance, 200_000)
+    def test_a_spilled_prefix_is_cached_where_it_was_sent(self):
+        home = self.fill_home_cache()
+        self.report_queue(home.instance, 200_000)
         place = self.choose_prefill(prompt())
         self.placer.note_sent(place, prompt(), 0.0)
         again = self.choose_prefill(prompt())
         self.assertEqual((again.target, again.reason), (place.target, Reason.WARM))
         self.assertLess(again.tokens, place.tokens / 2)
 
-    def test_leading_parts_alone_are_kept_too(self):
+    def test_leading_blocks_alone_are_cached_too(self):
         root = PromptBlock("root", 2_500)
         one = Prompt(
             (root, PromptBlock("a", 4_000), PromptBlock("x", 1_000)), 7_500, 80
@@ -152,33 +161,34 @@
         )
         place = self.choose_prefill(one)
         self.placer.note_sent(place, one, 0.0)
-        beside = self.placer.choose_prefill(
+        other = self.placer.choose_prefill(
             Pool([place.target]), two, Urgency.USUAL, (), 0.0
         )
-        self.assertEqual(beside.tokens, prefill_work(7_500, 2_500))
+        self.assertEqual(other.tokens, prefill_work(7_500, 2_500))
 
-    def test_a_leading_part_alone_does_not_draw_a_prompt_from_its_home(self):
-        """All prompts begin with one of a few large parts; every engine keeps them.
+    def test_a_cached_leading_block_does_not_move_a_prompt_from_its_home(self):
+        """A leading block that every engine has cached must not attract prompts.
 
-        The home is a little busier than the others. The rest of the shared parts is
-        there alone: anywhere else it is read anew, for this prompt and its next ones.
+        All prompts begin with one of a few large blocks, which every engine caches. The
+        home engine is slightly busier than the others but is the only one with the rest
+        of the prefix: elsewhere that is prefilled again, also for later prompts.
         """
         root, branch = PromptBlock("root", 2_500), PromptBlock("branch", 4_000)
-        of = Prompt((root, branch, PromptBlock("x", 1_000)), 7_500, 80)
-        home = home_of(of, READERS)
-        for engine in READERS:
+        wanted = Prompt((root, branch, PromptBlock("x", 1_000)), 7_500, 80)
+        home = home_of(wanted, PREFILL_ENGINES)
+        for engine in PREFILL_ENGINES:
             self.warm.sent("root", 2_500, engine.instance, 0.0)
-        self.busy(home.instance, 5_000)
-        place = self.choose_prefill(of)
+        self.report_queue(home.instance, 5_000)
+        place = self.choose_prefill(wanted)
         self.assertEqual((place.target, place.reason), (home, Reason.HOME))
 
-    def test_others_work_is_forgotten_when_they_fall_silent(self):
-        home = self.warm_home()
-        self.busy(home.instance, 200_000)
+    def test_load_of_silent_hosts_expires(self):
+        home = self.fill_home_cache()
+        self.report_queue(home.instance, 200_000)
         self.assertEqual(self.choose_prefill(prompt(), now=1.0).target, home)
 
     def test_more_urgent_work_waits_less(self):
-        home = self.warm_home()
+        home = self.fill_home_cache()
         self.loads.sent(home.instance, 60_000, Urgency.PATIENT)
         pool = Pool([home])
         urgent = self.placer.choose_prefill(pool, prompt(), Urgency.URGENT, (), 0.0)
@@ -186,109 +196,119 @@
         skipped = (60_000 - BEGUN_TOKENS) / PRIOR_READ_RATE
         self.assertAlmostEqual(patient.seconds - urgent.seconds, skipped, delta=0.005)
 
-    def test_an_urgent_prompt_avoids_an_engine_that_reads_a_long_one(self):
-        # An engine finishes the prompt that it reads. A short note that went there
-        # would wait up to 0.3 s for it, half of the time in which it is on time.
-        engines = READERS[:2]
+    def test_an_urgent_prompt_avoids_an_engine_with_a_long_prefill(self):
+        # An engine does not preempt the prompt that it is prefilling. A short prompt
+        # sent there would wait up to 0.3 s, half of its time limit to be on time.
+        engines = PREFILL_ENGINES[:2]
         self.loads.sent(engines[0].instance, 20_000, Urgency.PATIENT)
-        short = prompt("p9", shared=200, own=2_500)
+        short = prompt("p9", prefix_tokens=200, own_tokens=2_500)
         place = self.placer.choose_prefill(
             Pool(engines), short, Urgency.URGENT, (), 0.0
         )
         self.assertIs(place.target, engines[1])
 
 
-class LargePoolTest(PlacerCase):
-    """Pools of which a decision looks at a part only."""
+class LargePoolTest(PlacerTestCase):
+    """Pools of which a decision considers only a sample."""
 
-    MANY = [replica(n, EnginePhase.PREFILL) for n in range(1, 1201)]
+    LARGE_POOL = [replica(n, EnginePhase.PREFILL) for n in range(1, 1201)]
 
-    def test_homes_are_among_those_looked_at(self):
-        pool = Pool(self.MANY)
+    def test_home_engines_are_among_the_candidates(self):
+        pool = Pool(self.LARGE_POOL)
         for number in range(50):
             wanted = prompt(f"p{number}")
             place = self.placer.choose_prefill(pool, wanted, Urgency.USUAL, (), 0.0)
             self.assertIs(place.reason, Reason.HOME)
 
-    def test_engines_that_keep_the_parts_are_too(self):
-        home = home_of(prompt(), self.MANY)
-        keeper = next(rep for rep in self.MANY if rep != home)
-        self.warm.sent("p1", 13_000, keeper.instance, 0.0)
-        place = self.choose_prefill(prompt(), engines=self.MANY)
-        self.assertEqual((place.target, place.reason), (keeper, Reason.WARM))
+    def test_engines_with_the_prefix_cached_are_candidates(self):
+        home = home_of(prompt(), self.LARGE_POOL)
+        caching_engine = next(rep for rep in self.LARGE_POOL if rep != home)
+        self.warm.sent("p1", 13_000, caching_engine.instance, 0.0)
+        place = self.choose_prefill(prompt(), engines=self.LARGE_POOL)
+        self.assertEqual((place.target, place.reason), (caching_engine, Reason.WARM))
 
-    def test_of_the_others_a_few_are_drawn(self):
-        looked = self.placer._candidates(Pool(self.MANY), prompt(), ())
-        self.assertEqual(len(looked), LOOKED_AT)
+    def test_the_other_candidates_are_a_sample(self):
+        candidates = self.placer._candidates(Pool(self.LARGE_POOL), prompt(), ())
+        self.assertEqual(len(candidates), LOOKED_AT)
 
 
-class DirectTest(PlacerCase):
-    """Prompts that the answering engine reads itself."""
+class DirectTest(PlacerTestCase):
+    """Prompts that the decode engine prefills itself."""
 
-    def test_short_prompts_are_read_by_the_answering_engine(self):
-        self.assertIsNone(self.choose_prefill(prompt(shared=300, own=1000)))
+    def test_short_prompts_are_prefilled_by_the_decode_engine(self):
+        self.assertIsNone(
+            self.choose_prefill(prompt(prefix_tokens=300, own_tokens=1000))
+        )
 
-    def test_long_ones_never(self):
-        """Each piece read stops the engine's streams for 33 ms."""
+    def test_long_prompts_are_not_prefilled_by_the_decode_engine(self):
+        """Each prefill chunk stalls the engine's streams for 33 ms."""
         self.assertIsNotNone(
-            self.choose_prefill(prompt(shared=0, own=DIRECT_TOKENS + 1))
+            self.choose_prefill(prompt(prefix_tokens=0, own_tokens=DIRECT_TOKENS + 1))
         )
 
-    def test_not_where_answering_engines_have_a_queue(self):
-        for engine in DECODERS:
+    def test_queued_decode_engines_do_not_prefill_short_prompts(self):
+        for engine in DECODE_ENGINES:
             self.loads.sent(engine.instance, 20_000, Urgency.URGENT)
-        self.assertIsNotNone(self.choose_prefill(prompt(shared=300, own=1000)))
+        self.assertIsNotNone(
+            self.choose_prefill(prompt(prefix_tokens=300, own_tokens=1000))
+        )
 
-    def test_without_reading_engines_the_answering_one_reads(self):
-        self.assertIsNone(self.choose_prefill(prompt(), engines=DECODERS))
-        place = self.placer.choose_decode(Pool(DECODERS), prompt(), None, (), 0.0)
+    def test_without_prefill_engines_the_decode_engine_prefills(self):
+        self.assertIsNone(self.choose_prefill(prompt(), engines=DECODE_ENGINES))
+        place = self.placer.choose_decode(Pool(DECODE_ENGINES), prompt(), None, (), 0.0)
         self.assertEqual(place.tokens, prefill_work(16_000, 0))
 
 
-class AnswererTest(PlacerCase):
-    """The engine that answers."""
+class DecodeEngineTest(PlacerTestCase):
+    """The choice of the decode engine."""
 
     def test_least_loaded(self):
-        for engine in DECODERS[:-1]:
+        for engine in DECODE_ENGINES[:-1]:
             for _ in range(10):
                 self.loads.sent(engine.instance, 0, Urgency.USUAL)
-        place = self.placer.choose_decode(Pool(ENGINES), prompt(), READERS[0], (), 0.0)
-        self.assertEqual(place.target, DECODERS[-1])
+        place = self.placer.choose_decode(
+            Pool(ENGINES), prompt(), PREFILL_ENGINES[0], (), 0.0
+        )
+        self.assertEqual(place.target, DECODE_ENGINES[-1])
 
-    def test_near_the_cache(self):
+    def test_same_domain_as_the_cache(self):
         far = replica(21, EnginePhase.DECODE, "d2")
         near = replica(22, EnginePhase.DECODE, "d1")
         place = self.placer.choose_decode(
-            Pool([far, near]), prompt(), READERS[0], (), 0.0
+            Pool([far, near]), prompt(), PREFILL_ENGINES[0], (), 0.0
         )
         self.assertEqual(place.target, near)
 
-    def test_engines_that_were_tried_are_left_out(self):
-        tried = [engine.instance for engine in DECODERS]
+    def test_engines_that_were_tried_are_excluded(self):
+        tried = [engine.instance for engine in DECODE_ENGINES]
         place = self.placer.choose_decode(
-            Pool(ENGINES), prompt(), READERS[0], tried, 0.0
+            Pool(ENGINES), prompt(), PREFILL_ENGINES[0], tried, 0.0
         )
         self.assertIsNone(place)
 
 
-class DistanceTest(PlacerCase):
-    """Bytes between domains are dear; the longer the prompt, the more there are."""
+class DistanceTest(PlacerTestCase):
+    """Traffic between domains is expensive and grows with the prompt."""
 
-    def choose_decode(self, of: Prompt, running: int):
+    def choose_decode(self, wanted: Prompt, running: int):
         near = replica(1, EnginePhase.DECODE, "d1")
         far = replica(2, EnginePhase.DECODE, "d2")
         for _ in range(running):
             self.loads.sent(near.instance, 0, Urgency.USUAL)
-        reader = replica(3, EnginePhase.PREFILL, "d3")
-        place = self.placer.choose_decode(Pool([near, far]), of, reader, (), 0.0)
+        prefill_engine = replica(3, EnginePhase.PREFILL, "d3")
+        place = self.placer.choose_decode(
+            Pool([near, far]), wanted, prefill_engine, (), 0.0
+        )
         return place, place.target is near
 
-    def test_a_long_prompt_stays_in_its_domain_where_a_short_one_goes_away(self):
-        short, stays_short = self.choose_decode(prompt(shared=100, own=100), 7)
+    def test_a_long_prompt_stays_in_its_domain_where_a_short_one_leaves(self):
+        short, stays_short = self.choose_decode(
+            prompt(prefix_tokens=100, own_tokens=100), 7
+        )
         self.setUp()
         long, stays_long = self.choose_decode(prompt(), 7)
         self.assertEqual((stays_short, stays_long), (False, True))
-        # Distance orders engines; it is not time that a caller waits.
+        # Distance adds to the cost, not to the predicted latency.
         self.assertLess(short.seconds, 0.02)
         self.assertGreater(long.cost, long.seconds)
 
@@ -297,7 +317,7 @@
         self.assertFalse(stays)
 
 
-class PlainTest(PlacerCase):
+class PlainTest(PlacerTestCase):
     """Requests without a prompt."""
 
     def test_own_domain_first(self):
@@ -306,7 +326,7 @@
             self.placer.choose_plain(Pool([far, near]), (), 0.0).target, near
         )
 
-    def test_a_busy_neighbour_is_passed_by(self):
+    def test_a_busy_replica_of_the_own_domain_is_skipped(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
         self.loads.heard(near.instance, ReportedLoad(8, 6, 8), 0.0)
         self.assertEqual(
@@ -325,8 +345,8 @@
             self.placer.choose_plain(Pool([one, two]), (), 15.0).target, one
         )
 
-    def test_one_cut_off_host_does_not_condemn_a_replica_for_all(self):
-        """A host that is cut off finds every replica failing and says so."""
+    def test_failures_seen_by_a_single_host_do_not_exclude_a_replica(self):
+        """A partitioned host sees every replica fail and reports that to the others."""
         one, two = replica(1), replica(2, domain="d2")
         entry = LoadEntry(target_hash(one.instance), 0, (0, 0, 0), 5.0)
         self.peers.take(LoadDigest("cut-off", 1, (entry,)), 0.0)
@@ -339,12 +359,12 @@
         )
 
 
-class WorkTest(unittest.TestCase):
-    """The work of reading."""
+class PrefillWorkTest(unittest.TestCase):
+    """The work of a prefill."""
 
-    def test_kept_tokens_are_not_read(self):
+    def test_cached_tokens_are_not_prefilled(self):
         self.assertLess(prefill_work(16_000, 13_000), prefill_work(16_000, 0) / 3)
 
-    def test_reading_slows_with_the_context(self):
+    def test_prefill_slows_with_the_context(self):
         self.assertGreater(prefill_work(50_000, 0), 1.5 * 50_000)
         self.assertLess(prefill_work(1_000, 0), 1.05 * 1_000)
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -1,4 +1,4 @@
-"""The simple placings do what their names say, and no more."""
+"""The baseline placement policies do only what their names say."""
 
 import random
 import unittest
@@ -12,15 +12,20 @@
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
 from berylshift.settings import CHOICES
-from berylshift.tests.test_request_placement import DECODERS, ENGINES, READERS, prompt
+from berylshift.tests.test_request_placement import (
+    DECODE_ENGINES,
+    ENGINES,
+    PREFILL_ENGINES,
+    prompt,
+)
 
 
 class BaselineTest(unittest.TestCase):
-    """Each placing over the same engines."""
+    """Each policy over the same engines."""
 
     def setUp(self):
         self.loads = TargetLoads()
-        self.parts = PlacementContext(
+        self.context = PlacementContext(
             self.loads,
             PeerLoads("me"),
             WarmParts(),
@@ -30,43 +35,45 @@
         )
         self.pool = Pool(ENGINES)
 
-    def choose_prefill(self, name: str, of=None, avoid=()):
-        placing = PLACEMENT_POLICIES[name](self.parts)
-        return placing.choose_prefill(
-            self.pool, of or prompt(), Urgency.USUAL, avoid, 0.0
+    def choose_prefill(self, name: str, wanted=None, avoid=()):
+        policy = PLACEMENT_POLICIES[name](self.context)
+        return policy.choose_prefill(
+            self.pool, wanted or prompt(), Urgency.USUAL, avoid, 0.0
         )
 
-    def test_settings_name_each(self):
+    def test_settings_name_every_policy(self):
         self.assertEqual(set(CHOICES["entry", "placing"]), set(PLACEMENT_POLICIES))
 
-    def test_round_robin_takes_each_in_turn(self):
-        placing = PLACEMENT_POLICIES["round-robin"](self.parts)
+    def test_round_robin_rotates(self):
+        policy = PLACEMENT_POLICIES["round-robin"](self.context)
         found = [
-            placing.choose_prefill(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
-            for _ in READERS
+            policy.choose_prefill(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
+            for _ in PREFILL_ENGINES
         ]
-        self.assertEqual({rep.instance for rep in found}, {r.instance for r in READERS})
+        self.assertEqual(
+            {rep.instance for rep in found}, {r.instance for r in PREFILL_ENGINES}
+        )
 
-    def test_least_reported_goes_by_the_last_word(self):
-        for number, rep in enumerate(DECODERS):
+    def test_least_reported_uses_the_last_report(self):
+        for number, rep in enumerate(DECODE_ENGINES):
             self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
-        placing = PLACEMENT_POLICIES["least-reported"](self.parts)
-        place = placing.choose_decode(self.pool, prompt(), READERS[0], (), 0.0)
-        self.assertIs(place.target, DECODERS[-1])
+        policy = PLACEMENT_POLICIES["least-reported"](self.context)
+        place = policy.choose_decode(self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0)
+        self.assertIs(place.target, DECODE_ENGINES[-1])
 
-    def test_without_homes_a_kept_prompt_draws_nobody(self):
-        placing = PLACEMENT_POLICIES["no-homes"](self.parts)
-        of = prompt()
-        home = self.pool.homes(of.prefix_blocks[-1].id)[0]
-        for part in of.prefix_blocks:
-            self.parts.warm.sent(part.id, part.tokens, home.instance, 0.0)
+    def test_without_homes_a_cached_prefix_attracts_no_prompt(self):
+        policy = PLACEMENT_POLICIES["no-homes"](self.context)
+        wanted = prompt()
+        home = self.pool.homes(wanted.prefix_blocks[-1].id)[0]
+        for block in wanted.prefix_blocks:
+            self.context.warm.sent(block.id, block.tokens, home.instance, 0.0)
         self.loads.sent(home.instance, 5_000, Urgency.USUAL)
-        place = placing.choose_prefill(self.pool, of, Urgency.USUAL, (), 0.0)
+        place = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
         self.assertIsNot(place.target, home)
-        self.assertIs(self.choose_prefill("warm", of).target, home)
+        self.assertIs(self.choose_prefill("warm", wanted).target, home)
 
-    def test_tried_replicas_are_left_out(self):
-        tried = [rep.instance for rep in READERS]
+    def test_tried_replicas_are_excluded(self):
+        tried = [rep.instance for rep in PREFILL_ENGINES]
         for name in ("round-robin", "least-reported"):
             with self.subTest(name=name):
                 self.assertIsNone(self.choose_prefill(name, avoid=tried))
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -1,4 +1,4 @@
-"""A rush of prompts before a few engines: who is read first, who is refused."""
+"""A burst of prompts for one engine: which are prefilled first, which are refused."""
 
 import random
 import unittest
@@ -21,84 +21,85 @@
 from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
 
-WAY = route("x", RouteKind.STREAM, objective=0.8, rank=0, pause=0.3)
-READER = replica(1, EnginePhase.PREFILL)
-POOL = Pool([READER, replica(2, EnginePhase.DECODE)])
-# What the engine reads in half a second.
-HALF_A_SECOND = int(PRIOR_READ_RATE / 2)
+ROUTE = route("x", RouteKind.STREAM, objective=0.8, rank=0, pause=0.3)
+PREFILL_ENGINE = replica(1, EnginePhase.PREFILL)
+POOL = Pool([PREFILL_ENGINE, replica(2, EnginePhase.DECODE)])
+# The tokens that the engine prefills in half a second.
+HALF_SECOND_TOKENS = int(PRIOR_READ_RATE / 2)
 
 
-class RushTest(unittest.TestCase):
-    """More prompts come in a second than their engine reads in three.
+class BurstTest(unittest.TestCase):
+    """More prompts arrive in one second than the engine can prefill in three.
 
-    Read in the order in which they came, the first few are on time and the others
-    late, those of the next second too. Here each new prompt that can be on time goes
-    before the late ones, and a late one that would wait for longer than its caller is
-    told so at once.
+    In FIFO order only the first few would be on time, and those of the next second
+    would be late too. Instead, each new prompt that can be on time overtakes the late
+    ones, and a late one whose wait exceeds its caller's patience is refused at once.
     """
 
     def setUp(self):
         self.loads, speeds = TargetLoads(), EngineSpeeds()
         peers, warm, rng = PeerLoads("me"), WarmParts(), random.Random(1)
         placer = Placer(self.loads, peers, warm, speeds, "d1", rng)
-        self.chooser = PrefillScheduler(placer, speeds, lambda: 1)
+        self.scheduler = PrefillScheduler(placer, speeds, lambda: 1)
         self.now = 0.0
 
-    def come(self, waited: float = 0.0):
-        """Let a prompt of 16,000 tokens come and be sent; return its choice."""
-        ask = PrefillJob(WAY, "s", POOL, prompt(), waited)
-        choice = self.chooser.choose(ask, self.now)
-        if choice.seconds <= WAY.patience:
+    def arrive(self, waited_seconds: float = 0.0):
+        """Schedule a prompt of 16,000 tokens and send it; return the decision."""
+        job = PrefillJob(ROUTE, "s", POOL, prompt(), waited_seconds)
+        decision = self.scheduler.choose(job, self.now)
+        if decision.seconds <= ROUTE.patience:
             urgency = Urgency.URGENT
-            if choice.slo_status is SloStatus.LATE:
+            if decision.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
-            self.chooser.sent(ask, choice, self.now)
-            self.loads.sent(READER.instance, choice.place.tokens, urgency)
-        return choice
-
-    def test_of_a_rush_the_first_are_on_time_and_the_last_are_refused(self):
-        rush = [self.come() for _ in range(60)]
-        standings = [choice.slo_status for choice in rush]
-        on_time = standings.count(SloStatus.ON_TIME)
+            self.scheduler.sent(job, decision, self.now)
+            self.loads.sent(PREFILL_ENGINE.instance, decision.place.tokens, urgency)
+        return decision
+
+    def test_the_first_of_a_burst_are_on_time_and_the_last_are_refused(self):
+        burst = [self.arrive() for _ in range(60)]
+        statuses = [decision.slo_status for decision in burst]
+        on_time = statuses.count(SloStatus.ON_TIME)
         self.assertGreater(on_time, 1)
-        self.assertEqual(standings[:on_time], [SloStatus.ON_TIME] * on_time)
-        refused = [choice for choice in rush if choice.seconds > WAY.patience]
+        self.assertEqual(statuses[:on_time], [SloStatus.ON_TIME] * on_time)
+        refused = [decision for decision in burst if decision.seconds > ROUTE.patience]
         self.assertGreater(len(refused), 10)
-        self.assertNotIn(SloStatus.ON_TIME, {choice.slo_status for choice in refused})
+        self.assertNotIn(
+            SloStatus.ON_TIME, {decision.slo_status for decision in refused}
+        )
 
-    def test_who_comes_when_the_engine_has_read_on_passes_the_late_ones(self):
+    def test_a_prompt_that_can_be_on_time_overtakes_late_ones(self):
         for _ in range(60):
-            self.come()
-        self.loads.of(READER.instance).reading[Urgency.URGENT] = 0
-        choice = self.come()
-        self.assertIs(choice.slo_status, SloStatus.ON_TIME)
-        self.assertLess(choice.seconds, WAY.objective)
+            self.arrive()
+        self.loads.of(PREFILL_ENGINE.instance).reading[Urgency.URGENT] = 0
+        decision = self.arrive()
+        self.assertIs(decision.slo_status, SloStatus.ON_TIME)
+        self.assertLess(decision.seconds, ROUTE.objective)
 
-    def test_who_has_waited_too_long_is_late_at_an_idle_engine(self):
-        self.assertIs(self.come(waited=0.5).slo_status, SloStatus.LATE)
+    def test_a_prompt_that_waited_too_long_is_late_at_an_idle_engine(self):
+        self.assertIs(self.arrive(waited_seconds=0.5).slo_status, SloStatus.LATE)
 
     def late_wait_after(self, slo_status: SloStatus) -> float:
-        """Return how long a late prompt waits after 40 others of a standing."""
+        """Return how long a late prompt waits after 40 others of a status."""
         self.setUp()
-        ask = PrefillJob(WAY, "s", POOL, prompt(), 0.0)
+        job = PrefillJob(ROUTE, "s", POOL, prompt(), 0.0)
         for _ in range(40):
-            place = self.chooser.choose(ask, self.now).place
-            self.chooser.sent(ask, PrefillDecision(place, slo_status, 0.0), self.now)
-        self.loads.sent(READER.instance, 2 * HALF_A_SECOND, Urgency.URGENT)
-        return self.come().seconds
+            place = self.scheduler.choose(job, self.now).place
+            self.scheduler.sent(job, PrefillDecision(place, slo_status, 0.0), self.now)
+        self.loads.sent(PREFILL_ENGINE.instance, 2 * HALF_SECOND_TOKENS, Urgency.URGENT)
+        return self.arrive().seconds
 
-    def test_late_ones_expect_to_be_overtaken(self):
-        """The more prompts on time keep the engine, the longer a late one waits."""
+    def test_late_prompts_expect_to_be_overtaken(self):
+        """The more engine time prompts on time take, the longer a late one waits."""
         calm = self.late_wait_after(SloStatus.LATE)
-        rush = self.late_wait_after(SloStatus.ON_TIME)
-        self.assertGreater(rush, 1.5 * calm)
-        self.assertLess(rush, calm / LEAST_LATE_SHARE + 0.1)
+        burst = self.late_wait_after(SloStatus.ON_TIME)
+        self.assertGreater(burst, 1.5 * calm)
+        self.assertLess(burst, calm / LEAST_LATE_SHARE + 0.1)
 
-    def test_no_engine_reads_apart_where_none_is_there_to_read(self):
-        ask = PrefillJob(
-            WAY, "s", Pool([replica(2, EnginePhase.DECODE)]), prompt(), 0.0
+    def test_no_decision_without_a_prefill_engine(self):
+        job = PrefillJob(
+            ROUTE, "s", Pool([replica(2, EnginePhase.DECODE)]), prompt(), 0.0
         )
-        self.assertIsNone(self.chooser.choose(ask, 0.0))
+        self.assertIsNone(self.scheduler.choose(job, 0.0))
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_request_slo_status.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -1,4 +1,4 @@
-"""Prompts that can still be on time go before those that can't."""
+"""Prompts that can still meet their objective are prefilled before late ones."""
 
 import unittest
 
@@ -19,31 +19,31 @@
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
 
-WAY = route("x", RouteKind.STREAM, objective=0.2, rank=0)
-SLOW_WAY = route("y", RouteKind.STREAM, objective=0.2, rank=7)
+URGENT_ROUTE = route("x", RouteKind.STREAM, objective=0.2, rank=0)
+LOW_RANK_ROUTE = route("y", RouteKind.STREAM, objective=0.2, rank=7)
 
 
-class StandingTest(unittest.TestCase):
-    """The decision alone."""
+class SloStatusTest(unittest.TestCase):
+    """The status, the rank and the expected wait of a prompt."""
 
-    def test_a_prompt_is_late_before_its_objective_is_over(self):
-        limit = ON_TIME_SHARE * WAY.objective
-        self.assertIs(slo_status_of(WAY, limit), SloStatus.ON_TIME)
-        self.assertIs(slo_status_of(WAY, limit + 0.001), SloStatus.LATE)
+    def test_a_prompt_is_late_before_its_objective_has_passed(self):
+        limit = ON_TIME_SHARE * URGENT_ROUTE.objective
+        self.assertIs(slo_status_of(URGENT_ROUTE, limit), SloStatus.ON_TIME)
+        self.assertIs(slo_status_of(URGENT_ROUTE, limit + 0.001), SloStatus.LATE)
 
     def test_a_route_without_an_objective_is_never_late(self):
-        way = msgspec.structs.replace(WAY, objective=0.0)
-        self.assertIs(slo_status_of(way, 100.0), SloStatus.ON_TIME)
+        no_objective = msgspec.structs.replace(URGENT_ROUTE, objective=0.0)
+        self.assertIs(slo_status_of(no_objective, 100.0), SloStatus.ON_TIME)
 
-    def test_late_prompts_stand_behind_all_that_are_on_time(self):
+    def test_late_prompts_rank_behind_all_that_are_on_time(self):
         on_time = route("z", RouteKind.STREAM, objective=0.2, rank=4)
-        late = engine_rank(WAY, SloStatus.LATE)
+        late = engine_rank(URGENT_ROUTE, SloStatus.LATE)
         self.assertGreater(late, engine_rank(on_time, SloStatus.ON_TIME))
-        self.assertEqual(urgency_for(WAY, SloStatus.LATE), Urgency.PATIENT)
-        self.assertEqual(urgency_for(WAY, SloStatus.ON_TIME), Urgency.URGENT)
+        self.assertEqual(urgency_for(URGENT_ROUTE, SloStatus.LATE), Urgency.PATIENT)
+        self.assertEqual(urgency_for(URGENT_ROUTE, SloStatus.ON_TIME), Urgency.URGENT)
 
-    def test_no_rank_is_beyond_the_last(self):
-        self.assertEqual(engine_rank(SLOW_WAY, SloStatus.LATE), LAST_RANK)
+    def test_no_rank_exceeds_the_last(self):
+        self.assertEqual(engine_rank(LOW_RANK_ROUTE, SloStatus.LATE), LAST_RANK)
 
     def test_a_late_prompt_expects_to_be_overtaken(self):
         self.assertEqual(late_prefill_seconds(0.3, 0.0), 0.3)
@@ -52,7 +52,7 @@
 
 
 class ReadingFlowTest(unittest.TestCase):
-    """How much reading goes before late prompts."""
+    """The rate of prefill work that goes ahead of late prompts."""
 
     def test_a_steady_flow_is_its_rate(self):
         flow = ReadingFlow()
@@ -61,7 +61,7 @@
         self.assertAlmostEqual(flow.rate("s", 10.0), 5_000, delta=500)
         self.assertEqual(flow.rate("other", 10.0), 0.0)
 
-    def test_a_flow_that_ended_is_forgotten(self):
+    def test_a_flow_that_ended_decays(self):
         flow = ReadingFlow()
         flow.sent("s", 50_000, 0.0)
         self.assertLess(flow.rate("s", 10 * FLOW_SECONDS), 5)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -29,7 +29,7 @@
 RELAY = "test_request_relay"
 KEYS = "test_entry_keys"
 GATE = "test_request_key_gate"
-ASIDE = "test_request_isolation"
+ISOLATION = "test_request_isolation"
 USAGE = "test_usage_loop"
 SCALING = "test_scaling_planner"
 STREAMS = "test_request_streams"
@@ -127,23 +127,23 @@
     Proof(
         "suspects go on at few engines",
         "request/isolation.py",
-        "return ranked[: max(1, len(left) // REPLICAS_PER_ISOLATION_REPLICA)]",
+        "return ranked[: max(1, len(remaining) // REPLICAS_PER_ISOLATION_REPLICA)]",
         "return ranked",
-        f"{ASIDE}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
+        f"{ISOLATION}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
     ),
     Proof(
         "the last engine takes no suspect",
         "request/routed_watch.py",
         "        if is_last_remaining(left, pool.answerers) and not begun:\n",
         "        if False:\n",
-        f"{ASIDE}.SuspectsTest",
+        f"{ISOLATION}.SuspectsTest",
     ),
     Proof(
         "nothing goes to an engine that has ended",
         "request/routed_watch.py",
         "        found = [*tried, *ended]\n",
         "        found = [*tried]\n",
-        f"{ASIDE}.SuspectsTest",
+        f"{ISOLATION}.SuspectsTest",
     ),
     Proof(
         "not run only by the replica's word",
@@ -643,7 +643,7 @@
         "if slo_status_of(job.route, job.waited_seconds + seconds) "
         "is SloStatus.ON_TIME:",
         "if True:",
-        "test_request_prefill_scheduler.RushTest",
+        "test_request_prefill_scheduler.BurstTest",
     ),
     Proof(
         "what is beyond an engine's memory is not taken for kept",
@@ -655,9 +655,9 @@
     Proof(
         "warm is who keeps all shared parts",
         "request/placement.py",
-        "self._reason(replica, homes, kept >= prompt.prefix_tokens)",
-        "self._reason(replica, homes, kept > 0)",
-        "test_request_placement.SpillTest",
+        "self._reason(replica, homes, cached >= prompt.prefix_tokens)",
+        "self._reason(replica, homes, cached > 0)",
+        "test_request_placement.HomeQueueTest",
     ),
     Proof(
         "a leaving host of the own interface answers before it ends",
@@ -954,7 +954,7 @@
     ),
     Proof(
         "placing leaves out replicas that take nothing now",
-        "request/replica_choice.py",
+        "request/replica_selector.py",
         "        closed = self._parts.throttle.closed(self._now())\n        avoided",
         "        closed = []\n        avoided",
         f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
