--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -39,23 +39,23 @@
     TableHolder,
 )
 from berylshift.request.baselines import LeastReported, RoundRobin
-from berylshift.request.call_watching import CallWatching
 from berylshift.request.choice import (
     Knowledge,
     LeastLateness,
     ReplicaChooser,
     Router,
 )
+from berylshift.request.crash_watch_factory import CallWatching
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.engine_attempt import CompletionParts
 from berylshift.request.fingerprint import Fingerprints
-from berylshift.request.front import Front, FrontParts
-from berylshift.request.plain_send import PlainSend
+from berylshift.request.native_handler import Front, FrontParts
 from berylshift.request.service_call import (
     RECORD_SECONDS,
     ServiceCalls,
     ServiceParts,
 )
+from berylshift.request.service_sender import PlainSend
 from berylshift.settings import (
     CallerSettings,
     Credential,
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -46,8 +46,8 @@
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.request.prompt_read import PromptReads
 from berylshift.request.reading_choice import ReadingChooser
-from berylshift.request.relay_parts import RelayParts
-from berylshift.request.routed_front import RoutedFront
+from berylshift.request.relay_dependencies import RelayParts
+from berylshift.request.routed_handler import RoutedFront
 from berylshift.request.target_gate import ReplicaGate
 from berylshift.settings import Settings
 from berylshift.store.crash_rows import CrashRows
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -6,11 +6,6 @@
 from berylshift.ids import AttemptId, PoolName, TargetName
 from berylshift.process.knowledge.prefixes import Prefixes, prefix_hashes
 from berylshift.request.assembly import AnswerAssembler, Verdict
-from berylshift.request.attempts import (
-    ATTEMPT_BOUNDS,
-    target_preferred,
-    targets_excluded,
-)
 from berylshift.request.choice import Plan, Refusal, WorkItem
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.engine_attempt import (
@@ -26,8 +21,13 @@
     Outcome,
     Reason,
 )
-from berylshift.request.retry_rule import SendEnd, SendHistory, Sent
-from berylshift.request.send_loop import LoopEnd, send_until_done
+from berylshift.request.retry_loop import LoopEnd, send_until_done
+from berylshift.request.retry_policy import SendEnd, SendHistory, Sent
+from berylshift.request.retry_targets import (
+    ATTEMPT_BOUNDS,
+    target_preferred,
+    targets_excluded,
+)
 from berylshift.request.target_check import takes_connections
 from berylshift.targets import (
     EngineCall,
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -13,7 +13,7 @@
 
 from berylshift.ids import AttemptId, CustomerName
 from berylshift.request.messages import Outcome, Reason
-from berylshift.request.retry_rule import (
+from berylshift.request.retry_policy import (
     RetryBounds,
     SendEnd,
     SendHistory,
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -13,13 +13,13 @@
 from berylshift.process.knowledge.lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
-from berylshift.request.call_watching import CallWatching
 from berylshift.request.choice import Knowledge, Router
+from berylshift.request.crash_watch_factory import CallWatching
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import (
     ModelCall,
 )
-from berylshift.request.retry_rule import SendEnd, end_of, retry_after_of
+from berylshift.request.retry_policy import SendEnd, end_of, retry_after_of
 from berylshift.settings import TargetSettings
 from berylshift.targets import (
     EngineCall,
--- a/berylshift/request/lookup.py
+++ b/berylshift/request/lookup.py
@@ -2,11 +2,11 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import AttemptId
-from berylshift.request.attempts import ATTEMPT_BOUNDS, targets_excluded
 from berylshift.request.messages import Ending, Outcome, PlainCall, PlainEnding, Reason
-from berylshift.request.plain_send import PlainSend
-from berylshift.request.retry_rule import SendHistory, Sent
-from berylshift.request.send_loop import Budget, LoopEnd, send_until_done
+from berylshift.request.retry_loop import Budget, LoopEnd, send_until_done
+from berylshift.request.retry_policy import SendHistory, Sent
+from berylshift.request.retry_targets import ATTEMPT_BOUNDS, targets_excluded
+from berylshift.request.service_sender import PlainSend
 from berylshift.targets import ServiceAnswer
 
 COME_BACK_SECONDS = 1.0
--- a/berylshift/request/prompt_read.py
+++ b/berylshift/request/prompt_read.py
@@ -23,7 +23,7 @@
 from berylshift.messages.routed import Language
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
-from berylshift.request.retry_rule import SendEnd
+from berylshift.request.retry_policy import SendEnd
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -19,7 +19,7 @@
 from berylshift.request.placement import Placement
 from berylshift.request.prompt_read import KvSource
 from berylshift.request.reading_choice import ReadingAsk, ReadingChoice
-from berylshift.request.relay_parts import RelayParts
+from berylshift.request.relay_dependencies import RelayParts
 from berylshift.request.relay_result import (
     HopelessError,
     KeyGoneError,
@@ -28,16 +28,16 @@
     Verdict,
 )
 from berylshift.request.replica_choice import ReplicaChoice
-from berylshift.request.retry_rule import (
+from berylshift.request.replica_exchange import FailedAnswer, Reading, SingleSend
+from berylshift.request.retry_loop import LoopEnd, send_until_done
+from berylshift.request.retry_policy import (
     NEVER_SENT,
     SendEnd,
     SendHistory,
     Sent,
     bounds_of,
 )
-from berylshift.request.routed_watch import RoutedWatch
-from berylshift.request.send_loop import LoopEnd, send_until_done
-from berylshift.request.single_send import FailedAnswer, Reading, SingleSend
+from berylshift.request.routed_crash_watch import RoutedWatch
 from berylshift.request.standing import Standing, rank_of, urgency_in
 from berylshift.version.routes import Route
 
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_choice.py
@@ -5,9 +5,9 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.request.placement import Placement
-from berylshift.request.relay_parts import RelayParts
+from berylshift.request.relay_dependencies import RelayParts
 from berylshift.request.relay_result import NoRoomError
-from berylshift.request.routed_watch import RoutedWatch
+from berylshift.request.routed_crash_watch import RoutedWatch
 
 
 class ReplicaChoice:
--- a/berylshift/request/single_send.py
+++ b/berylshift/request/replica_exchange.py
@@ -16,8 +16,8 @@
 from berylshift.messages.routed import AnswerHead, RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.answer_stream import AnswerStream, StreamBrokenError
-from berylshift.request.relay_parts import RelayParts
-from berylshift.request.retry_rule import SendEnd, SendHistory
+from berylshift.request.relay_dependencies import RelayParts
+from berylshift.request.retry_policy import SendEnd, SendHistory
 from berylshift.version.routes import Route, RouteKind
 
 FIRST_ERROR_STATUS = 400
--- a/berylshift/request/send_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -4,7 +4,7 @@
 from typing import Protocol
 
 from berylshift.clock import Clock
-from berylshift.request.retry_rule import (
+from berylshift.request.retry_policy import (
     NEVER_SENT,
     RetryBounds,
     SendEnd,
--- a/berylshift/request/attempts.py
+++ b/berylshift/request/retry_targets.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from berylshift.ids import TargetName
-from berylshift.request.retry_rule import RetryBounds, SendEnd, SendHistory
+from berylshift.request.retry_policy import RetryBounds, SendEnd, SendHistory
 
 ATTEMPTS_ALLOWED = 5
 SAME_TARGET_ATTEMPTS = 2
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -13,7 +13,7 @@
     QuarantinedError,
 )
 from berylshift.request.fingerprint import BODY_BYTES
-from berylshift.request.relay_parts import RelayParts
+from berylshift.request.relay_dependencies import RelayParts
 
 # When a suspect may come back that only the last replica could serve, in seconds: those
 # that ended have started again by then.
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_handler.py
@@ -28,9 +28,9 @@
     refuse,
 )
 from berylshift.request.relay import Relay
-from berylshift.request.relay_parts import RelayParts
+from berylshift.request.relay_dependencies import RelayParts
 from berylshift.request.relay_result import Result, Verdict
-from berylshift.request.single_send import FailedAnswer
+from berylshift.request.replica_exchange import FailedAnswer
 from berylshift.utils import host_of
 from berylshift.version.routes import Route
 
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -24,8 +24,8 @@
     PlainEnding,
     Reason,
 )
-from berylshift.request.plain_send import PlainSend
-from berylshift.request.retry_rule import Sent
+from berylshift.request.retry_policy import Sent
+from berylshift.request.service_sender import PlainSend
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
--- a/berylshift/request/plain_send.py
+++ b/berylshift/request/service_sender.py
@@ -9,12 +9,12 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import AttemptId, TargetName
-from berylshift.request.call_watching import CallWatching
 from berylshift.request.choice import Knowledge, Plan, ReplicaChooser, WorkItem
 from berylshift.request.crash_watch import CrashWatch, QuarantinedError
+from berylshift.request.crash_watch_factory import CallWatching
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import Ending, Outcome, PlainCall, Reason
-from berylshift.request.retry_rule import SendEnd, end_of, retry_after_of
+from berylshift.request.retry_policy import SendEnd, end_of, retry_after_of
 from berylshift.request.target_check import takes_connections
 from berylshift.targets import (
     ServiceAnswer,
--- a/berylshift/telemetry.py
+++ b/berylshift/telemetry.py
@@ -8,7 +8,7 @@
     generate_latest,
 )
 
-from berylshift.request.routed_front import Ended
+from berylshift.request.routed_handler import Ended
 
 # Customers that are counted each by themselves; further ones are counted together.
 MOST_CUSTOMERS = 500
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -18,7 +18,7 @@
     Step,
 )
 from berylshift.request.messages import Outcome
-from berylshift.request.retry_rule import SendEnd, Sent
+from berylshift.request.retry_policy import SendEnd, Sent
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.store.interfaces import (
--- a/berylshift/tests/test_confirmations.py
+++ b/berylshift/tests/test_confirmations.py
@@ -19,7 +19,7 @@
     Step,
 )
 from berylshift.request.messages import Outcome, Reason
-from berylshift.request.retry_rule import SendEnd, Sent
+from berylshift.request.retry_policy import SendEnd, Sent
 from berylshift.targets import ServiceAnswer
 from berylshift.tests.world import call_service, plain_call, run_world
 
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -16,7 +16,7 @@
 from berylshift.version.routes import RouteKind, ServiceShare
 
 PROMPTED = {"shares": (ServiceShare(ENGINES, 1),), "prompted": True}
-FRONT_LOG = "berylshift.request.routed_front"
+FRONT_LOG = "berylshift.request.routed_handler"
 
 
 def endings(logs):
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -48,7 +48,7 @@
 
     def test_every_answer_of_our_own_is_logged_with_its_id(self):
         async def task(world):
-            with self.assertLogs("berylshift.request.routed_front", "INFO") as logs:
+            with self.assertLogs("berylshift.request.routed_handler", "INFO") as logs:
                 await world.ask("/nothing/here", "r1")
                 await world.ask("/look/x", "r2")
             return [record.__dict__ for record in logs.records]
@@ -65,7 +65,7 @@
         async def task(world):
             for replica in world.replicas.values():
                 replica.faults = [Fault.MUTE]
-            with self.assertLogs("berylshift.request.routed_front", "INFO") as logs:
+            with self.assertLogs("berylshift.request.routed_handler", "INFO") as logs:
                 await world.ask("/book/x", left_ms=500)
             return logs.records[0].sends
 
--- a/berylshift/tests/test_request_send_loop.py
+++ b/berylshift/tests/test_request_retry_loop.py
@@ -6,8 +6,8 @@
 
 from berylshift.clock import ManualClock
 from berylshift.request.messages import Outcome
-from berylshift.request.retry_rule import RetryBounds, SendEnd, SendHistory, Sent
-from berylshift.request.send_loop import LoopEnd, send_until_done
+from berylshift.request.retry_loop import LoopEnd, send_until_done
+from berylshift.request.retry_policy import RetryBounds, SendEnd, SendHistory, Sent
 
 TWICE = RetryBounds(repeatable=True, most_runs=2)
 ONCE = RetryBounds(repeatable=False, most_runs=3)
--- a/berylshift/tests/test_request_retry_rule.py
+++ b/berylshift/tests/test_request_retry_policy.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from berylshift.request.retry_rule import (
+from berylshift.request.retry_policy import (
     MOST_SENDS,
     SendEnd,
     SendHistory,
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -17,9 +17,9 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.answer_stream import AnswerStream
 from berylshift.request.engine_attempt import AttemptFailedError, AttemptRun
-from berylshift.request.relay_parts import RelayParts
-from berylshift.request.retry_rule import SendEnd, SendHistory
-from berylshift.request.single_send import Reading, SingleSend
+from berylshift.request.relay_dependencies import RelayParts
+from berylshift.request.replica_exchange import Reading, SingleSend
+from berylshift.request.retry_policy import SendEnd, SendHistory
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.targets import EngineChunk
 from berylshift.tests.entry_world import CallerLink, route
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -42,7 +42,7 @@
 PROOFS = (
     Proof(
         "a replica hears the customer and never the key",
-        "request/routed_front.py",
+        "request/routed_handler.py",
         "        if not admission.keyed:\n",
         "        if True:\n",
         f"{KEYS}.AdmissionTest",
@@ -133,42 +133,42 @@
     ),
     Proof(
         "the last engine takes no suspect",
-        "request/routed_watch.py",
+        "request/routed_crash_watch.py",
         "        if is_last(left, pool.answerers) and not begun:\n",
         "        if False:\n",
         f"{ASIDE}.SuspectsTest",
     ),
     Proof(
         "nothing goes to an engine that has ended",
-        "request/routed_watch.py",
+        "request/routed_crash_watch.py",
         "        found = [*tried, *ended]\n",
         "        found = [*tried]\n",
         f"{ASIDE}.SuspectsTest",
     ),
     Proof(
         "not run only by the replica's word",
-        "request/retry_rule.py",
+        "request/retry_policy.py",
         "self not in (*NEVER_SENT, SendEnd.NOT_RUN)",
         "self in (SendEnd.DONE, SendEnd.FAILED)",
         f"{RELAY}.NotRunTest",
     ),
     Proof(
         "a send that was cancelled may have run",
-        "request/single_send.py",
+        "request/replica_exchange.py",
         "        self._history.open = True\n",
         "",
         f"{RELAY}.NotRunTest.test_silence_is_not_called_not_run",
     ),
     Proof(
         "requests run once unless they may be repeated",
-        "request/retry_rule.py",
+        "request/retry_policy.py",
         "return bounds.repeatable and",
         "return",
-        "test_request_retry_rule.RetryRuleTest",
+        "test_request_retry_policy.RetryRuleTest",
     ),
     Proof(
         "the answer's id is compared",
-        "request/single_send.py",
+        "request/replica_exchange.py",
         "if head.request is not None and head.request != self._req.id:\n"
         "            await limit.bound(answer.skip())",
         "if False:\n            await limit.bound(answer.skip())",
@@ -184,7 +184,7 @@
     ),
     Proof(
         "a leaving host takes nothing that it can't finish",
-        "request/routed_front.py",
+        "request/routed_handler.py",
         "        if self._ends_in_time(req, route):\n",
         "        if True:\n",
         "test_entry_shutdown.PlannedStopTest",
@@ -297,7 +297,7 @@
     ),
     Proof(
         "retries keep to a share",
-        "request/send_loop.py",
+        "request/retry_loop.py",
         "not budget.take(clock.monotonic()) and",
         "False and",
         f"{RELAY}.RetryTest.test_retries_keep_to_the_share_of_all_hosts",
@@ -312,10 +312,10 @@
     ),
     Proof(
         "starting over keeps that a send may have run",
-        "request/retry_rule.py",
+        "request/retry_policy.py",
         "self._ran_before = self.may_have_run",
         "self._ran_before = False",
-        "test_request_send_loop.SendLoopTest",
+        "test_request_retry_loop.SendLoopTest",
     ),
     Proof(
         "further readings are further sends",
@@ -787,7 +787,7 @@
     ),
     Proof(
         "what breaks with a replica that leaves is not suspect",
-        "request/routed_watch.py",
+        "request/routed_crash_watch.py",
         "self.fingerprint is None or self._parts.replicas.is_leaving(replica)",
         "self.fingerprint is None",
         "test_entry_crashing_requests.InnocentTest."
