--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -45,17 +45,17 @@
     ReplicaChooser,
     Router,
 )
-from berylshift.request.crash_watch_factory import CallWatching
+from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
-from berylshift.request.engine_attempt import CompletionParts
+from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.fingerprint import Fingerprints
-from berylshift.request.native_handler import Front, FrontParts
+from berylshift.request.native_handler import NativeHandler, NativeHandlerDependencies
 from berylshift.request.service_call import (
-    RECORD_SECONDS,
+    RECORD_TIMEOUT_SECONDS,
     ServiceCalls,
-    ServiceParts,
+    ServiceDependencies,
 )
-from berylshift.request.service_sender import PlainSend
+from berylshift.request.service_sender import ServiceSender
 from berylshift.settings import (
     CallerSettings,
     Credential,
@@ -166,12 +166,14 @@
         self.quarantine = Quarantine(
             cfg.targets.report_interval, TOLD_TIMES * cfg.peers.interval
         )
-        self.watching = CallWatching(self.quarantine, Fingerprints(), self.load, clock)
+        self.crash_watches = CrashWatchFactory(
+            self.quarantine, Fingerprints(), self.load, clock
+        )
         self.shutdown = Shutdown(clock)
         self.last_sends = Shutdown(clock)
         self.gate = self._make_gate()
-        self.front = self._make_front(callers)
-        self.server = HttpServer(self.front.handle, _limits(cfg.callers))
+        self.handler = self._make_handler(callers)
+        self.server = HttpServer(self.handler.handle, _limits(cfg.callers))
         self._make_loops(addresses)
 
     def _make_gate(self) -> TableGate:
@@ -185,14 +187,14 @@
             cfg.batch_rows,
         )
 
-    def _make_front(self, callers: dict[str, Credential]) -> Front:
+    def _make_handler(self, callers: dict[str, Credential]) -> NativeHandler:
         cfg, ports = self.cfg, self.ports
         retries = RetryBudget(cfg.policy.retry_share, cfg.policy.retry_floor)
         router = make_router(cfg.policy, self.know)
-        completions = CompletionParts(
+        completions = CompletionDependencies(
             clock=ports.clock,
             client=ports.engines,
-            know=self.know,
+            context=self.know,
             router=router,
             retries=retries,
             lengths=OutputLengths(),
@@ -201,22 +203,22 @@
             table=self.holder.get,
             may_route=self.readiness.may_route,
             cfg=cfg.targets,
-            longest=cfg.callers.longest_request,
+            max_duration_seconds=cfg.callers.longest_request,
             shutdown=self.shutdown,
-            watching=self.watching,
+            crash_watches=self.crash_watches,
         )
-        sender = PlainSend(
+        sender = ServiceSender(
             clock=ports.clock,
             client=ports.services,
-            know=self.know,
+            context=self.know,
             chooser=ReplicaChooser(self.know),
             decisions=self.decisions,
             table=self.holder.get,
             may_route=self.readiness.may_route,
-            timeout=cfg.targets.service_timeout,
-            watching=self.watching,
+            timeout_seconds=cfg.targets.service_timeout,
+            crash_watches=self.crash_watches,
         )
-        services = ServiceParts(
+        services = ServiceDependencies(
             clock=ports.clock,
             sender=sender,
             retries=retries,
@@ -227,7 +229,7 @@
             last_sends=self.last_sends,
         )
         self.services = ServiceCalls(services)
-        parts = FrontParts(
+        deps = NativeHandlerDependencies(
             clock=ports.clock,
             cfg=cfg.callers,
             callers=callers,
@@ -240,7 +242,7 @@
             ready=self.readiness.is_ready,
             rng=ports.rng,
         )
-        return Front(parts)
+        return NativeHandler(deps)
 
     def _make_loops(self, addresses: Addresses) -> None:
         cfg, ports = self.cfg, self.ports
@@ -325,7 +327,7 @@
             metrics.gauge("table_version", self.holder.table.version)
             age = min(LONGEST_AGE, self.fresh.store_age(clock.monotonic()))
             metrics.gauge("store_age_seconds", age)
-            metrics.gauge("in_flight", self.front.in_flight)
+            metrics.gauge("in_flight", self.handler.in_flight)
             metrics.gauge("pending_records", len(self.pending))
             metrics.gauge("quarantined", len(self.quarantine))
             await trio.sleep(GAUGE_SECONDS)
@@ -372,7 +374,7 @@
         self.readiness.phase = Phase.LEAVING
         self.peer_loop.leaving = True
         self.host_loop.entry = _leaving(self.host_loop.entry)
-        logger.info("leaving", extra={"in_flight": self.front.in_flight})
+        logger.info("leaving", extra={"in_flight": self.handler.in_flight})
         await trio.sleep(cfg.balancer_notice)
         self.readiness.phase = Phase.CLOSED
         self.server.close_idle()
@@ -389,7 +391,7 @@
         one goes out as long before as that may take.
         """
         self.shutdown.begin(seconds)
-        sent_and_recorded = self.cfg.targets.service_timeout + RECORD_SECONDS
+        sent_and_recorded = self.cfg.targets.service_timeout + RECORD_TIMEOUT_SECONDS
         self.last_sends.begin(seconds - sent_and_recorded)
 
     async def _release_leases(self) -> None:
@@ -405,7 +407,7 @@
         await self._wait_until_answered()
 
     async def _wait_until_answered(self) -> None:
-        while self.front.in_flight:
+        while self.handler.in_flight:
             await trio.sleep(EMPTY_CHECK_SECONDS)
         await self.server.wait_until_quiet(0)
         # The last, since nothing may wait between its last look and the end.
--- a/berylshift/connection/engine_client.py
+++ b/berylshift/connection/engine_client.py
@@ -12,7 +12,7 @@
 )
 from berylshift.connection.http_client import HttpClient, HttpResponse, Outgoing
 from berylshift.ids import AttemptId
-from berylshift.messages.retry_after import seconds_of
+from berylshift.messages.retry_after import parse_retry_after
 from berylshift.targets import (
     CacheEvent,
     EngineCall,
@@ -135,7 +135,7 @@
     if resp.status == STATUS_BUSY:
         raise TargetBusyError("another order is under way")
     if resp.status in REFUSALS:
-        rest = seconds_of(resp.headers.get("retry-after"))
+        rest = parse_retry_after(resp.headers.get("retry-after"))
         raise TargetRefusedError(f"status {resp.status}", rest)
     raise TargetBrokenError(f"status {resp.status}")
 
--- a/berylshift/connection/service_client.py
+++ b/berylshift/connection/service_client.py
@@ -2,7 +2,7 @@
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.messages.retry_after import seconds_of
+from berylshift.messages.retry_after import parse_retry_after
 from berylshift.targets import (
     ServiceAnswer,
     ServiceCall,
@@ -56,7 +56,7 @@
         except ConnectionLayerError as exc:
             raise TargetBrokenError(str(exc)) from exc
         if resp.headers.get(REFUSED_HEADER) == "true":
-            rest = seconds_of(resp.headers.get("retry-after"))
+            rest = parse_retry_after(resp.headers.get("retry-after"))
             raise TargetRefusedError(f"status {resp.status}", rest)
         kept = {
             name: value
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -61,7 +61,7 @@
         phase=app.readiness.phase.value,
         table_version=app.holder.table.version,
         store_age=round(min(app.fresh.store_age(now), 1e6), 3),
-        in_flight=app.front.in_flight,
+        in_flight=app.handler.in_flight,
         peers_in_sight=len(app.members.live(now)) - 1,
         hosts_listed=app.members.size(),
         pending_records=len(app.pending),
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -46,8 +46,8 @@
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.request.prompt_read import PromptReads
 from berylshift.request.reading_choice import ReadingChooser
-from berylshift.request.relay_dependencies import RelayParts
-from berylshift.request.routed_handler import RoutedFront
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.routed_handler import RoutedHandler
 from berylshift.request.target_gate import ReplicaGate
 from berylshift.settings import Settings
 from berylshift.store.crash_rows import CrashRows
@@ -148,33 +148,35 @@
             self.quarantine, ports.crashes, self.watch.clock, ports.clock
         )
         self.watch.eras.tell(self.quarantine.ledger.write_again)
-        parts = RelayParts(
+        deps = RelayDependencies(
             clock=ports.clock,
-            language=ports.language,
+            codec=ports.language,
             client=ports.client,
             replicas=self.replicas,
             loads=self.loads,
             speeds=self.speeds,
             placer=placer,
-            reads=reads,
+            prefill_client=reads,
             shutdown=self.shutdown,
-            budget=self.budget,
-            readings=ReadingChooser(placer, self.speeds, self._hosts_that_share),
-            times=self.times,
+            retry_budget_for=self.budget,
+            prefill_scheduler=ReadingChooser(
+                placer, self.speeds, self._hosts_that_share
+            ),
+            recent_durations=self.times,
             quarantine=self.quarantine,
             fingerprints=self.fingerprints,
             throttle=self.throttle,
-            run_began=self.duties.run_began,
+            on_run_started=self.duties.run_began,
         )
         key_gate = KeyGate(
             self.routes,
             cfg.directory.in_force_ms / 1000,
             cfg.entry.keys_expire_ms / 1000 or None,
         )
-        self.front = RoutedFront(
-            parts, self.routes, key_gate, ports.rng, self.telemetry.request_ended
+        self.handler = RoutedHandler(
+            deps, self.routes, key_gate, ports.rng, self.telemetry.request_ended
         )
-        self.server = HttpServer(self.front.handle, hands_on_bodies=True)
+        self.server = HttpServer(self.handler.handle, hands_on_bodies=True)
         status = EntryStatus(cfg.entry.ready_path, self.is_ready, self.telemetry.text)
         self.status_server = HttpServer(status.handle)
         self.follower = DirectoryLoop(
@@ -382,7 +384,7 @@
         Engines may then all change phase at once. A process that alone starts again
         has seen no caller either, but is told that the system is not starting.
         """
-        if not self.cfg.entry.first_start or self.front.handled:
+        if not self.cfg.entry.first_start or self.handler.handled:
             return False
         age = self.ports.clock.monotonic() - self._started
         return age < FIRST_START_SECONDS
@@ -423,7 +425,7 @@
         self.server.draining = True
         grace = self.cfg.entry.grace - STOP_MARGIN_SECONDS
         logger.info(
-            "leaving", extra={"in_flight": self.front.in_flight, "ends_in": grace}
+            "leaving", extra={"in_flight": self.handler.in_flight, "ends_in": grace}
         )
         requests_end = grace - LAST_ANSWER_SECONDS
         self.shutdown.begin(requests_end, BALANCER_NOTICE_SECONDS)
@@ -434,9 +436,9 @@
         with trio.move_on_after(LAST_ANSWER_SECONDS) as scope:
             await self.server.finish()
         if scope.cancelled_caught:
-            logger.error("stopped", extra={"in_flight": self.front.in_flight})
+            logger.error("stopped", extra={"in_flight": self.handler.in_flight})
 
     def on_stop(self) -> None:
         """Note that the process ends."""
         self.ports.client.close()
-        logger.info("stopped", extra={"in_flight": self.front.in_flight})
+        logger.info("stopped", extra={"in_flight": self.handler.in_flight})
--- a/berylshift/entry_gauges.py
+++ b/berylshift/entry_gauges.py
@@ -25,7 +25,7 @@
     version = 0 if table is None else table.version
     gauge("routes_version", "Version in force.", version)
     gauge("replicas", "Replicas listed.", len(app.replicas))
-    gauge("in_flight", "Requests under way.", app.front.in_flight)
+    gauge("in_flight", "Requests under way.", app.handler.in_flight)
     hosts = app.load_loop.known_hosts or 0
     gauge("hosts_known", "Hosts that share limits.", hosts)
     gauge("collects", "Role taken.", app.peers.collects)
--- a/berylshift/messages/retry_after.py
+++ b/berylshift/messages/retry_after.py
@@ -1,8 +1,8 @@
-"""Reads Retry-After (RFC 9110, section 10.2.3) where it is told in seconds."""
+"""Parses Retry-After headers (RFC 9110, section 10.2.3) given in seconds."""
 
 
-def seconds_of(value: str | None) -> float:
-    """Return the seconds from 0 up; 0 for a date and for what is no number."""
+def parse_retry_after(value: str | None) -> float:
+    """Return the seconds; 0 for a date, a negative value or an invalid one."""
     try:
         found = float(value or 0)
     except ValueError:
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -14,7 +14,7 @@
 from berylshift.request.placement import Placement
 from berylshift.request.reading_choice import ReadingAsk
 from berylshift.request.refusals import LEAST_RETRY_AFTER, MOST_RETRY_AFTER
-from berylshift.request.relay import MOST_READS
+from berylshift.request.relay import MAX_PREFILLS
 from berylshift.request.standing import Standing, rank_of, urgency_in
 
 if TYPE_CHECKING:
@@ -86,7 +86,7 @@
         pool, prompt = self._fleet.pool, self._arrival.prompt
         if self._over:
             return
-        if self._reads >= MOST_READS:
+        if self._reads >= MAX_PREFILLS:
             self._refuse(0.0)
             return
         ask = ReadingAsk(
--- a/berylshift/platform/exchange.py
+++ b/berylshift/platform/exchange.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from berylshift.ids import CustomerName, PartId, ReplicaName, RequestId
-from berylshift.messages.retry_after import seconds_of
+from berylshift.messages.retry_after import parse_retry_after
 from berylshift.messages.routed import (
     AnswerHead,
     Body,
@@ -248,7 +248,7 @@
     """Return the seconds for which a refusal asks to back off."""
     if status not in TURNED_AWAY:
         return 0.0
-    return seconds_of(headers.get(RETRY_AFTER, b"").decode("latin-1"))
+    return parse_retry_after(headers.get(RETRY_AFTER, b"").decode("latin-1"))
 
 
 def _rate(value: bytes | None) -> float | None:
--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -109,7 +109,7 @@
             request.prefix, str(number), request.prompt_tokens, request.output_tokens
         )
         call = ModelCall(
-            request=app.front.new_request(),
+            request=app.handler.new_request(),
             caller=caller,
             model=WorkName(request.model),
             prompt=prompt,
@@ -117,7 +117,7 @@
             deadline=deadline,
         )
         sink = _Sink()
-        ending = await app.front.complete(call, sink)
+        ending = await app.handler.complete(call, sink)
         await self.world.network.awake(app.cfg.host.name)
         fate = FATES[ending.outcome]
         wanted = answer_text(prompt, request.output_tokens)
@@ -133,7 +133,7 @@
     ) -> RequestResult:
         body = str(number).encode()
         call = PlainCall(
-            request=app.front.new_request(),
+            request=app.handler.new_request(),
             caller=caller,
             service=WorkName(request.service),
             method="POST",
@@ -144,7 +144,7 @@
             idempotent=request.idempotent,
             key="" if request.idempotent else str(number),
         )
-        found = await app.front.call_service(call)
+        found = await app.handler.call_service(call)
         await self.world.network.awake(app.cfg.host.name)
         fate = FATES[found.ending.outcome]
         if fate is Fate.COMPLETE and service_echo(body).encode() not in found.body:
--- a/berylshift/request/assembly.py
+++ b/berylshift/request/assembly.py
@@ -1,4 +1,4 @@
-"""Assembly of one answer from the chunks of one or more attempts."""
+"""Assembles one completion from the chunks of one or more attempts."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -7,56 +7,59 @@
 from berylshift.targets import EngineChunk
 
 
-class Verdict(Enum):
-    """What a chunk means for the answer."""
+class ChunkStatus(Enum):
+    """Status of the completion after a chunk."""
 
-    MORE = "more"
-    WHOLE = "whole"
-    FOREIGN = "foreign"
+    INCOMPLETE = "more"
+    COMPLETE = "whole"
+    OTHER_ATTEMPT = "foreign"
     GAP = "gap"
-    SHORT = "short"
+    TRUNCATED = "short"
 
 
 @dataclass
-class AnswerAssembler:
-    """Takes chunks in; keeps the text that may be passed on.
+class ResponseAssembler:
+    """Collects chunks and the text that may be forwarded.
 
-    A pooled connection can deliver the late rest of another attempt, and a resumed
-    stream can repeat tokens. The caller would see another caller's text, or text
-    twice. So each chunk must name this attempt, and start where the answer ends.
+    A pooled connection can deliver late chunks of another attempt, and a resumed stream
+    can repeat tokens. The caller would see another caller's text, or text twice. So
+    each chunk must name the current attempt, and must not leave a gap; tokens that are
+    already there are skipped.
     """
 
     attempt: AttemptId = AttemptId("")
     texts: list[str] = field(default_factory=list)
-    _passed: int = 0
+    _delivered: int = 0
 
     @property
     def tokens(self) -> int:
-        """Return how many tokens the answer has so far."""
+        """Return how many tokens have been received."""
         return len(self.texts)
 
-    def begin(self, attempt: AttemptId) -> None:
-        """Expect chunks of ``attempt`` from here on."""
+    def begin_attempt(self, attempt: AttemptId) -> None:
+        """Accept only chunks of ``attempt`` from here on."""
         self.attempt = attempt
 
-    def take(self, chunk: EngineChunk) -> Verdict:
-        """Add a chunk's new tokens and say what it means."""
+    def add(self, chunk: EngineChunk) -> ChunkStatus:
+        """Add a chunk's new tokens and return the resulting status."""
         if chunk.attempt != self.attempt:
-            return Verdict.FOREIGN
+            return ChunkStatus.OTHER_ATTEMPT
         if chunk.texts:
             if chunk.offset > self.tokens:
-                return Verdict.GAP
+                return ChunkStatus.GAP
             self.texts += chunk.texts[self.tokens - chunk.offset :]
         if chunk.end is None:
-            return Verdict.MORE
-        return Verdict.WHOLE if chunk.end == self.tokens else Verdict.SHORT
+            return ChunkStatus.INCOMPLETE
+        return (
+            ChunkStatus.COMPLETE if chunk.end == self.tokens else ChunkStatus.TRUNCATED
+        )
 
-    def new_text(self) -> str:
-        """Return the text that was not yet passed on, and mark it as passed."""
-        text = "".join(self.texts[self._passed :])
-        self._passed = len(self.texts)
+    def take_new_text(self) -> str:
+        """Return the text that was not yet forwarded, and mark it as forwarded."""
+        text = "".join(self.texts[self._delivered :])
+        self._delivered = len(self.texts)
         return text
 
-    def whole_text(self) -> str:
-        """Return all text so far."""
+    def full_text(self) -> str:
+        """Return all text received so far."""
         return "".join(self.texts)
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -1,18 +1,18 @@
-"""A model call from its placement to its last token, over one or more attempts."""
+"""Runs a model call over one or more attempts."""
 
 import trio
 from returns.result import Failure, Result, Success
 
 from berylshift.ids import AttemptId, PoolName, TargetName
 from berylshift.process.knowledge.prefixes import Prefixes, prefix_hashes
-from berylshift.request.assembly import AnswerAssembler, Verdict
+from berylshift.request.assembly import ChunkStatus, ResponseAssembler
 from berylshift.request.choice import Plan, Refusal, WorkItem
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.engine_attempt import (
     AttemptFailedError,
-    AttemptRun,
     Chunks,
-    CompletionParts,
+    CompletionDependencies,
+    EngineAttempt,
 )
 from berylshift.request.messages import (
     AnswerSink,
@@ -21,12 +21,16 @@
     Outcome,
     Reason,
 )
-from berylshift.request.retry_loop import LoopEnd, send_until_done
-from berylshift.request.retry_policy import SendEnd, SendHistory, Sent
+from berylshift.request.retry_loop import StopReason, run_attempts
+from berylshift.request.retry_policy import (
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+)
 from berylshift.request.retry_targets import (
-    ATTEMPT_BOUNDS,
-    target_preferred,
-    targets_excluded,
+    RETRY_BOUNDS,
+    excluded_targets,
+    preferred_target,
 )
 from berylshift.request.target_check import takes_connections
 from berylshift.targets import (
@@ -36,93 +40,97 @@
 from berylshift.utils import token_count
 from berylshift.version.rows import Row
 
-REPLACE_PAUSE = 0.2
+PLACEMENT_RETRY_SECONDS = 0.2
 
 
 class Completion:
-    """One model call."""
+    """Runs one model call."""
 
-    def __init__(self, parts: CompletionParts, call: ModelCall, sink: AnswerSink):
-        """Make ``call``'s answer and pass it to ``sink``."""
-        self._parts = parts
+    def __init__(self, deps: CompletionDependencies, call: ModelCall, sink: AnswerSink):
+        """Run ``call`` and write its text to ``sink``."""
+        self._deps = deps
         self._call = call
         self._sink = sink
-        self._history = SendHistory()
+        self._history = AttemptHistory()
         self._refusal: Refusal | None = None
-        self._answer = AnswerAssembler()
+        self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
         self._prompt_tokens = token_count(call.prompt)
-        self._crash_watch = parts.watching.of_completion(call)
-        self._attempts = 0
-        self._ends_at = parts.clock.monotonic() + parts.longest
+        self._crash_watch = deps.crash_watches.for_completion(call)
+        self._attempt_count = 0
+        self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
 
     async def run(self) -> Ending:
-        """Return how the call ended; all text has gone to the sink by then."""
+        """Run the call; return how it ended, after all text was written to the sink."""
         scope = trio.CancelScope()
-        with scope, self._parts.shutdown.bounding(scope):
+        with scope, self._deps.shutdown.bounding(scope):
             return await self._run()
-        # The process ends sooner than the answer: its caller is told so.
+        # The process stops before the completion has finished.
         outcome = self._history.outcome
         return Ending(outcome, Reason.DRAINING, "", 1.0, self._answer.tokens)
 
     async def _run(self) -> Ending:
-        parts = self._parts
-        end = await send_until_done(
-            self, ATTEMPT_BOUNDS, self._history, parts.retries, parts.clock
+        deps = self._deps
+        stop_reason = await run_attempts(
+            self, RETRY_BOUNDS, self._history, deps.retries, deps.clock
         )
-        if end is LoopEnd.DONE:
+        if stop_reason is StopReason.DONE:
             tokens = self._answer.tokens
-            parts.lengths.learn(self._call.caller.customer, self._call.model, tokens)
+            deps.lengths.learn(self._call.caller.customer, self._call.model, tokens)
             return Ending(Outcome.COMPLETE, tokens=tokens)
-        return self._ending(end)
+        return self._failed_ending(stop_reason)
 
-    async def send(self) -> Sent | None:
-        """Make one attempt, once there is a place for it."""
+    async def send(self) -> AttemptRecord | None:
+        """Make one attempt, once an engine is available for it."""
         while True:
-            if not self._may_go_out():
+            if not self._is_allowed():
                 return None
             match self._choose():
                 case Success(plan):
-                    self._parts.decisions.placed(self._call.request, "engine", plan)
-                    return await self._try(plan)
+                    self._deps.decisions.placed(self._call.request, "engine", plan)
+                    return await self._run_attempt(plan)
                 case Failure(refusal):
-                    if not await self._wait_for_place(refusal):
+                    if not await self._wait_for_placement(refusal):
                         return None
 
-    def _may_go_out(self) -> bool:
-        """Return whether the call is not held back; note the refusal if it is."""
+    def _is_allowed(self) -> bool:
+        """Return whether the call is not quarantined; record the refusal if it is."""
         try:
-            self._crash_watch.check(begun=self._answer.tokens > 0)
+            self._crash_watch.check(has_started=self._answer.tokens > 0)
         except QuarantinedError as exc:
             self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
-            self._parts.decisions.refused(self._call.request, "engine", self._refusal)
+            self._deps.decisions.refused(self._call.request, "engine", self._refusal)
             return False
         return True
 
-    def is_late(self) -> bool:
-        """Return whether the time of an answer, begun or not, is over."""
-        begun = self._answer.tokens > 0
-        return self._now() >= (self._ends_at if begun else self._call.deadline)
-
-    def must_finish(self) -> bool:
-        """Return whether the answer has begun.
+    def is_past_deadline(self) -> bool:
+        """Return whether the call is past its deadline, or its maximum duration.
 
-        Its caller holds a part of it, and a refusal would cut it.
+        The maximum duration applies once the response has started.
         """
+        has_started = self._answer.tokens > 0
+        return self._now() >= (
+            self._response_deadline if has_started else self._call.deadline
+        )
+
+    def ignores_retry_budget(self) -> bool:
+        """Return whether the response has started: a refusal would truncate it."""
         return self._answer.tokens > 0
 
     def _now(self) -> float:
-        return self._parts.clock.monotonic()
+        return self._deps.clock.monotonic()
 
     def _choose(self) -> Result[Plan, Refusal]:
-        # A retry is new work for its target, which may have begun to leave.
-        if not self._parts.may_route():
+        # A retry is new work, which a draining host or a stale table must not place.
+        if not self._deps.may_route():
             return Failure(Refusal(Reason.STALE_VIEW, 1.0))
-        return self._parts.router.choose(self._item(), self._parts.table(), self._now())
+        return self._deps.router.choose(
+            self._work_item(), self._deps.table(), self._now()
+        )
 
-    def _item(self) -> WorkItem:
+    def _work_item(self) -> WorkItem:
         call = self._call
-        expected = self._parts.lengths.expected(
+        expected = self._deps.lengths.expected(
             call.caller.customer, call.model, call.max_tokens
         )
         return WorkItem(
@@ -134,147 +142,153 @@
             output_tokens=max(1, expected - self._answer.tokens),
             prefixes=self._prefixes,
             remaining=call.deadline - self._now(),
-            exclude=targets_excluded(self._history),
-            prefer=target_preferred(self._history),
+            exclude=excluded_targets(self._history),
+            prefer=preferred_target(self._history),
             must_place=self._history.may_have_run,
         )
 
-    async def _wait_for_place(self, refusal: Refusal) -> bool:
-        """Wait where an answer has begun that can be finished; else say no."""
+    async def _wait_for_placement(self, refusal: Refusal) -> bool:
+        """Wait for an engine if the response has started; else record the refusal.
+
+        Return whether to try again.
+        """
         self._refusal = refusal
-        if self._answer.tokens and self._now() < self._ends_at:
-            self._history.start_over()
-            await trio.sleep(REPLACE_PAUSE)
+        if self._answer.tokens and self._now() < self._response_deadline:
+            self._history.clear_attempts()
+            await trio.sleep(PLACEMENT_RETRY_SECONDS)
             return True
-        self._parts.decisions.refused(self._call.request, "engine", refusal)
+        self._deps.decisions.refused(self._call.request, "engine", refusal)
         return False
 
-    def _ending(self, end: LoopEnd) -> Ending:
+    def _failed_ending(self, stop_reason: StopReason) -> Ending:
         reason, wait = Reason.TARGET_FAILED, 1.0
-        if end is LoopEnd.NO_PLACE and self._refusal is not None:
+        if stop_reason is StopReason.NO_PLACEMENT and self._refusal is not None:
             reason, wait = self._refusal.reason, self._refusal.retry_after
-        elif end is LoopEnd.NO_BUDGET:
+        elif stop_reason is StopReason.RETRY_BUDGET_SPENT:
             reason = Reason.RETRIES_SPENT
-        elif end is LoopEnd.LATE and not self._answer.tokens:
+        elif stop_reason is StopReason.DEADLINE_PASSED and not self._answer.tokens:
             reason = Reason.TOO_LATE
         outcome = self._history.outcome
         return Ending(outcome, reason, "", max(1.0, wait), self._answer.tokens)
 
-    async def _try(self, plan: Plan) -> Sent:
-        """Make one attempt."""
-        self._history.open = True
+    async def _run_attempt(self, plan: Plan) -> AttemptRecord:
+        """Make one attempt and return its record."""
+        self._history.has_open_attempt = True
         try:
-            await self._attempt(plan)
+            await self._prefill_and_generate(plan)
         except AttemptFailedError as exc:
-            self._parts.decisions.failed(self._call.request, exc.target, exc.end)
-            if exc.end is SendEnd.BROKEN:
-                # Still open meanwhile: should the time end, the send must count.
-                await self._broke_off(exc.target)
-            self._history.open = False
-            return Sent(exc.target, exc.end)
-        self._history.open = False
-        self._crash_watch.finished()
-        return Sent(plan.target.name, SendEnd.DONE)
-
-    async def _broke_off(self, target: TargetName) -> None:
-        """Note that an engine broke off, unless it is no longer listed."""
-        row = self._parts.table().targets.get(target)
+            self._deps.decisions.failed(self._call.request, exc.target, exc.outcome)
+            if exc.outcome is AttemptOutcome.BROKEN:
+                # The attempt stays open during the probe: if the deadline passes
+                # meanwhile, it must count as one that may have run.
+                await self._on_connection_lost(exc.target)
+            self._history.has_open_attempt = False
+            return AttemptRecord(exc.target, exc.outcome)
+        self._history.has_open_attempt = False
+        self._crash_watch.on_completed()
+        return AttemptRecord(plan.target.name, AttemptOutcome.DONE)
+
+    async def _on_connection_lost(self, target: TargetName) -> None:
+        """Report a broken connection to the crash watch if the engine takes work."""
+        row = self._deps.table().targets.get(target)
         if row is None or not row.takes_work:
             return
-        client = self._parts.client
-        await self._crash_watch.broke_off(
-            self._parts.watching.instance(target),
+        client = self._deps.client
+        await self._crash_watch.on_connection_lost(
+            self._deps.crash_watches.instance_id(target),
             lambda: takes_connections(client, row.address),
         )
 
-    async def _attempt(self, plan: Plan) -> None:
+    async def _prefill_and_generate(self, plan: Plan) -> None:
         kv = None
         if plan.prefill_on is not None:
             kv = await self._prefill(plan.prefill_on, plan)
-            self._check_takes_work(plan.target)
+            self._check_accepts_work(plan.target)
         await self._generate(plan.target, plan, kv)
 
-    def _check_takes_work(self, row: Row) -> None:
-        """Fail the attempt where the target began to leave during the prefill."""
-        current = self._parts.table().targets.get(row.name)
-        leaves = current is None or not current.takes_work
-        leaves = leaves or self._parts.know.plans.is_moving(row.name)
-        if leaves or not self._parts.may_route():
-            raise AttemptFailedError(row.name, SendEnd.NOT_RUN)
+    def _check_accepts_work(self, row: Row) -> None:
+        """Fail the attempt if the target started draining during the prefill."""
+        current = self._deps.table().targets.get(row.name)
+        is_leaving = current is None or not current.takes_work
+        is_leaving = is_leaving or self._deps.context.plans.is_moving(row.name)
+        if is_leaving or not self._deps.may_route():
+            raise AttemptFailedError(row.name, AttemptOutcome.NOT_RUN)
 
     async def _prefill(self, row: Row, plan: Plan) -> KvSource:
-        """Have the prompt prefilled; return where its KV cache can be had."""
+        """Prefill the prompt at ``row``; return where its KV cache can be fetched."""
         call = self._engine_call(prefill_only=True)
-        stream = AttemptRun(self._parts, row, call, plan.prefill_tokens, self._call)
+        stream = EngineAttempt(self._deps, row, call, plan.prefill_tokens, self._call)
         found: list[KvSource] = []
 
-        async def take(chunks: Chunks) -> bool:
+        async def on_chunks(chunks: Chunks) -> bool:
             for chunk in chunks:
                 if chunk.attempt != call.attempt:
-                    raise AttemptFailedError(row.name, SendEnd.SPOILED)
+                    raise AttemptFailedError(row.name, AttemptOutcome.INVALID)
                 if chunk.kv is not None:
                     found.append(chunk.kv)
             return bool(found)
 
-        await stream.run(take)
-        self._parts.know.prefixes.sent(row.name, self._prefixes)
+        await stream.run(on_chunks)
+        self._deps.context.prefixes.sent(row.name, self._prefixes)
         return found[0]
 
     async def _generate(self, row: Row, plan: Plan, kv: KvSource | None) -> None:
         call = self._engine_call(kv=kv)
         prefill = 0 if kv else plan.prefill_tokens
-        stream = AttemptRun(self._parts, row, call, prefill, self._call)
-        self._answer.begin(call.attempt)
+        stream = EngineAttempt(self._deps, row, call, prefill, self._call)
+        self._answer.begin_attempt(call.attempt)
         start = self._now()
         first_at: list[float] = []
 
-        async def take(chunks: Chunks) -> bool:
+        async def on_chunks(chunks: Chunks) -> bool:
             if not first_at:
                 first_at.append(self._now())
-                self._parts.know.prefixes.sent(row.name, self._prefixes)
-            verdict = self._take_chunks(row.name, chunks)
+                self._deps.context.prefixes.sent(row.name, self._prefixes)
+            status = self._add_chunks(row.name, chunks)
             count = sum(len(chunk.texts) for chunk in chunks)
             pool = PoolName(self._call.model)
-            self._parts.meter.decode(pool, count, self._now())
-            text = self._answer.new_text()
+            self._deps.meter.decode(pool, count, self._now())
+            text = self._answer.take_new_text()
             if text:
                 await self._sink.text(text)
-            return verdict is Verdict.WHOLE
+            return status is ChunkStatus.COMPLETE
 
         before = self._answer.tokens
-        await stream.run(take)
-        self._learn(plan, start, first_at[0], self._answer.tokens - before)
+        await stream.run(on_chunks)
+        self._update_cost_model(plan, start, first_at[0], self._answer.tokens - before)
 
-    def _take_chunks(self, target: TargetName, chunks: Chunks) -> Verdict:
-        verdict = Verdict.MORE
+    def _add_chunks(self, target: TargetName, chunks: Chunks) -> ChunkStatus:
+        status = ChunkStatus.INCOMPLETE
         for chunk in chunks:
-            verdict = self._answer.take(chunk)
-            if verdict in (Verdict.FOREIGN, Verdict.GAP):
-                raise AttemptFailedError(target, SendEnd.SPOILED)
-            if verdict is Verdict.SHORT:
-                raise AttemptFailedError(target, SendEnd.BROKEN)
-        return verdict
+            status = self._answer.add(chunk)
+            if status in (ChunkStatus.OTHER_ATTEMPT, ChunkStatus.GAP):
+                raise AttemptFailedError(target, AttemptOutcome.INVALID)
+            if status is ChunkStatus.TRUNCATED:
+                raise AttemptFailedError(target, AttemptOutcome.BROKEN)
+        return status
 
     def _engine_call(
         self, prefill_only: bool = False, kv: KvSource | None = None
     ) -> EngineCall:
-        self._attempts += 1
+        self._attempt_count += 1
         call = self._call
         return EngineCall(
-            attempt=AttemptId(f"{call.request}.{self._attempts}"),
+            attempt=AttemptId(f"{call.request}.{self._attempt_count}"),
             model=call.model,
             prompt=call.prompt,
             max_tokens=call.max_tokens,
             resume_from=self._answer.tokens,
-            emitted=self._answer.whole_text(),
+            emitted=self._answer.full_text(),
             priority=call.priority,
             prefill_only=prefill_only,
             kv=kv,
         )
 
-    def _learn(self, plan: Plan, start: float, first: float, tokens: int) -> None:
-        role = self._parts.know.load.role(plan.target.name)
-        cost = self._parts.know.cost
+    def _update_cost_model(
+        self, plan: Plan, start: float, first: float, tokens: int
+    ) -> None:
+        role = self._deps.context.load.role(plan.target.name)
+        cost = self._deps.context.cost
         predicted = plan.prediction
         if predicted.end <= 0:
             return
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -1,8 +1,8 @@
-"""A call that may run at most once: what to do next, after each event.
+"""State machine of a confirmation, a call that runs at most once.
 
-The row of a key is inserted before the first byte goes out, so of all arrivals
-with one key, at any hosts, one sends. The row outlives the process: a later
-arrival reads from it what became of the call. See docs/design/confirmations.md.
+The row of an idempotency key is inserted before the call is sent, so that of all
+requests with one key, at any hosts, only one sends it. The row outlives the process: a
+later request reads the call's outcome from it. See docs/design/confirmations.md.
 """
 
 from dataclasses import dataclass, field
@@ -14,23 +14,23 @@
 from berylshift.ids import AttemptId, CustomerName
 from berylshift.request.messages import Outcome, Reason
 from berylshift.request.retry_policy import (
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
     RetryBounds,
-    SendEnd,
-    SendHistory,
-    Sent,
-    may_send_again,
+    may_retry,
 )
 from berylshift.targets import ServiceAnswer
 
 PREFIX = "confirm/"
 POLL_SECONDS = 0.25
-COME_BACK_SECONDS = 2.0
-# A call that may run once goes to so many replicas at most, while each refuses it.
-ONCE = RetryBounds(repeatable=False, most_runs=1, most_sends=3)
+RETRY_AFTER_SECONDS = 2.0
+# A call is tried at up to three replicas, as long as each of them refuses it.
+AT_MOST_ONCE_BOUNDS = RetryBounds(repeatable=False, max_runs=1, max_attempts=3)
 
 
 class RowState(StrEnum):
-    """What is known of a key's call."""
+    """State of a key's call."""
 
     STARTED = "started"
     DONE = "done"
@@ -39,9 +39,10 @@
 
 
 class ConfirmRow(msgspec.Struct, frozen=True, omit_defaults=True):
-    """The row of a key; ``expires`` in seconds of the calendar's epoch.
+    """The row of a key; ``expires`` in seconds since the Unix epoch.
 
-    ``abandoned`` says that the attempt was never sent, so the key may be taken.
+    The state ``abandoned`` means that the attempt did not run, so another request may
+    take the key over.
     """
 
     attempt: AttemptId
@@ -57,15 +58,15 @@
 
 
 def body_digest(method: str, path: str, body: bytes) -> str:
-    """Return what tells two calls with one key apart."""
+    """Return a digest that distinguishes two calls with the same key."""
     return xxhash.xxh128_hexdigest(f"{method} {path}\n".encode() + body)
 
 
 class Step(Enum):
-    """What the caller of the state machine has to do next."""
+    """The next action, which the user of the state machine performs."""
 
     INSERT = "insert the row, if there is none"
-    TAKE = "take over an abandoned row"
+    TAKE_OVER = "take over an abandoned row"
     READ = "read the row"
     WAIT = "wait a little, then read the row"
     SEND = "send the call, once"
@@ -74,7 +75,7 @@
 
 
 class Event(Enum):
-    """What came of the last step."""
+    """Result of a row's write."""
 
     COMMITTED = "committed"
     CONFLICT = "the condition failed"
@@ -84,7 +85,7 @@
 
 @dataclass(eq=False)
 class Confirmation:
-    """State of one arrival with a key; times in monotonic seconds."""
+    """State of one request with a key; ``deadline`` in monotonic seconds."""
 
     attempt: AttemptId
     digest: str
@@ -95,11 +96,11 @@
     reason: Reason = Reason.OK
     answer: ServiceAnswer | None = None
     record: ConfirmRow | None = None
-    history: SendHistory = field(default_factory=SendHistory)
+    history: AttemptHistory = field(default_factory=AttemptHistory)
     revision: int = 0
-    owned: bool = False
-    unsure: bool = False
-    pending: bool = False
+    owns_row: bool = False
+    is_insert_uncertain: bool = False
+    is_key_pending: bool = False
 
     def row(self, state: RowState) -> ConfirmRow:
         """Return this attempt's row in ``state``."""
@@ -107,49 +108,53 @@
 
     @property
     def retry_after(self) -> float:
-        """Return when the caller may come back, in seconds; 0: no use."""
+        """Return the seconds until a retry; 0: a retry is of no use."""
         if self.outcome is Outcome.COMPLETE or self.reason is Reason.KEY_REUSED:
             return 0.0
-        return COME_BACK_SECONDS
+        return RETRY_AFTER_SECONDS
 
     @property
-    def leaves_row(self) -> bool:
-        """Return whether a row may stand that must still be set to abandoned."""
-        return self.record is None and (self.owned or self.unsure)
+    def needs_abandon(self) -> bool:
+        """Return whether a row may exist that must still be set to abandoned."""
+        return self.record is None and (self.owns_row or self.is_insert_uncertain)
 
     # Events
 
-    def inserted(self, event: Event, now: float) -> None:
-        """Take the end of an insert or a take-over."""
+    def on_insert(self, event: Event, now: float) -> None:
+        """Handle the result of an insert or a take-over."""
         match event:
             case Event.COMMITTED:
-                self.owned = True
+                self.owns_row = True
                 self.revision += 1
-                self._may_send(now)
+                self._send_if_in_time(now)
             case Event.CONFLICT:
                 self.step = Step.READ
             case Event.LOST:
-                # The row may be there, as ours: only the row itself can tell.
-                self.unsure = True
+                # The insert may have taken effect; only reading the row can tell.
+                self.is_insert_uncertain = True
                 self._retry_store(Step.READ, now)
             case _:
-                self._retry_store(Step.READ if self.unsure else self.step, now)
+                self._retry_store(
+                    Step.READ if self.is_insert_uncertain else self.step, now
+                )
 
-    def read(self, row: ConfirmRow | None, revision: int, now: float) -> None:
-        """Take the row as it was read."""
+    def on_read(self, row: ConfirmRow | None, revision: int, now: float) -> None:
+        """Handle the row that was read."""
         self.revision = revision
         if row is None:
-            # A lost insert can still land; another insert of ours does no harm.
+            # A lost insert can still take effect; inserting again does no harm.
             self._retry_store(Step.INSERT, now)
         elif row.digest != self.digest:
-            self.unsure = False
+            self.is_insert_uncertain = False
             self._end(Outcome.NOT_RUN, Reason.KEY_REUSED)
         elif row.attempt == self.attempt and row.state is RowState.STARTED:
-            self.owned = True
-            self._may_send(now)
+            self.owns_row = True
+            self._send_if_in_time(now)
         else:
-            # Another's row, unless abandoned, keeps a lost insert from landing.
-            self.unsure = self.unsure and row.state is RowState.ABANDONED
+            # Another request's row, unless abandoned, makes a lost insert fail.
+            self.is_insert_uncertain = (
+                self.is_insert_uncertain and row.state is RowState.ABANDONED
+            )
             self._read_other(row, now)
 
     def _read_other(self, row: ConfirmRow, now: float) -> None:
@@ -160,47 +165,49 @@
             case RowState.UNKNOWN:
                 self._end(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
             case RowState.ABANDONED:
-                self.step = Step.TAKE
+                self.step = Step.TAKE_OVER
             case RowState.STARTED if now >= self.deadline:
                 self._end(Outcome.UNKNOWN, Reason.KEY_PENDING)
             case _:
-                self.pending = True
+                self.is_key_pending = True
                 self.step = Step.WAIT
 
-    def read_failed(self, now: float) -> None:
-        """Take a read that gave no answer."""
+    def on_read_failed(self, now: float) -> None:
+        """Handle a failed read."""
         self._retry_store(Step.READ, now)
 
-    def waited(self) -> None:
-        """Take the end of a wait."""
+    def on_wait_over(self) -> None:
+        """Handle the end of a wait."""
         self.step = Step.READ
 
-    def sent(self, sent: Sent, answer: ServiceAnswer | None, now: float) -> None:
-        """Take the end of a send."""
+    def on_attempt(
+        self, sent: AttemptRecord, answer: ServiceAnswer | None, now: float
+    ) -> None:
+        """Handle a finished attempt."""
         self.history.add(sent)
-        if sent.end is SendEnd.DONE:
+        if sent.outcome is AttemptOutcome.DONE:
             self.answer = answer
             self._record(RowState.DONE, Outcome.COMPLETE, Reason.OK)
         elif self.history.may_have_run:
             self._record(RowState.UNKNOWN, Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
-        elif may_send_again(ONCE, self.history) and now < self.deadline:
+        elif may_retry(AT_MOST_ONCE_BOUNDS, self.history) and now < self.deadline:
             self.step = Step.SEND
         else:
             self._abandon(Reason.TARGET_FAILED)
 
-    def no_target(self, reason: Reason) -> None:
-        """Take that there is no target to send to."""
+    def on_no_target(self, reason: Reason) -> None:
+        """Handle that no target is available."""
         self._abandon(reason)
 
-    def recorded(self) -> None:
-        """Take the end of the write of the result, whatever it was."""
+    def on_recorded(self) -> None:
+        """Handle the end of the result's write, whether it succeeded or not."""
         self.step = Step.ANSWER
 
     # Steps
 
-    def _may_send(self, now: float) -> None:
-        # A process that was paused after the insert wakes here: too late is
-        # too late, and the row says that nothing was sent.
+    def _send_if_in_time(self, now: float) -> None:
+        # The process may have been paused after the insert. Past the deadline nothing
+        # is sent, and the row is set to abandoned.
         if now >= self.deadline:
             self._abandon(Reason.TOO_LATE)
         else:
@@ -218,9 +225,9 @@
         if now < self.deadline:
             self.step = step
             return
-        # An earlier arrival with this key, at another host, may have run: while
-        # the row can't be read, "not run" might be untrue.
-        reason = Reason.KEY_PENDING if self.pending else Reason.STORE_DOWN
+        # An earlier request with this key, at another host, may have run: while the
+        # row can't be read, "not run" might be false.
+        reason = Reason.KEY_PENDING if self.is_key_pending else Reason.STORE_DOWN
         self._end(Outcome.UNKNOWN, reason)
 
     def _end(self, outcome: Outcome, reason: Reason) -> None:
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -1,4 +1,4 @@
-"""Ties one request to the targets that end under it."""
+"""Attributes target crashes to a request."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -8,27 +8,27 @@
 from berylshift.messages.fingerprint import shown
 from berylshift.process.quarantine.quarantine import Quarantine
 
-# How long a target that broke off gets to take a new connection: many times the way to
-# another region, and short for the caller, who waits for the next send meanwhile.
-CONNECT_SECONDS = 0.1
+# How long a target whose connection broke gets to accept a new one: many times the
+# round trip to another region, and short for a caller that waits for the next attempt.
+PROBE_TIMEOUT_SECONDS = 0.1
 
 logger = logging.getLogger(__name__)
 
 
 class QuarantinedError(Exception):
-    """Targets ended under a request; it is held back for ``seconds``."""
+    """The request crashed targets and is quarantined for ``seconds``."""
 
     def __init__(self, crashes: int, seconds: float):
-        """Keep for how long."""
+        """Keep the seconds of the quarantine."""
         super().__init__(f"{crashes} replicas ended under it")
         self.seconds = seconds
 
 
 class CrashWatch:
-    """One request, from the host's first look at it to its end.
+    """Watches one request for crashes of its targets.
 
-    ``fingerprint`` is ``None`` until the request can be told from others; nothing is
-    held against it, or back, till then.
+    ``fingerprint`` is ``None`` until the request can be distinguished from others;
+    until then it is neither blamed for crashes nor quarantined.
     """
 
     def __init__(self, quarantine: Quarantine, clock: Clock, request: RequestId):
@@ -38,36 +38,36 @@
         self._request = request
         self.fingerprint: Fingerprint | None = None
 
-    def check(self, begun: bool = False) -> None:
-        """Raise ``QuarantinedError`` if the request may not go out now.
+    def check(self, has_started: bool = False) -> None:
+        """Raise ``QuarantinedError`` if the request is quarantined.
 
-        One whose answer has ``begun`` goes on while it is only suspect: its caller
-        holds a part that would be lost.
+        If its response ``has_started``, a request that is only suspect continues: the
+        caller would lose the part it has received.
         """
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.wait(self.fingerprint, now, begun)
+        wait = self._quarantine.wait(self.fingerprint, now, has_started)
         if wait > 0:
             crashes = self._quarantine.crashes(self.fingerprint)
             raise QuarantinedError(crashes, wait)
 
-    async def broke_off(
+    async def on_connection_lost(
         self, instance: InstanceId, takes_connections: Callable[[], Awaitable[bool]]
     ) -> None:
-        """Note that a target broke off while it had the request.
+        """Record that the connection to a target broke while it had the request.
 
-        One that takes a new connection has reset another, and lives: what it breaks off
-        is not the request's fault. It counts as ended meanwhile, should this be
-        cancelled.
+        A target that accepts a new connection is alive and has only reset the old one,
+        which is not the request's fault. It counts as crashed while it is probed, in
+        case this task is cancelled.
         """
         request = self.fingerprint
         if request is None:
             return
         self._quarantine.broke_off(request, instance, self._clock.monotonic())
-        lives = await takes_connections()
+        is_alive = await takes_connections()
         now = self._clock.monotonic()
-        if lives:
+        if is_alive:
             self._quarantine.lives(instance, now)
         logger.info(
             "replica broke off",
@@ -75,22 +75,22 @@
                 "request": self._request,
                 "same": shown(request),
                 "instance": instance,
-                "lives": lives,
+                "lives": is_alive,
                 "crashes": self._quarantine.crashes(request),
                 "held_for": round(self._quarantine.wait(request, now), 1),
             },
         )
 
-    def answered(
+    def on_response(
         self, instance: InstanceId, sent_at: float, listed_at: float | None = None
     ) -> None:
-        """Note that a target answered what was sent to it at ``sent_at``.
+        """Record that a target responded to an attempt sent at ``sent_at``.
 
-        ``listed_at``: as of when it is known to be listed by this very start.
+        ``listed_at``: when this instance was last confirmed as listed.
         """
         self._quarantine.answered(instance, sent_at, listed_at)
 
-    def finished(self) -> None:
-        """Note that the request ran to its end."""
+    def on_completed(self) -> None:
+        """Record that the request ran to completion."""
         if self.fingerprint is not None:
             self._quarantine.finished(self.fingerprint, self._clock.monotonic())
--- a/berylshift/request/crash_watch_factory.py
+++ b/berylshift/request/crash_watch_factory.py
@@ -1,4 +1,4 @@
-"""Crash watches for calls of the own interface."""
+"""Creates crash watches for calls of the native API."""
 
 from dataclasses import dataclass
 
@@ -12,24 +12,28 @@
 
 
 @dataclass
-class CallWatching:
-    """Makes the watches; wired once for the process."""
+class CrashWatchFactory:
+    """Creates the watches; wired once per process."""
 
     quarantine: Quarantine
     fingerprints: Fingerprints
     load: LoadView
     clock: Clock
 
-    def of_completion(self, call: ModelCall) -> CrashWatch:
-        """Return the watch of a model call."""
+    def for_completion(self, call: ModelCall) -> CrashWatch:
+        """Return the watch for a model call."""
         caller = call.caller
         fields = (caller.fleet, caller.customer, call.model, str(call.max_tokens))
         watch = CrashWatch(self.quarantine, self.clock, call.request)
         watch.fingerprint = self.fingerprints.of_call(fields, call.prompt.encode())
         return watch
 
-    def of_plain(self, call: PlainCall) -> CrashWatch:
-        """Return the watch of a plain call; its key may differ in each try."""
+    def for_service_call(self, call: PlainCall) -> CrashWatch:
+        """Return the watch for a service call.
+
+        The idempotency key is not part of the fingerprint, since it may differ in each
+        retry by the caller.
+        """
         caller = call.caller
         fields = (
             caller.fleet,
@@ -42,7 +46,10 @@
         watch.fingerprint = self.fingerprints.of_call(fields, call.body)
         return watch
 
-    def instance(self, target: TargetName) -> InstanceId:
-        """Return what stands for one start of a target, as far as its reports tell."""
+    def instance_id(self, target: TargetName) -> InstanceId:
+        """Return the id of a target's running instance.
+
+        It contains the incarnation if the target has reported one.
+        """
         incarnation = self.load.incarnation(target)
         return InstanceId(f"{target}@{incarnation}" if incarnation else target)
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a model call at an engine, with its books kept whatever its end."""
+"""One attempt of a model call at an engine, with its load and health accounting."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import AsyncExitStack, aclosing
@@ -14,12 +14,12 @@
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
 from berylshift.request.choice import Knowledge, Router
-from berylshift.request.crash_watch_factory import CallWatching
+from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import (
     ModelCall,
 )
-from berylshift.request.retry_policy import SendEnd, end_of, retry_after_of
+from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
 from berylshift.settings import TargetSettings
 from berylshift.targets import (
     EngineCall,
@@ -32,17 +32,17 @@
 from berylshift.version.table import Table
 
 Chunks = list[EngineChunk]
-Take = Callable[[Chunks], Awaitable[bool]]
-CANCEL_SECONDS = 1.0
+OnChunks = Callable[[Chunks], Awaitable[bool]]
+CANCEL_TIMEOUT_SECONDS = 1.0
 
 
 @dataclass
-class CompletionParts:
-    """What model calls work with."""
+class CompletionDependencies:
+    """Dependencies of model calls."""
 
     clock: Clock
     client: EngineClient
-    know: Knowledge
+    context: Knowledge
     router: Router
     retries: RetryBudget
     lengths: OutputLengths
@@ -51,109 +51,109 @@
     table: Callable[[], Table]
     may_route: Callable[[], bool]
     cfg: TargetSettings
-    longest: float
+    max_duration_seconds: float
     shutdown: Shutdown
-    watching: CallWatching
+    crash_watches: CrashWatchFactory
 
 
 class AttemptFailedError(Exception):
-    """An attempt ended early."""
+    """An attempt did not complete the response."""
 
-    def __init__(self, target: TargetName, end: SendEnd):
-        """Say how it ended, and at which target."""
-        super().__init__(end)
+    def __init__(self, target: TargetName, outcome: AttemptOutcome):
+        """Keep the target and the outcome."""
+        super().__init__(outcome)
         self.target = target
-        self.end = end
+        self.outcome = outcome
 
 
-class AttemptRun:
-    """One call to an engine, with its books kept whatever its end."""
+class EngineAttempt:
+    """One call to an engine; load and health are updated however it ends."""
 
     def __init__(
         self,
-        parts: CompletionParts,
+        deps: CompletionDependencies,
         row: Row,
         call: EngineCall,
         prefill_tokens: int,
-        asked: ModelCall,
+        model_call: ModelCall,
     ):
-        """Send ``call`` to ``row`` on behalf of ``asked``."""
-        self._parts = parts
+        """Send ``call``, one attempt of ``model_call``, to the engine ``row``."""
+        self._deps = deps
         self._row = row
         self._call = call
         self._prefill_tokens = prefill_tokens
-        self._asked = asked
+        self._model_call = model_call
         self._got_first = False
 
-    async def run(self, take: Take) -> None:
-        """Feed ``take`` with chunks until it says that the answer is whole."""
+    async def run(self, on_chunks: OnChunks) -> None:
+        """Pass chunks to ``on_chunks`` until it returns ``True``: they are complete."""
         name, attempt = self._row.name, self._call.attempt
-        know = self._parts.know
-        fleet = self._asked.caller.fleet
+        context = self._deps.context
+        fleet = self._model_call.caller.fleet
         now = self._now()
-        know.load.sent(name, attempt, fleet, self._prefill_tokens, now)
-        pool = PoolName(self._asked.model)
-        self._parts.meter.prefill(pool, self._prefill_tokens, now)
-        know.health.started(name)
+        context.load.sent(name, attempt, fleet, self._prefill_tokens, now)
+        pool = PoolName(self._model_call.model)
+        self._deps.meter.prefill(pool, self._prefill_tokens, now)
+        context.health.started(name)
         try:
-            await self._read(take)
-            know.health.succeeded(name)
+            await self._receive(on_chunks)
+            context.health.succeeded(name)
         except AttemptFailedError as exc:
-            await self._note_failure(exc)
+            await self._record_failure(exc)
             raise
         except BaseException:
-            know.health.cancelled(name)
+            context.health.cancelled(name)
             await self._cancel()
             raise
         finally:
-            know.load.ended(name, attempt, self._now())
+            context.load.ended(name, attempt, self._now())
 
     def _now(self) -> float:
-        return self._parts.clock.monotonic()
+        return self._deps.clock.monotonic()
 
-    async def _note_failure(self, exc: AttemptFailedError) -> None:
-        self._parts.know.health.failed(self._row.name, self._now())
-        if exc.end in (SendEnd.SILENT, SendEnd.SPOILED):
+    async def _record_failure(self, exc: AttemptFailedError) -> None:
+        self._deps.context.health.failed(self._row.name, self._now())
+        if exc.outcome in (AttemptOutcome.SILENT, AttemptOutcome.INVALID):
             await self._cancel()
 
-    async def _read(self, take: Take) -> None:
-        cfg = self._parts.cfg
+    async def _receive(self, on_chunks: OnChunks) -> None:
+        cfg = self._deps.cfg
         name = self._row.name
         limit = SilenceLimit(NEVER)
         limit.allow(cfg.first_token_timeout)
-        call = self._parts.client.generate(self._row.address, self._call)
+        call = self._deps.client.generate(self._row.address, self._call)
         try:
             async with AsyncExitStack() as stack:
                 batches = await limit.bound(stack.enter_async_context(call))
                 async with aclosing(batches):
-                    await self._take_all(batches, take, limit)
+                    await self._consume(batches, on_chunks, limit)
         except SilentError as exc:
-            raise AttemptFailedError(name, SendEnd.SILENT) from exc
+            raise AttemptFailedError(name, AttemptOutcome.SILENT) from exc
         except TargetError as exc:
-            health = self._parts.know.health
+            health = self._deps.context.health
             health.back_off(name, retry_after_of(exc), self._now())
-            raise AttemptFailedError(name, end_of(exc)) from exc
+            raise AttemptFailedError(name, outcome_of(exc)) from exc
 
-    async def _take_all(
-        self, batches: AsyncIterator[Chunks], take: Take, limit: SilenceLimit
+    async def _consume(
+        self, batches: AsyncIterator[Chunks], on_chunks: OnChunks, limit: SilenceLimit
     ) -> None:
-        """Feed ``take`` until the answer is whole; ``limit`` bounds the silences."""
+        """Pass chunks to ``on_chunks``; ``limit`` bounds the wait for each batch."""
         while chunks := await limit.bound(anext(batches, None)):
-            self._note_first()
-            if await take(chunks):
+            self._record_first_chunk()
+            if await on_chunks(chunks):
                 return
-            # The caller's pace is not the engine's fault.
-            limit.allow(self._parts.cfg.token_timeout)
-        raise TargetBrokenError("ended before the answer was whole")
+            # The time that the caller took to read does not count as silence.
+            limit.allow(self._deps.cfg.token_timeout)
+        raise TargetBrokenError("engine ended the stream before the last chunk")
 
-    def _note_first(self) -> None:
+    def _record_first_chunk(self) -> None:
         if not self._got_first:
             self._got_first = True
             now = self._now()
-            self._parts.know.load.first_token(self._row.name, self._call.attempt, now)
+            self._deps.context.load.first_token(self._row.name, self._call.attempt, now)
 
     async def _cancel(self) -> None:
-        """Tell the engine, so that it does not go on for nobody."""
-        with trio.move_on_after(CANCEL_SECONDS) as scope:
+        """Cancel the call at the engine, so that it stops generating."""
+        with trio.move_on_after(CANCEL_TIMEOUT_SECONDS) as scope:
             scope.shield = True
-            await self._parts.client.cancel(self._row.address, self._call.attempt)
+            await self._deps.client.cancel(self._row.address, self._call.attempt)
--- a/berylshift/request/event_splitter.py
+++ b/berylshift/request/event_splitter.py
@@ -1,53 +1,53 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a byte stream into complete server-sent events."""
 
 import msgspec
 
-# The largest event that is held back until its end comes.
-LONGEST_EVENT = 1 << 20
+# The largest incomplete event that is buffered.
+MAX_EVENT_BYTES = 1 << 20
 ID_FIELD = b"id:"
 
 
 class StreamEvent(msgspec.Struct, frozen=True):
-    """One whole event as sent, with its blank line; ``id`` if it bears one."""
+    """One complete event as sent, with its blank line, and its ``id`` if it has one."""
 
     data: bytes
     id: bytes | None
 
 
 class EventTooLongError(Exception):
-    """An event did not end within the bound."""
+    """An event exceeds ``MAX_EVENT_BYTES``."""
 
 
 class EventSplitter:
-    """Collects bytes and gives whole events.
+    """Buffers bytes and returns complete events.
 
-    A replica may stop in the middle of an event. Half an event that was passed on
-    could not be taken back, and the resumed stream would repeat or miss a piece.
+    A replica may fail in the middle of an event. A partial event that was forwarded
+    could not be retracted, and the resumed stream would repeat or miss data.
     """
 
     def __init__(self) -> None:
-        """Start with nothing held back."""
-        self._rest = b""
+        """Start with an empty buffer."""
+        self._buffered = b""
 
     def feed(self, data: bytes) -> list[StreamEvent]:
         """Return the events that ``data`` completes."""
-        self._rest += data
+        self._buffered += data
         found = []
-        while (end := _event_end(self._rest)) > 0:
-            found.append(_event(self._rest[:end]))
-            self._rest = self._rest[end:]
-        if len(self._rest) > LONGEST_EVENT:
+        while (end := _event_end(self._buffered)) > 0:
+            found.append(_parse_event(self._buffered[:end]))
+            self._buffered = self._buffered[end:]
+        if len(self._buffered) > MAX_EVENT_BYTES:
             raise EventTooLongError
         return found
 
     @property
-    def rest(self) -> bytes:
-        """Return the bytes of the event that has not ended."""
-        return self._rest
+    def buffered(self) -> bytes:
+        """Return the bytes of the incomplete event."""
+        return self._buffered
 
 
 def _event_end(data: bytes) -> int:
-    """Return where the first event ends, 0 if it has not ended."""
+    """Return the end offset of the first event, 0 if it is incomplete."""
     ends = []
     for mark in (b"\n\n", b"\r\n\r\n", b"\n\r\n"):
         at = data.find(mark)
@@ -56,7 +56,7 @@
     return min(ends, default=0)
 
 
-def _event(data: bytes) -> StreamEvent:
+def _parse_event(data: bytes) -> StreamEvent:
     found = None
     for line in data.splitlines():
         if line.startswith(ID_FIELD):
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -1,4 +1,4 @@
-"""The callers' interface: from HTTP requests to calls, and back to answers."""
+"""HTTP handler of the native API: completions, service calls and health checks."""
 
 import logging
 import random
@@ -14,16 +14,9 @@
 from berylshift.ids import CustomerName, FleetName, RequestId, WorkName
 from berylshift.metrics import Metrics
 from berylshift.process.limits.customer_limits import CustomerLimits
-from berylshift.request.answer import (
-    STATUS,
-    Answer,
-    StreamSink,
-    WholeSink,
-    completion_answer,
-)
 from berylshift.request.completion import Completion
 from berylshift.request.decisions import DecisionLog
-from berylshift.request.engine_attempt import CompletionParts
+from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.errors import BadRequestError
 from berylshift.request.messages import (
     DEADLINE_HEADER,
@@ -36,6 +29,13 @@
     PlainEnding,
     Reason,
 )
+from berylshift.request.response_writer import (
+    STATUS_BY_REASON,
+    BufferedSink,
+    ResponseWriter,
+    StreamSink,
+    encode_completion,
+)
 from berylshift.request.service_call import ServiceCalls
 from berylshift.settings import CallerSettings, Credential
 
@@ -47,7 +47,7 @@
 SERVICES_PATH = "/services/"
 IDEMPOTENT_METHODS = frozenset({"GET", "HEAD", "PUT", "DELETE", "OPTIONS"})
 IDEMPOTENT_HEADER = "berylshift-idempotent"
-LONGEST_KEY = 200
+MAX_KEY_LENGTH = 200
 DROPPED_HEADERS = frozenset(
     {
         "authorization",
@@ -67,7 +67,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """The body of ``POST /v1/completions``; other members are passed over."""
+    """The body of ``POST /v1/completions``; other members are ignored."""
 
     model: str
     prompt: str
@@ -76,13 +76,13 @@
 
 
 @dataclass
-class FrontParts:
-    """What the callers' interface works with."""
+class NativeHandlerDependencies:
+    """Dependencies of the native API's handler."""
 
     clock: Clock
     cfg: CallerSettings
     callers: dict[str, Credential]
-    completions: CompletionParts
+    completions: CompletionDependencies
     services: ServiceCalls
     limits: CustomerLimits
     decisions: DecisionLog
@@ -92,28 +92,28 @@
     rng: random.Random
 
 
-class Front:
-    """Handles callers' requests."""
+class NativeHandler:
+    """Handles requests to the native API."""
 
-    def __init__(self, parts: FrontParts):
-        """Work with ``parts``."""
-        self._parts = parts
+    def __init__(self, deps: NativeHandlerDependencies):
+        """Start without requests in flight."""
+        self._deps = deps
         self.in_flight = 0
 
     async def handle(self, req: HttpRequest, responder: Responder) -> None:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         if req.path in (READY_PATH, LIVE_PATH):
             await self._health(req, responder)
             return
-        started = self._parts.clock.monotonic()
+        started = self._deps.clock.monotonic()
         with self._in_flight():
-            await self._route(req, Answer(responder, self.new_request()))
-        took = self._parts.clock.monotonic() - started
-        self._parts.metrics.timing("request", took * 1000)
+            await self._route(req, ResponseWriter(responder, self.new_request()))
+        elapsed = self._deps.clock.monotonic() - started
+        self._deps.metrics.timing("request", elapsed * 1000)
 
     @contextmanager
     def _in_flight(self) -> Iterator[None]:
-        """Count the block as work that a graceful shutdown waits for."""
+        """Count the block as in-flight work, which a graceful shutdown waits for."""
         self.in_flight += 1
         try:
             yield
@@ -121,10 +121,10 @@
             self.in_flight -= 1
 
     def new_request(self) -> RequestId:
-        """Return an id that no other request has."""
-        return RequestId(f"{self._parts.rng.getrandbits(64):016x}")
+        """Return a random request id."""
+        return RequestId(f"{self._deps.rng.getrandbits(64):016x}")
 
-    async def _route(self, req: HttpRequest, out: Answer) -> None:
+    async def _route(self, req: HttpRequest, out: ResponseWriter) -> None:
         caller = self._caller(req)
         if caller is None:
             await out.problem(_not_run(Reason.UNKNOWN_CALLER))
@@ -140,40 +140,42 @@
             await out.problem(_not_run(Reason.BAD_REQUEST, str(exc)))
 
     async def _health(self, req: HttpRequest, responder: Responder) -> None:
-        good = req.path == LIVE_PATH or self._parts.ready()
-        status = STATUS_OK if good else STATUS_UNAVAILABLE
+        is_healthy = req.path == LIVE_PATH or self._deps.ready()
+        status = STATUS_OK if is_healthy else STATUS_UNAVAILABLE
         await responder.full(status, {"content-type": "text/plain"}, b"")
 
     def _caller(self, req: HttpRequest) -> Caller | None:
         token = req.headers.get("authorization", "").removeprefix("Bearer ")
-        found = self._parts.callers.get(token)
+        found = self._deps.callers.get(token)
         if found is None:
             return None
         return Caller(CustomerName(found.customer), FleetName(found.fleet))
 
     def _deadline(self, req: HttpRequest) -> float:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         text = req.headers.get(DEADLINE_HEADER)
         if text is None:
-            return now + self._parts.cfg.default_deadline
+            return now + self._deps.cfg.default_deadline
         if not text.isdigit() or int(text) == 0:
             raise BadRequestError(f"{DEADLINE_HEADER}: must be whole milliseconds")
-        return now + min(int(text) / 1000, self._parts.cfg.longest_request)
+        return now + min(int(text) / 1000, self._deps.cfg.longest_request)
 
     def admit(self, caller: Caller) -> Ending | None:
-        """Return the refusal of a new request, or ``None`` to go on."""
-        reason = self._parts.closed()
+        """Return the refusal of a new request; ``None``: it is admitted."""
+        reason = self._deps.closed()
         if reason is not None:
             return _not_run(reason)
-        now = self._parts.clock.monotonic()
-        wait = self._parts.limits.admit(caller.customer, now)
+        now = self._deps.clock.monotonic()
+        wait = self._deps.limits.admit(caller.customer, now)
         if wait > 0:
-            return _not_run(Reason.CUSTOMER_LIMIT, wait=wait)
+            return _not_run(Reason.CUSTOMER_LIMIT, wait_seconds=wait)
         return None
 
     # Model calls
 
-    async def _completion(self, req: HttpRequest, out: Answer, caller: Caller) -> None:
+    async def _completion(
+        self, req: HttpRequest, out: ResponseWriter, caller: Caller
+    ) -> None:
         body = _completion_body(req)
         call = ModelCall(
             request=out.request,
@@ -183,27 +185,29 @@
             max_tokens=body.max_tokens,
             deadline=self._deadline(req),
         )
-        sink = StreamSink(out, body.model) if body.stream else WholeSink()
+        sink = StreamSink(out, body.model) if body.stream else BufferedSink()
         ending = await self.complete(call, sink)
         if body.stream:
             await sink.finish(ending)
         elif ending.outcome is Outcome.COMPLETE:
-            await out.whole(completion_answer(out.request, body.model, sink.joined()))
+            await out.full(encode_completion(out.request, body.model, sink.joined()))
         else:
             await out.problem(ending)
 
     async def complete(self, call: ModelCall, sink) -> Ending:
-        """Carry a model call out; every ending is logged."""
+        """Run a model call and log how it ended."""
         ending = self.admit(call.caller)
         if ending is None:
             with self._in_flight():
-                ending = await Completion(self._parts.completions, call, sink).run()
-        self._parts.decisions.ended(call.request, ending)
+                ending = await Completion(self._deps.completions, call, sink).run()
+        self._deps.decisions.ended(call.request, ending)
         return ending
 
     # Plain services
 
-    async def _service(self, req: HttpRequest, out: Answer, caller: Caller) -> None:
+    async def _service(
+        self, req: HttpRequest, out: ResponseWriter, caller: Caller
+    ) -> None:
         name, _, rest = req.path.removeprefix(SERVICES_PATH).partition("/")
         call = PlainCall(
             request=out.request,
@@ -220,19 +224,19 @@
         _check_key(call)
         found = await self.call_service(call)
         if found.ending.outcome is Outcome.COMPLETE:
-            await out.passed_on(found)
+            await out.forward(found)
         else:
             await out.problem(found.ending)
 
     async def call_service(self, call: PlainCall) -> PlainEnding:
-        """Carry a plain call out; every ending is logged."""
+        """Run a service call and log how it ended."""
         ending = self.admit(call.caller)
         if ending is None:
             with self._in_flight():
-                found = await self._parts.services.run(call)
+                found = await self._deps.services.run(call)
         else:
-            found = await self._parts.services.refuse(call, ending)
-        self._parts.decisions.ended(call.request, found.ending)
+            found = await self._deps.services.refuse(call, ending)
+        self._deps.decisions.ended(call.request, found.ending)
         return found
 
 
@@ -269,10 +273,14 @@
         return
     if not call.key:
         raise BadRequestError(f"a call that may not be repeated needs {KEY_HEADER}")
-    if len(call.key) > LONGEST_KEY or not call.key.isprintable():
-        raise BadRequestError(f"{KEY_HEADER}: at most {LONGEST_KEY} plain characters")
+    if len(call.key) > MAX_KEY_LENGTH or not call.key.isprintable():
+        raise BadRequestError(
+            f"{KEY_HEADER}: at most {MAX_KEY_LENGTH} plain characters"
+        )
 
 
-def _not_run(reason: Reason, detail: str = "", wait: float = 1.0) -> Ending:
-    asks_again = STATUS[reason] in (429, 503)
-    return Ending(Outcome.NOT_RUN, reason, detail, wait if asks_again else 0.0)
+def _not_run(reason: Reason, detail: str = "", wait_seconds: float = 1.0) -> Ending:
+    is_retryable = STATUS_BY_REASON[reason] in (429, 503)
+    return Ending(
+        Outcome.NOT_RUN, reason, detail, wait_seconds if is_retryable else 0.0
+    )
--- a/berylshift/request/prompt_read.py
+++ b/berylshift/request/prompt_read.py
@@ -23,7 +23,7 @@
 from berylshift.messages.routed import Language
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
-from berylshift.request.retry_policy import SendEnd
+from berylshift.request.retry_policy import AttemptOutcome
 
 logger = logging.getLogger(__name__)
 
@@ -49,7 +49,7 @@
 class ReadEnd(msgspec.Struct, frozen=True):
     """How a reading ended; ``source`` is set if it is done."""
 
-    end: SendEnd
+    end: AttemptOutcome
     source: KvSource | None = None
 
 
@@ -86,13 +86,13 @@
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as answer:
                     return await self._take(request, place.target, answer)
-            return ReadEnd(SendEnd.SILENT)
+            return ReadEnd(AttemptOutcome.SILENT)
         except ThrottledError:
-            return ReadEnd(SendEnd.THROTTLED)
+            return ReadEnd(AttemptOutcome.THROTTLED)
         except ConnectFailedError:
-            return ReadEnd(SendEnd.NOT_REACHED)
+            return ReadEnd(AttemptOutcome.NOT_REACHED)
         except ConnectionLayerError:
-            return ReadEnd(SendEnd.BROKEN)
+            return ReadEnd(AttemptOutcome.BROKEN)
         finally:
             self._loads.read(instance, place.tokens, urgency)
             self._loads.ended(instance)
@@ -104,7 +104,7 @@
         if head.request is not None and head.request != request:
             # A late answer to an earlier request on a kept connection.
             answer.usable = False
-            return ReadEnd(SendEnd.BROKEN)
+            return ReadEnd(AttemptOutcome.BROKEN)
         if head.keep_seconds is not None:
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
@@ -112,11 +112,13 @@
             self._loads.heard(engine.instance, head.load, now)
         body = await answer.read(MOST_CONTROL_BYTES)
         if head.status != STATUS_OK:
-            return ReadEnd(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
+            return ReadEnd(
+                AttemptOutcome.NOT_RUN if head.not_run else AttemptOutcome.FAILED
+            )
         handle = self._language.read_handle(body)
         if handle is None:
-            return ReadEnd(SendEnd.SPOILED)
-        return ReadEnd(SendEnd.DONE, KvSource(engine, handle.handle))
+            return ReadEnd(AttemptOutcome.INVALID)
+        return ReadEnd(AttemptOutcome.DONE, KvSource(engine, handle.handle))
 
     def release(self, source: KvSource) -> None:
         """Free a KV cache that was not taken; it would hold memory until it expires."""
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -1,4 +1,4 @@
-"""Carries one routed request: sends it, relays the answer, sends again where it may."""
+"""Relays one routed request to a replica and retries it where that is allowed."""
 
 import logging
 from collections.abc import Callable
@@ -13,164 +13,191 @@
 from berylshift.messages.routed import Dispatch, Prompt, RoutedRequest
 from berylshift.process.targets.target_load import MILD, SEVERE
 from berylshift.request.allowance import TimeBound, allowance_of
-from berylshift.request.answer_stream import AnswerStream
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
 from berylshift.request.prompt_read import KvSource
 from berylshift.request.reading_choice import ReadingAsk, ReadingChoice
-from berylshift.request.relay_dependencies import RelayParts
+from berylshift.request.relay_dependencies import RelayDependencies
 from berylshift.request.relay_result import (
-    HopelessError,
-    KeyGoneError,
-    NoRoomError,
-    Result,
-    Verdict,
+    AllThrottledError,
+    DeadlineUnreachableError,
+    KeyRevokedError,
+    RelayOutcome,
+    RelayResult,
 )
 from berylshift.request.replica_choice import ReplicaChoice
-from berylshift.request.replica_exchange import FailedAnswer, Reading, SingleSend
-from berylshift.request.retry_loop import LoopEnd, send_until_done
+from berylshift.request.replica_exchange import (
+    FailedResponse,
+    PendingPrefill,
+    ReplicaExchange,
+)
+from berylshift.request.response_stream import ResponseStream
+from berylshift.request.retry_loop import StopReason, run_attempts
 from berylshift.request.retry_policy import (
     NEVER_SENT,
-    SendEnd,
-    SendHistory,
-    Sent,
-    bounds_of,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    retry_bounds,
 )
-from berylshift.request.routed_crash_watch import RoutedWatch
+from berylshift.request.routed_crash_watch import RoutedCrashWatch
 from berylshift.request.standing import Standing, rank_of, urgency_in
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
 
-# What is left of a caller's time when its answer is given up on, so that the answer
-# arrives before the caller leaves.
-ANSWER_SECONDS = 0.02
-# What a write to the caller may take beyond the request's time. A window of 64 KB
-# leaves a link of 10 Mbit/s in 50 ms; a caller that reads no more holds its engine's
-# slot no longer than this.
-LATE_WRITE_SECONDS = 0.25
-# Engines that may be asked to read one prompt.
-MOST_READS = 2
-# Engines that may be told of one cache. One that refuses may be full, or unable to
-# fetch it; a second refusal says that the cache is gone.
-MOST_SOURCE_USES = 2
+# Time reserved at the end of the caller's timeout, so that the final response arrives
+# before the caller disconnects.
+FINAL_RESPONSE_SECONDS = 0.02
+# Extra time for a write to the caller after the request's deadline. A 64 KB window
+# drains over a 10 Mbit/s link in 50 ms; a caller that has stopped reading blocks its
+# engine slot for no longer than this.
+WRITE_GRACE_SECONDS = 0.25
+# Prefill engines that are tried for one prompt.
+MAX_PREFILLS = 2
+# Decode engines that are offered one KV cache. An engine that refuses may be full or
+# unable to fetch the cache; a second refusal means that the cache is gone.
+MAX_KV_SOURCE_USES = 2
 
 
 class Relay:
-    """One request on its way."""
+    """Serves one routed request over one or more attempts."""
 
     def __init__(
         self,
-        parts: RelayParts,
+        deps: RelayDependencies,
         req: RoutedRequest,
         route: Route,
         service: ServiceName,
         responder: Responder,
-        key_holds: Callable[[], bool] = lambda: True,
+        is_key_valid: Callable[[], bool] = lambda: True,
     ):
-        """Relay ``req`` to ``service`` and its answer to ``responder``.
+        """Relay ``req`` to ``service`` and write the response to ``responder``.
 
-        ``key_holds`` says whether the caller may still be served.
+        ``is_key_valid`` returns whether the caller's API key still authorizes it.
         """
-        self._parts = parts
-        self._key_holds = key_holds
+        self._deps = deps
+        self._is_key_valid = is_key_valid
         self.request = req.id
         self.service = service
         self._req = req
         self._route = route
-        self._out = AnswerStream(responder, parts.clock)
-        self._history = SendHistory()
-        self._budget = parts.budget(service)
-        self._sends: list[str] = []
-        self._sender = SingleSend(parts, req, route, self._out, self._history)
-        self.crash_watch = RoutedWatch(parts, req)
-        self._choice = ReplicaChoice(parts, service, self.crash_watch)
-        self._open_place: Placement | None = None
-        self._open_since = 0.0
-        self._source: KvSource | None = None
-        self._source_uses = 0
-        self._reads = 0
-        self._standing = Standing.ON_TIME
-        self._started = parts.clock.monotonic()
-        self._allowance = allowance_of(route, req)
-        self._until = self._started + self._allowance.seconds
-        self._first_until = self._started + min(self._allowance.seconds, route.patience)
-
-    async def run(self) -> Result:
-        """Serve the request; every path ends with one answer or a cut stream."""
-        left = self._until - self._now() - ANSWER_SECONDS
-        self._out.bound_writes(self._until + LATE_WRITE_SECONDS)
+        self._out = ResponseStream(responder, deps.clock)
+        self._history = AttemptHistory()
+        self._retry_budget = deps.retry_budget_for(service)
+        self._attempt_log: list[str] = []
+        self._exchange = ReplicaExchange(deps, req, route, self._out, self._history)
+        self.crash_watch = RoutedCrashWatch(deps, req)
+        self._choice = ReplicaChoice(deps, service, self.crash_watch)
+        self._open_placement: Placement | None = None
+        self._attempt_started = 0.0
+        self._kv_source: KvSource | None = None
+        self._kv_source_uses = 0
+        self._prefills = 0
+        self._slo_status = Standing.ON_TIME
+        self._started_at = deps.clock.monotonic()
+        self._timeout = allowance_of(route, req)
+        self._deadline = self._started_at + self._timeout.seconds
+        self._first_chunk_deadline = self._started_at + min(
+            self._timeout.seconds, route.patience
+        )
+
+    async def run(self) -> RelayResult:
+        """Serve the request and return its outcome.
+
+        The caller gets a complete response or a truncated stream here; for any other
+        outcome, the handler sends the final response.
+        """
+        left = self._deadline - self._now() - FINAL_RESPONSE_SECONDS
+        self._out.limit_writes(self._deadline + WRITE_GRACE_SECONDS)
         scope = trio.move_on_after(max(0.0, left))
-        with scope, self._parts.shutdown.bounding(scope):
+        with scope, self._deps.shutdown.bounding(scope):
             try:
-                await self.crash_watch.identify()
-                verdict = await self._send_until_done()
-            except HopelessError as exc:
-                return self._hopeless(exc)
+                await self.crash_watch.wait_for_fingerprint()
+                outcome = await self._run_attempts()
+            except DeadlineUnreachableError as exc:
+                return self._unreachable_result(exc)
             except QuarantinedError as exc:
-                return self._held_back(exc)
-            except NoRoomError as exc:
-                return self._given_up(Verdict.THROTTLED, exc, exc.seconds)
-            except KeyGoneError as exc:
-                return self._given_up(Verdict.KEY_GONE, exc, 0.0)
+                return self._quarantined_result(exc)
+            except AllThrottledError as exc:
+                return self._result_unless_run(RelayOutcome.THROTTLED, exc, exc.seconds)
+            except KeyRevokedError as exc:
+                return self._result_unless_run(RelayOutcome.KEY_REVOKED, exc, 0.0)
             finally:
-                self._drop_source()
-            return Result(verdict, self._last_end(), self._sends)
-        if self._open_place is not None:
-            what = f"{self._open_place.reason} open"
-            self._note_send(self._open_place, what, self._open_since)
+                self._release_kv_source()
+            return RelayResult(outcome, self._last_outcome(), self._attempt_log)
+        if self._open_placement is not None:
+            what = f"{self._open_placement.reason} open"
+            self._log_attempt(self._open_placement, what, self._attempt_started)
         if self._out.started:
-            return Result(Verdict.CUT, "time is up", self._sends, bound=self._bound())
-        return Result(
-            Verdict.TIMED_OUT, self._last_end(), self._sends, bound=self._bound()
+            return RelayResult(
+                RelayOutcome.CUT,
+                "time is up",
+                self._attempt_log,
+                timeout_source=self._timeout_source(),
+            )
+        return RelayResult(
+            RelayOutcome.TIMED_OUT,
+            self._last_outcome(),
+            self._attempt_log,
+            timeout_source=self._timeout_source(),
         )
 
-    def cut_off(self, why: str) -> Result:
-        """Return the end of a request whose caller reads its answer too slowly."""
-        return Result(Verdict.CUT, why, self._sends, bound=self._bound())
+    def truncated_result(self, why: str) -> RelayResult:
+        """Return the result of a request whose caller reads its response too slowly."""
+        return RelayResult(
+            RelayOutcome.CUT,
+            why,
+            self._attempt_log,
+            timeout_source=self._timeout_source(),
+        )
 
-    def _bound(self) -> TimeBound:
-        """Return whose time ended the request."""
-        if self._parts.shutdown.comes_before(self._until - ANSWER_SECONDS):
+    def _timeout_source(self) -> TimeBound:
+        """Return which time limit ended the request."""
+        if self._deps.shutdown.comes_before(self._deadline - FINAL_RESPONSE_SECONDS):
             return TimeBound.STOP
-        return self._allowance.bound
+        return self._timeout.bound
 
-    def _hopeless(self, exc: HopelessError) -> Result:
-        """Return the end of a request that no engine can answer in time.
+    def _unreachable_result(self, exc: DeadlineUnreachableError) -> RelayResult:
+        """Return the result of a request that no engine can answer in time.
 
-        A further send may be hopeless after one that may have run: then the request
-        was not "not run", and must not be called so.
+        A retry may be unable to meet the deadline after an attempt that may have run;
+        the outcome must not be "not run" then.
         """
-        again = exc.seconds - self._route.patience
-        return self._given_up(Verdict.HOPELESS, exc, again)
+        retry_after_seconds = exc.seconds - self._route.patience
+        return self._result_unless_run(
+            RelayOutcome.DEADLINE_UNREACHABLE, exc, retry_after_seconds
+        )
 
-    def _held_back(self, exc: QuarantinedError) -> Result:
-        """Return the end of a request under which replicas ended."""
-        return self._given_up(Verdict.QUARANTINED, exc, exc.seconds)
+    def _quarantined_result(self, exc: QuarantinedError) -> RelayResult:
+        """Return the result of a request that is quarantined for crashing replicas."""
+        return self._result_unless_run(RelayOutcome.QUARANTINED, exc, exc.seconds)
 
-    def _given_up(self, verdict: Verdict, exc: Exception, again: float) -> Result:
-        """Return ``verdict``, unless an earlier send says otherwise."""
-        found = self._gave_up()
-        if found is Verdict.NOT_RUN:
-            found = verdict
-        return Result(found, str(exc), self._sends, again)
+    def _result_unless_run(
+        self, outcome: RelayOutcome, exc: Exception, retry_after_seconds: float
+    ) -> RelayResult:
+        """Return ``outcome``, unless an earlier attempt may have run."""
+        found = self._final_outcome()
+        if found is RelayOutcome.NOT_RUN:
+            found = outcome
+        return RelayResult(found, str(exc), self._attempt_log, retry_after_seconds)
 
     @property
     def first_ms(self) -> float | None:
         """Return the milliseconds until a stream's first event."""
-        if self._out.first_at is None:
+        if self._out.first_event_at is None:
             return None
-        return round((self._out.first_at - self._started) * 1000, 1)
+        return round((self._out.first_event_at - self._started_at) * 1000, 1)
 
     @property
     def pause_ms(self) -> float:
         """Return the longest pause between two events, in milliseconds."""
-        return round(self._out.longest_pause * 1000, 1)
+        return round(self._out.longest_pause_seconds * 1000, 1)
 
     @property
     def events(self) -> int:
-        """Return how many events of a stream were passed on."""
+        """Return how many events of a stream were forwarded."""
         return self._out.events
 
     @property
@@ -179,271 +206,287 @@
         return self._history.may_have_run
 
     @property
-    def failure(self) -> FailedAnswer | None:
-        """Return the last replica's own failure, if that is how it ended."""
-        return self._sender.failure
+    def failure(self) -> FailedResponse | None:
+        """Return the last error response of a replica, if there was one."""
+        return self._exchange.failure
 
     def _now(self) -> float:
-        return self._parts.clock.monotonic()
+        return self._deps.clock.monotonic()
 
-    def _last_end(self) -> str:
+    def _last_outcome(self) -> str:
         last = self._history.last
-        return str(last.end) if last is not None else "no replica"
+        return str(last.outcome) if last is not None else "no replica"
 
-    def _note_send(self, place: Placement, what: str, sent_at: float) -> None:
-        """Keep a send for the log: what was predicted, when it went out and ended."""
-        ms = (self._now() - self._started) * 1000
-        sent_ms = (sent_at - self._started) * 1000
+    def _log_attempt(self, place: Placement, what: str, sent_at: float) -> None:
+        """Add an attempt to the log: its prediction, start and end."""
+        ms = (self._now() - self._started_at) * 1000
+        sent_ms = (sent_at - self._started_at) * 1000
         inputs = f"predicted={place.seconds * 1000:.0f}ms tokens={place.tokens}"
         inputs += f" again={place.again} ahead={place.ahead:.0f}"
-        inputs += f" standing={self._standing} sent={sent_ms:.0f}ms"
-        self._sends.append(f"{place.target.instance} {what} {inputs} {ms:.0f}ms")
-
-    async def _send_until_done(self) -> Verdict:
-        end = await send_until_done(
-            self, bounds_of(self._route), self._history, self._budget, self._parts.clock
+        inputs += f" standing={self._slo_status} sent={sent_ms:.0f}ms"
+        self._attempt_log.append(f"{place.target.instance} {what} {inputs} {ms:.0f}ms")
+
+    async def _run_attempts(self) -> RelayOutcome:
+        stop_reason = await run_attempts(
+            self,
+            retry_bounds(self._route),
+            self._history,
+            self._retry_budget,
+            self._deps.clock,
         )
-        if end is LoopEnd.DONE:
-            return Verdict.ANSWERED
-        if end is LoopEnd.NO_BUDGET:
-            self._sends.append(str(end))
-        return self._gave_up()
-
-    def is_late(self) -> bool:
-        """Return that time is left: its end cancels the sends."""
+        if stop_reason is StopReason.DONE:
+            return RelayOutcome.ANSWERED
+        if stop_reason is StopReason.RETRY_BUDGET_SPENT:
+            self._attempt_log.append(str(stop_reason))
+        return self._final_outcome()
+
+    def is_past_deadline(self) -> bool:
+        """Return ``False``: the deadline cancels the attempts by itself."""
         return False
 
-    def must_finish(self) -> bool:
-        """Return that all hosts' budget goes before any answer."""
+    def ignores_retry_budget(self) -> bool:
+        """Return ``False``: the retry budget also holds for resumed streams."""
         return False
 
-    def _gave_up(self) -> Verdict:
+    def _final_outcome(self) -> RelayOutcome:
         if self._out.started:
-            return Verdict.CUT
+            return RelayOutcome.CUT
         if self._history.outcome is Outcome.UNKNOWN:
-            return Verdict.FAILED
-        return Verdict.NOT_RUN
+            return RelayOutcome.FAILED
+        return RelayOutcome.NOT_RUN
 
-    def _check_may_go(self) -> None:
-        """Raise ``QuarantinedError`` or ``KeyGoneError`` if no send may follow now.
+    def _check_allowed(self) -> None:
+        """Raise ``QuarantinedError`` or ``KeyRevokedError`` if no attempt is allowed.
 
-        A stream that its caller already has a part of is finished for any key.
+        A stream that has started is finished even if its key was revoked.
         """
         self.crash_watch.check()
-        if not self._out.started and not self._key_holds():
-            raise KeyGoneError("the key was taken away")
+        if not self._out.started and not self._is_key_valid():
+            raise KeyRevokedError("the API key was revoked while the request waited")
 
-    async def send(self) -> Sent | None:
-        """Place and send once; ``None`` if there is no place."""
-        self._check_may_go()
+    async def send(self) -> AttemptRecord | None:
+        """Choose a replica and make one attempt; ``None``: no replica is available."""
+        self._check_allowed()
         if self._req.prompt is None:
-            return await self._send(self._choice.plain(self._out.started), None)
-        place = self._answerer(None)
+            return await self._send_attempt(self._choice.plain(self._out.started), None)
+        place = self._decode_placement(None)
         if place is None:
-            return await self._send(None, None)
-        if self._source is None and not self._out.started:
+            return await self._send_attempt(None, None)
+        if self._kv_source is None and not self._out.started:
             self._choice.reserve(place.target.instance)
-            if not await self._read_prompt(self._req.prompt):
+            if not await self._prefill_prompt(self._req.prompt):
                 return None
-            # A replica may have ended under another try of it meanwhile.
-            self._check_may_go()
-        source = None if self._out.started else self._source
-        place = self._answerer(source and source.engine)
+            # Another attempt of this request may have crashed a replica meanwhile.
+            self._check_allowed()
+        source = None if self._out.started else self._kv_source
+        place = self._decode_placement(source and source.engine)
         if place is not None and source is None:
-            self._check_hope(place.seconds)
-        return await self._send(place, source)
+            self._check_first_chunk(place.seconds)
+        return await self._send_attempt(place, source)
 
-    def _answerer(self, reader: Replica | None) -> Placement | None:
-        """Return the engine that should answer now."""
+    def _decode_placement(self, prefill_engine: Replica | None) -> Placement | None:
+        """Return the decode engine for a prompt prefilled at ``prefill_engine``."""
         prompt = self._req.prompt
         if prompt is None:
             return None
-        return self._choice.answerer(prompt, reader, self._out.started)
+        return self._choice.answerer(prompt, prefill_engine, self._out.started)
+
+    def _check_first_chunk(self, seconds: float) -> None:
+        """Raise ``DeadlineUnreachableError`` if a first chunk would be too late.
 
-    def _check_hope(self, seconds: float) -> None:
-        """Raise ``HopelessError`` if a first piece in ``seconds`` comes too late."""
-        if not self._out.started and self._now() + seconds > self._first_until:
-            raise HopelessError(seconds)
+        ``seconds`` is the predicted time to it. A started stream is not checked.
+        """
+        if not self._out.started and self._now() + seconds > self._first_chunk_deadline:
+            raise DeadlineUnreachableError(seconds)
 
-    # Reading a prompt apart
+    # Disaggregated prefill
 
-    async def _read_prompt(self, prompt: Prompt) -> bool:
-        """Have an engine read the prompt, unless the answering one is to.
+    async def _prefill_prompt(self, prompt: Prompt) -> bool:
+        """Prefill the prompt at a prefill engine, unless the decode engine does it.
 
-        Return whether the request may go on. The first reading is free, if it is
-        accepted; further ones and those that fail are further sends to the service.
+        Return whether the request may continue. The first prefill does not count
+        against the retry budget if it succeeds; later and failed ones do.
         """
         tried: list[InstanceId] = []
-        while (choice := self._choose_reader(prompt, tried)) is not None:
-            self._check_may_go()
-            if self._reads and not self._budget.take(self._now()):
+        while (choice := self._choose_prefill(prompt, tried)) is not None:
+            self._check_allowed()
+            if self._prefills and not self._retry_budget.take(self._now()):
                 return False
-            self._parts.readings.sent(self._ask(prompt, tried), choice, self._now())
+            self._deps.prefill_scheduler.sent(
+                self._prefill_job(prompt, tried), choice, self._now()
+            )
             tried.append(choice.place.target.instance)
-            end = await self._read_at(choice.place)
-            if end is SendEnd.DONE:
+            outcome = await self._prefill_at(choice.place)
+            if outcome is AttemptOutcome.DONE:
                 return True
-            if self._reads == 1 and end not in NEVER_SENT:
-                self._budget.spend(self._now())
-            if len(tried) >= MOST_READS:
+            if self._prefills == 1 and outcome not in NEVER_SENT:
+                self._retry_budget.spend(self._now())
+            if len(tried) >= MAX_PREFILLS:
                 return False
         return not tried
 
-    async def _read_at(self, place: Placement) -> SendEnd:
-        """Have one engine read the prompt; keep its cache for the answering one."""
-        sent_at = self._open_since = self._now()
-        self._open_place = place
-        found = await self._parts.reads.read(
+    async def _prefill_at(self, place: Placement) -> AttemptOutcome:
+        """Prefill at one engine; keep its KV cache for the decode engine."""
+        sent_at = self._attempt_started = self._now()
+        self._open_placement = place
+        found = await self._deps.prefill_client.read(
             self._req.id,
             place,
             self._urgency,
-            self._outgoing(place.target, prefill_only=True),
-            self._first_until - sent_at,
+            self._target_request(place.target, prefill_only=True),
+            self._first_chunk_deadline - sent_at,
         )
-        self._reads += found.end not in NEVER_SENT
-        self._open_place = None
-        self._note_send(place, f"read {place.reason} {found.end}", sent_at)
+        self._prefills += found.end not in NEVER_SENT
+        self._open_placement = None
+        self._log_attempt(place, f"read {place.reason} {found.end}", sent_at)
         if found.source is None:
-            await self._judge(place.target, found.end)
+            await self._record_health(place.target, found.end)
         else:
-            self.crash_watch.answered(place.target, sent_at)
-            self._parts.speeds.was_read(
+            self.crash_watch.on_response(place.target, sent_at)
+            self._deps.speeds.was_read(
                 self.service, place.tokens, place.ahead, self._now() - sent_at
             )
-        self._source, self._source_uses = found.source, 0
+        self._kv_source, self._kv_source_uses = found.source, 0
         return found.end
 
-    def _drop_source(self) -> None:
-        """Free the cache that no engine took."""
-        if self._source is not None:
-            self._parts.reads.release(self._source)
-            self._source = None
+    def _release_kv_source(self) -> None:
+        """Free the KV cache if no decode engine took it."""
+        if self._kv_source is not None:
+            self._deps.prefill_client.release(self._kv_source)
+            self._kv_source = None
 
-    def _choose_reader(
+    def _choose_prefill(
         self, prompt: Prompt, tried: list[InstanceId]
     ) -> ReadingChoice | None:
-        """Return where to read; raise ``HopelessError`` if it would be too late."""
-        ask = self._ask(prompt, tried)
-        choice = self._parts.readings.choose(ask, self._now())
-        self._standing = choice.standing if choice else Standing.ON_TIME
+        """Return where to prefill; ``DeadlineUnreachableError`` if it is too late."""
+        job = self._prefill_job(prompt, tried)
+        choice = self._deps.prefill_scheduler.choose(job, self._now())
+        self._slo_status = choice.standing if choice else Standing.ON_TIME
         if choice is not None:
-            self._check_hope(choice.seconds)
+            self._check_first_chunk(choice.seconds)
         return choice
 
-    def _ask(self, prompt: Prompt, tried: list[InstanceId]) -> ReadingAsk:
+    def _prefill_job(self, prompt: Prompt, tried: list[InstanceId]) -> ReadingAsk:
         avoided = self._choice.avoided(self._out.started)
         return ReadingAsk(
             goal=self._route,
             service=self.service,
             pool=self._choice.pool(),
             prompt=prompt,
-            waited=self._now() - self._started,
+            waited=self._now() - self._started_at,
             avoid=[*tried, *avoided],
             avoid_answering=avoided,
         )
 
     @property
     def _urgency(self) -> Urgency:
-        return urgency_in(self._route, self._standing)
+        return urgency_in(self._route, self._slo_status)
 
-    # One send
+    # One attempt
 
-    async def _send(
+    async def _send_attempt(
         self, place: Placement | None, source: KvSource | None
-    ) -> Sent | None:
-        """Send once and relay what comes; return how it ended."""
+    ) -> AttemptRecord | None:
+        """Make one attempt and relay its response; return its outcome."""
         if place is None:
             self._choice.check_room()
             return None
-        loads, instance = self._parts.loads, place.target.instance
+        loads, instance = self._deps.loads, place.target.instance
         limit_exempt = self._choice.use(instance)
         loads.sent(instance, place.tokens, self._urgency)
-        reading = Reading(loads, instance, place.tokens, self._urgency)
-        self._open_place = place
-        sent_at = self._open_since = self._now()
-        had_begun = self._out.started
-        end = SendEnd.NOT_REACHED
+        prefill = PendingPrefill(loads, instance, place.tokens, self._urgency)
+        self._open_placement = place
+        sent_at = self._attempt_started = self._now()
+        had_started = self._out.started
+        outcome = AttemptOutcome.NOT_REACHED
         try:
-            out = self._outgoing(place.target, source, limit_exempt=limit_exempt)
-            end = await self._sender.run(out, reading)
+            out = self._target_request(place.target, source, limit_exempt=limit_exempt)
+            outcome = await self._exchange.run(out, prefill)
         finally:
-            reading.done()
+            prefill.done()
             loads.ended(instance)
-            self._count_run(sent_at, self._history.open or end.may_have_run)
-        self._use_source(end)
-        self._open_place = None
-        self._note_send(place, f"{place.reason} {end}", sent_at)
-        # The judgement may wait. Should the time end then, the send must still count.
-        self._history.open = end.may_have_run
-        await self._judge(place.target, end)
-        self._history.open = False
-        if end is SendEnd.DONE:
-            self.crash_watch.answered(place.target, sent_at)
-            self.crash_watch.finished()
-        if end is SendEnd.DONE and not had_begun:
-            self._learn(place, source, sent_at)
-        return Sent(instance, end)
-
-    def _count_run(self, sent_at: float, may_have_run: bool) -> None:
-        """Count a send that began to run, for its customer.
-
-        An engine begins with the first token; a plain replica begins as it is reached,
-        whatever its answer comes to.
+            self._report_run(
+                sent_at, self._history.has_open_attempt or outcome.may_have_run
+            )
+        self._settle_kv_source(outcome)
+        self._open_placement = None
+        self._log_attempt(place, f"{place.reason} {outcome}", sent_at)
+        # Recording the health may wait for a connection probe. If the deadline passes
+        # meanwhile, the attempt must still count as one that may have run.
+        self._history.has_open_attempt = outcome.may_have_run
+        await self._record_health(place.target, outcome)
+        self._history.has_open_attempt = False
+        if outcome is AttemptOutcome.DONE:
+            self.crash_watch.on_response(place.target, sent_at)
+            self.crash_watch.on_completed()
+        if outcome is AttemptOutcome.DONE and not had_started:
+            self._update_speeds(place, source, sent_at)
+        return AttemptRecord(instance, outcome)
+
+    def _report_run(self, sent_at: float, may_have_run: bool) -> None:
+        """Report the customer of an attempt that started to run, for usage accounting.
+
+        A run starts with an engine's first token. At a plain replica it starts when the
+        request is sent, whatever the response.
         """
-        began_at = self._sender.began_at
-        if began_at is None and may_have_run and self._req.prompt is None:
-            began_at = sent_at
-        if began_at is not None:
-            self._parts.run_began(self._req.customer, self._now() - began_at)
-
-    def _learn(self, place: Placement, source: KvSource | None, sent_at: float) -> None:
-        """Learn from a whole answer to a prompt what its engine took for it."""
-        if self._req.prompt is None or self._out.first_at is None:
+        run_started_at = self._exchange.run_started_at
+        if run_started_at is None and may_have_run and self._req.prompt is None:
+            run_started_at = sent_at
+        if run_started_at is not None:
+            self._deps.on_run_started(self._req.customer, self._now() - run_started_at)
+
+    def _update_speeds(
+        self, place: Placement, source: KvSource | None, sent_at: float
+    ) -> None:
+        """Update the engine speed estimates from a complete response to a prompt."""
+        if self._req.prompt is None or self._out.first_event_at is None:
             return
-        speeds, waited = self._parts.speeds, self._out.first_at - sent_at
+        speeds, waited = self._deps.speeds, self._out.first_event_at - sent_at
         speeds.answered(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
             speeds.began(self.service, tokens, place.ahead, waited)
 
-    def _use_source(self, end: SendEnd) -> None:
-        """Keep the cache for another engine if this one did not take it.
+    def _settle_kv_source(self, outcome: AttemptOutcome) -> None:
+        """Keep the KV cache for another engine if this one did not take it.
 
-        A refusal may be the answering engine's fault or that of the engine whose cache
-        is gone: both bear some of it, and the second refusal is the cache's.
+        A refusal may be caused by the decode engine, or by the prefill engine having
+        lost the cache: both get a mild failure, and after a second refusal the prefill
+        engine gets a severe one.
         """
-        if self._source is None:
+        if self._kv_source is None:
             return
-        self._source_uses += 1
-        loads, reader = self._parts.loads, self._source.engine.instance
-        if end.may_have_run:
-            loads.succeeded(reader, self._now())
-            self._source = None
-        elif self._source_uses < MOST_SOURCE_USES:
-            loads.failed(reader, MILD, self._now())
+        self._kv_source_uses += 1
+        loads, prefill_engine = self._deps.loads, self._kv_source.engine.instance
+        if outcome.may_have_run:
+            loads.succeeded(prefill_engine, self._now())
+            self._kv_source = None
+        elif self._kv_source_uses < MAX_KV_SOURCE_USES:
+            loads.failed(prefill_engine, MILD, self._now())
         else:
-            loads.failed(reader, SEVERE, self._now())
-            self._drop_source()
+            loads.failed(prefill_engine, SEVERE, self._now())
+            self._release_kv_source()
 
-    async def _judge(self, replica: Replica, end: SendEnd) -> None:
-        """Hold a failure against the replica it came from.
+    async def _record_health(self, replica: Replica, outcome: AttemptOutcome) -> None:
+        """Record the outcome in the replica's health statistics.
 
-        If the replica broke off, it may as well be the request's fault.
+        A broken connection may be a crash caused by the request: it is also reported
+        to the crash watch.
         """
-        loads, now, instance = self._parts.loads, self._now(), replica.instance
-        if end is SendEnd.DONE:
+        loads, now, instance = self._deps.loads, self._now(), replica.instance
+        if outcome is AttemptOutcome.DONE:
             loads.succeeded(instance, now)
-        elif end in (SendEnd.FAILED, SendEnd.NOT_RUN):
+        elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.NOT_RUN):
             loads.failed(instance, MILD, now)
-        elif end is SendEnd.THROTTLED:
+        elif outcome is AttemptOutcome.THROTTLED:
             logger.info("send throttled", extra={"instance": instance})
         else:
             loads.failed(instance, SEVERE, now)
-            self._parts.client.forget(instance)
-        if end is SendEnd.BROKEN:
-            await self.crash_watch.broke_off(replica)
+            self._deps.client.forget(instance)
+        if outcome is AttemptOutcome.BROKEN:
+            await self.crash_watch.on_connection_lost(replica)
 
-    def _outgoing(
+    def _target_request(
         self,
         target: Replica,
         source: KvSource | None = None,
@@ -452,17 +495,17 @@
     ) -> TargetRequest:
         req = self._req
         after = req.resume_after
-        if self._out.last_event is not None:
-            after = self._out.last_event
+        if self._out.last_event_id is not None:
+            after = self._out.last_event_id
         dispatch = Dispatch(
             replica=target.name,
-            seconds_left=self._until - self._now(),
-            rank=rank_of(self._route, self._standing),
+            seconds_left=self._deadline - self._now(),
+            rank=rank_of(self._route, self._slo_status),
             resume_after=after,
             prefill_only=prefill_only,
             kv_source=source.place if source is not None else "",
         )
-        headers = self._parts.language.onward_headers(req, dispatch)
+        headers = self._deps.codec.onward_headers(req, dispatch)
         return TargetRequest(
             target.instance,
             target.address,
--- a/berylshift/request/relay_dependencies.py
+++ b/berylshift/request/relay_dependencies.py
@@ -1,4 +1,4 @@
-"""What relays work with; wired once for the process."""
+"""Dependencies of a relay, wired once per process."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -22,23 +22,25 @@
 
 
 @dataclass
-class RelayParts:
-    """The parts; ``budget`` gives a service's share of further sends."""
+class RelayDependencies:
+    """Dependencies; ``retry_budget_for`` returns the retry budget of a service."""
 
     clock: Clock
-    language: Language
+    codec: Language
     client: TargetClient
     replicas: ReplicaSet
     loads: TargetLoads
     speeds: EngineSpeeds
     placer: Placing
-    reads: PromptReads
+    prefill_client: PromptReads
     shutdown: Shutdown
-    budget: Callable[[ServiceName], ArrivalBudget]
-    readings: ReadingChooser
-    times: RecentTimes
+    retry_budget_for: Callable[[ServiceName], ArrivalBudget]
+    prefill_scheduler: ReadingChooser
+    recent_durations: RecentTimes
     quarantine: Quarantine
     fingerprints: Fingerprints
     throttle: Throttle
-    # Told the customer of a request that began to run, and how many seconds ago.
-    run_began: Callable[[CustomerName | None, float], None] = lambda customer, ago: None
+    # Called with the customer of a request that started to run and the seconds since.
+    on_run_started: Callable[[CustomerName | None, float], None] = (
+        lambda customer, ago: None
+    )
--- a/berylshift/request/relay_result.py
+++ b/berylshift/request/relay_result.py
@@ -1,4 +1,4 @@
-"""How a routed request ended."""
+"""Outcomes of routed requests."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,16 +6,16 @@
 from berylshift.request.allowance import TimeBound
 
 
-class Verdict(StrEnum):
-    """What a caller is told."""
+class RelayOutcome(StrEnum):
+    """Outcome of a routed request."""
 
     ANSWERED = "answered"
     CUT = "cut"
     NOT_RUN = "not-run"
-    HOPELESS = "hopeless"
+    DEADLINE_UNREACHABLE = "hopeless"
     QUARANTINED = "quarantined"
     THROTTLED = "throttled"
-    KEY_GONE = "key-gone"
+    KEY_REVOKED = "key-gone"
     FAILED = "failed"
     TIMED_OUT = "timed-out"
     CALLER_LEFT = "caller-left"
@@ -23,36 +23,37 @@
 
 
 @dataclass
-class Result:
-    """How a request ended, for the log; ``again``: seconds until it may come back.
+class RelayResult:
+    """Outcome of a request with the details for the log.
 
-    ``bound`` is set if it ended for want of time, and says whose time that was.
+    ``retry_after_seconds`` is when the caller may retry. ``timeout_source`` is the time
+    limit that ended the request; ``None``: it did not time out.
     """
 
-    verdict: Verdict
+    outcome: RelayOutcome
     detail: str = ""
-    sends: list[str] = field(default_factory=list)
-    again: float = 0.0
-    bound: TimeBound | None = None
+    attempts: list[str] = field(default_factory=list)
+    retry_after_seconds: float = 0.0
+    timeout_source: TimeBound | None = None
 
 
-class KeyGoneError(Exception):
-    """The caller's key was taken away while its request waited."""
+class KeyRevokedError(Exception):
+    """The caller's API key was revoked while its request waited."""
 
 
-class NoRoomError(Exception):
-    """All replicas that are left take no request now, by their own word."""
+class AllThrottledError(Exception):
+    """All remaining replicas have throttled this host."""
 
     def __init__(self, seconds: float):
-        """Keep the seconds until one of them may take one."""
+        """Keep the seconds until one of them may accept a request."""
         super().__init__(f"no replica takes a request for {seconds:.2f} s")
         self.seconds = seconds
 
 
-class HopelessError(Exception):
-    """No engine can begin to answer before the caller leaves."""
+class DeadlineUnreachableError(Exception):
+    """No engine is predicted to send a first chunk before the deadline."""
 
     def __init__(self, seconds: float):
-        """Keep the seconds predicted until a first piece."""
+        """Keep the seconds predicted until a first chunk."""
         super().__init__(f"first piece in {seconds:.2f} s")
         self.seconds = seconds
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_choice.py
@@ -5,9 +5,9 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.request.placement import Placement
-from berylshift.request.relay_dependencies import RelayParts
-from berylshift.request.relay_result import NoRoomError
-from berylshift.request.routed_crash_watch import RoutedWatch
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.relay_result import AllThrottledError
+from berylshift.request.routed_crash_watch import RoutedCrashWatch
 
 
 class ReplicaChoice:
@@ -17,7 +17,9 @@
     word, and those that its crash watch keeps it from.
     """
 
-    def __init__(self, parts: RelayParts, service: ServiceName, watch: RoutedWatch):
+    def __init__(
+        self, parts: RelayDependencies, service: ServiceName, watch: RoutedCrashWatch
+    ):
         """Choose for a request to ``service`` that is watched by ``watch``."""
         self._parts = parts
         self._service = service
@@ -66,7 +68,7 @@
         return instance == reserved
 
     def check_room(self) -> None:
-        """Raise ``NoRoomError`` if those that are left are throttled, all of them."""
+        """Raise ``AllThrottledError`` if all that are left are throttled."""
         throttle, now = self._parts.throttle, self._now()
         closed = set(throttle.closed(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().answerers]
@@ -74,7 +76,7 @@
             throttle.retry_after(name, now) for name in answerers if name in closed
         ]
         if waits:
-            raise NoRoomError(min(waits))
+            raise AllThrottledError(min(waits))
 
     def _now(self) -> float:
         return self._parts.clock.monotonic()
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -1,4 +1,4 @@
-"""One send of a request to a replica, and what its answer comes to."""
+"""One exchange with a replica: sends the request and relays the response."""
 
 from contextlib import AsyncExitStack, aclosing
 
@@ -15,169 +15,177 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import AnswerHead, RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.answer_stream import AnswerStream, StreamBrokenError
-from berylshift.request.relay_dependencies import RelayParts
-from berylshift.request.retry_policy import SendEnd, SendHistory
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.response_stream import ResponseStream, StreamBrokenError
+from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome
 from berylshift.version.routes import Route, RouteKind
 
-FIRST_ERROR_STATUS = 400
-FIRST_SERVER_ERROR = 500
-# The largest answer that is held whole before it is passed on, in bytes.
-MOST_WHOLE_BYTES = 8 << 20
-MOST_REFUSAL_BYTES = 65536
-# A request that may be repeated is sent elsewhere after this many times its route's
-# objective without a word: three times the usual work, well within the time left.
-PATIENCE = 1.5
-# A stream's silence also covers its wait for a slot and its prompt.
-STREAM_PATIENCE = 3.0
-LEAST_PATIENCE = 0.05
-# A resumable stream goes on elsewhere after this long without an event; several times
-# the pause that is still on time, so that a preempted run is left where it is.
-GAP_PATIENCE_SECONDS = 1.2
-
-
-class FailedAnswer(msgspec.Struct, frozen=True):
-    """A replica's own failure, which its caller may be given as it is."""
+MIN_ERROR_STATUS = 400
+MIN_SERVER_ERROR_STATUS = 500
+# The largest response that is buffered before it is forwarded.
+MAX_BUFFERED_BODY_BYTES = 8 << 20
+MAX_REFUSAL_BODY_BYTES = 65536
+# A repeatable request is retried elsewhere after this multiple of its route's latency
+# objective without a response: three times the usual work, well before the deadline.
+SILENCE_FACTOR = 1.5
+# Before its first event, a stream also waits for an engine slot and its prefill.
+STREAM_SILENCE_FACTOR = 3.0
+MIN_SILENCE_SECONDS = 0.05
+# A resumable stream is resumed elsewhere after this long without an event: several
+# times the pause that still meets the objective, so that a preempted run is not moved.
+MAX_EVENT_GAP_SECONDS = 1.2
+
+
+class FailedResponse(msgspec.Struct, frozen=True):
+    """An error response of a replica, which may be forwarded as it is."""
 
     head: AnswerHead
     body: bytes
 
 
-class Reading:
-    """The prompt tokens that an engine has yet to read of one send."""
+class PendingPrefill:
+    """The prompt tokens of one attempt that an engine has yet to prefill."""
 
     def __init__(
         self, loads: TargetLoads, instance: InstanceId, tokens: int, urgency: Urgency
     ):
-        """Count ``tokens`` as open until ``done``."""
+        """Count ``tokens`` as pending until ``done`` is called."""
         self._loads = loads
         self._instance = instance
         self._tokens = tokens
         self._urgency = urgency
 
     def done(self) -> None:
-        """Note the tokens as read, once."""
+        """Record the tokens as prefilled; later calls have no effect."""
         self._loads.read(self._instance, self._tokens, self._urgency)
         self._tokens = 0
 
 
-class SingleSend:
-    """Sends a request once at a time and relays what comes to its caller."""
+class ReplicaExchange:
+    """Sends a request to one replica at a time and relays the response."""
 
     def __init__(
         self,
-        parts: RelayParts,
+        deps: RelayDependencies,
         req: RoutedRequest,
         route: Route,
-        out: AnswerStream,
-        history: SendHistory,
+        out: ResponseStream,
+        history: AttemptHistory,
     ):
-        """Relay to ``out``; ``history`` tells what earlier sends came to."""
-        self._parts = parts
+        """Relay to ``out``; ``history`` holds the earlier attempts."""
+        self._deps = deps
         self._req = req
         self._route = route
         self._out = out
         self._history = history
-        self.failure: FailedAnswer | None = None
-        # When the newest send was seen to begin to run, on the monotonic clock.
-        self.began_at: float | None = None
-
-    async def run(self, out: TargetRequest, reading: Reading) -> SendEnd:
-        """Send ``out`` once; a cancelled send stays open: the replica may run it."""
-        self._history.open = True
-        self.began_at = None
-        end = await self._exchange(out, reading)
-        self._history.open = False
-        return end
-
-    async def _exchange(self, out: TargetRequest, reading: Reading) -> SendEnd:
+        self.failure: FailedResponse | None = None
+        # When the last attempt was seen to start running, on the monotonic clock.
+        self.run_started_at: float | None = None
+
+    async def run(self, out: TargetRequest, prefill: PendingPrefill) -> AttemptOutcome:
+        """Send ``out`` once and return the outcome.
+
+        A cancelled attempt stays open in the history, since the replica may run it.
+        """
+        self._history.has_open_attempt = True
+        self.run_started_at = None
+        outcome = await self._exchange(out, prefill)
+        self._history.has_open_attempt = False
+        return outcome
+
+    async def _exchange(
+        self, out: TargetRequest, prefill: PendingPrefill
+    ) -> AttemptOutcome:
         limit = SilenceLimit(NEVER)
-        limit.allow(self._patience())
+        limit.allow(self._first_byte_timeout())
         try:
             async with AsyncExitStack() as stack:
-                exchange = self._parts.client.exchange(out)
+                exchange = self._deps.client.exchange(out)
                 answer = await limit.bound(stack.enter_async_context(exchange))
-                return await self._take_answer(out.instance, answer, limit, reading)
+                return await self._receive_response(
+                    out.instance, answer, limit, prefill
+                )
         except SilentError:
-            return SendEnd.SILENT
+            return AttemptOutcome.SILENT
         except ThrottledError:
-            return SendEnd.THROTTLED
+            return AttemptOutcome.THROTTLED
         except ConnectFailedError:
-            return SendEnd.NOT_REACHED
+            return AttemptOutcome.NOT_REACHED
         except (ConnectionLayerError, StreamBrokenError):
-            return SendEnd.BROKEN
+            return AttemptOutcome.BROKEN
 
-    def _patience(self) -> float:
-        """Return how long to wait for a first word before sending elsewhere.
+    def _first_byte_timeout(self) -> float:
+        """Return how long to wait for the response before retrying elsewhere.
 
-        While the body still comes, a replica's silence may be its caller's.
+        While the request body is still arriving, the replica may be waiting for the
+        caller.
         """
-        if not self._may_go_elsewhere() or not self._req.body.ended:
+        if not self._may_retry_elsewhere() or not self._req.body.ended:
             return NEVER
         stream = self._route.kind is RouteKind.STREAM
-        factor = STREAM_PATIENCE if stream else PATIENCE
-        return max(LEAST_PATIENCE, factor * self._route.objective)
+        factor = STREAM_SILENCE_FACTOR if stream else SILENCE_FACTOR
+        return max(MIN_SILENCE_SECONDS, factor * self._route.objective)
 
-    def _may_go_elsewhere(self) -> bool:
-        more = self._history.runs + 1 < self._route.most_attempts
+    def _may_retry_elsewhere(self) -> bool:
+        more = self._history.possible_runs + 1 < self._route.most_attempts
         return self._route.repeatable and more
 
-    async def _take_answer(
+    async def _receive_response(
         self,
         instance: InstanceId,
         answer: TargetAnswer,
         limit: SilenceLimit,
-        reading: Reading,
-    ) -> SendEnd:
-        head = self._parts.language.read_answer(answer.status, answer.headers)
+        prefill: PendingPrefill,
+    ) -> AttemptOutcome:
+        head = self._deps.codec.read_answer(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             await limit.bound(answer.skip())
-            head = self._parts.language.read_answer(answer.status, answer.headers)
+            head = self._deps.codec.read_answer(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             answer.usable = False
-            return SendEnd.BROKEN
+            return AttemptOutcome.BROKEN
         if head.keep_seconds is not None:
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
-            now = self._parts.clock.monotonic()
-            self._parts.loads.heard(instance, head.load, now)
+            now = self._deps.clock.monotonic()
+            self._deps.loads.heard(instance, head.load, now)
         if head.not_run:
-            await limit.bound(answer.read(MOST_REFUSAL_BYTES))
-            return SendEnd.NOT_RUN
+            await limit.bound(answer.read(MAX_REFUSAL_BODY_BYTES))
+            return AttemptOutcome.NOT_RUN
         if not head.genuine:
             answer.usable = False
-            return SendEnd.SPOILED
-        streams = self._route.kind is RouteKind.STREAM
-        if streams and head.status < FIRST_ERROR_STATUS:
-            return await self._take_stream(answer, head, limit, reading)
-        return await self._take_whole(answer, head, limit)
+            return AttemptOutcome.INVALID
+        is_stream = self._route.kind is RouteKind.STREAM
+        if is_stream and head.status < MIN_ERROR_STATUS:
+            return await self._receive_stream(answer, head, limit, prefill)
+        return await self._receive_body(answer, head, limit)
 
-    async def _take_whole(
+    async def _receive_body(
         self, answer: TargetAnswer, head: AnswerHead, limit: SilenceLimit
-    ) -> SendEnd:
-        body = await limit.bound(answer.read(MOST_WHOLE_BYTES))
-        if head.status >= FIRST_SERVER_ERROR or self._out.started:
-            self.failure = FailedAnswer(head, body)
-            return SendEnd.FAILED
-        await self._out.whole(head, body)
-        return SendEnd.DONE
-
-    async def _take_stream(
+    ) -> AttemptOutcome:
+        body = await limit.bound(answer.read(MAX_BUFFERED_BODY_BYTES))
+        if head.status >= MIN_SERVER_ERROR_STATUS or self._out.started:
+            self.failure = FailedResponse(head, body)
+            return AttemptOutcome.FAILED
+        await self._out.send_full(head, body)
+        return AttemptOutcome.DONE
+
+    async def _receive_stream(
         self,
         answer: TargetAnswer,
         head: AnswerHead,
         limit: SilenceLimit,
-        reading: Reading,
-    ) -> SendEnd:
-        self._out.open(head)
+        prefill: PendingPrefill,
+    ) -> AttemptOutcome:
+        self._out.set_head(head)
         async with aclosing(answer.chunks()) as chunks:
             while (data := await limit.bound(anext(chunks, None))) is not None:
-                if self.began_at is None:
-                    self.began_at = self._parts.clock.monotonic()
-                reading.done()
+                if self.run_started_at is None:
+                    self.run_started_at = self._deps.clock.monotonic()
+                prefill.done()
                 await self._out.feed(data)
-                # The caller's pace is not the engine's fault.
-                goes_on = self._may_go_elsewhere()
-                limit.allow(GAP_PATIENCE_SECONDS if goes_on else NEVER)
+                # The time that the caller took to read does not count as silence.
+                may_retry = self._may_retry_elsewhere()
+                limit.allow(MAX_EVENT_GAP_SECONDS if may_retry else NEVER)
         await self._out.close()
-        return SendEnd.DONE
+        return AttemptOutcome.DONE
--- /dev/null
+++ b/berylshift/request/response_stream.py
@@ -0,0 +1,87 @@
+"""The response of one routed request to its caller, across several attempts."""
+
+from berylshift.clock import Clock
+from berylshift.connection.responder import Responder
+from berylshift.messages.routed import AnswerHead
+from berylshift.request.event_splitter import EventSplitter, EventTooLongError
+
+
+class StreamBrokenError(Exception):
+    """The replica's stream can't be forwarded any further."""
+
+
+class ResponseStream:
+    """Forwards complete responses, and streams event by event.
+
+    The head of a stream is sent with the first complete event: until then, the request
+    can be retried at another replica without the caller noticing.
+    """
+
+    def __init__(self, responder: Responder, clock: Clock):
+        """Write to ``responder``."""
+        self._responder = responder
+        self._clock = clock
+        self._head: AnswerHead | None = None
+        self._splitter = EventSplitter()
+        self.started = False
+        self.last_event_id: bytes | None = None
+        self.first_event_at: float | None = None
+        self.longest_pause_seconds = 0.0
+        self.events = 0
+        self._last_event_at = 0.0
+
+    def limit_writes(self, until: float) -> None:
+        """Let no write last beyond ``until`` on the event loop's clock."""
+        self._responder.late_until = until
+
+    async def send_full(self, head: AnswerHead, body: bytes) -> None:
+        """Send a complete response."""
+        self.started = True
+        await self._responder.full_raw(head.status, list(head.headers), body)
+
+    def set_head(self, head: AnswerHead) -> None:
+        """Set the head of a stream; a resumed stream keeps its first head."""
+        self._splitter = EventSplitter()
+        if self._head is None or not self.started:
+            self._head = head
+
+    async def feed(self, data: bytes) -> None:
+        """Forward the events that ``data`` completes."""
+        try:
+            events = self._splitter.feed(data)
+        except EventTooLongError as exc:
+            raise StreamBrokenError("stream event exceeds the size limit") from exc
+        if not events:
+            return
+        self._record_event_time()
+        self.events += len(events)
+        await self._start()
+        await self._responder.send(b"".join(event.data for event in events))
+        for event in events:
+            if event.id is not None:
+                self.last_event_id = event.id
+
+    def _record_event_time(self) -> None:
+        """Record the time of the first event and the longest pause between events."""
+        now = self._clock.monotonic()
+        if self.first_event_at is None:
+            self.first_event_at = now
+        else:
+            self.longest_pause_seconds = max(
+                self.longest_pause_seconds, now - self._last_event_at
+            )
+        self._last_event_at = now
+
+    async def close(self) -> None:
+        """End the stream; raise ``StreamBrokenError`` if it ends within an event."""
+        if self._splitter.buffered:
+            raise StreamBrokenError("the stream ended within an event")
+        await self._start()
+        await self._responder.end()
+
+    async def _start(self) -> None:
+        if self.started or self._head is None:
+            return
+        self.started = True
+        headers = list(self._head.headers)
+        await self._responder.start_raw(self._head.status, headers)
--- a/berylshift/request/answer.py
+++ b/berylshift/request/response_writer.py
@@ -1,4 +1,4 @@
-"""Answers to callers: whole, streamed, passed on, or an error, with the outcome."""
+"""Responses of the native API: complete, streamed, forwarded or an error."""
 
 import math
 
@@ -20,7 +20,7 @@
 EVENT_TYPE = "text/event-stream"
 JSON_TYPE = "application/json"
 STATUS_OK = 200
-STATUS = {
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.UNKNOWN_CALLER: 401,
     Reason.NO_SUCH_WORK: 404,
@@ -41,7 +41,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An error by RFC 9457, with the request's outcome."""
+    """A problem document (RFC 9457) with the request's outcome."""
 
     type: str
     title: str
@@ -52,15 +52,15 @@
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """The text of an answer, or some of it."""
+    """The text of a completion, or a part of it."""
 
     index: int
     text: str
     finish_reason: str | None = None
 
 
-class CompletionAnswer(msgspec.Struct, frozen=True):
-    """An answer in the shape that callers' client libraries read."""
+class CompletionResponse(msgspec.Struct, frozen=True):
+    """A completion in the format that callers' client libraries expect."""
 
     id: str
     model: str
@@ -77,27 +77,27 @@
     tokens: int = 0
 
 
-class Answer:
-    """Writes the answer of one request, always with its outcome."""
+class ResponseWriter:
+    """Writes the response to one request, always with its outcome."""
 
     def __init__(self, responder: Responder, request: RequestId):
-        """Answer ``request`` through ``responder``."""
+        """Write the response to ``request`` to ``responder``."""
         self._responder = responder
         self.request = request
 
-    async def whole(self, body: bytes) -> None:
-        """Send a whole answer."""
+    async def full(self, body: bytes) -> None:
+        """Send a complete response."""
         headers = {**self._headers(Outcome.COMPLETE), "content-type": JSON_TYPE}
         await self._responder.full(STATUS_OK, headers, body)
 
-    async def passed_on(self, found: PlainEnding) -> None:
-        """Send a plain service's answer."""
+    async def forward(self, found: PlainEnding) -> None:
+        """Forward the response of a plain service."""
         headers = {**found.headers, **self._headers(Outcome.COMPLETE)}
         await self._responder.full(found.status, headers, found.body)
 
     async def problem(self, ending: Ending) -> None:
-        """Send an error; it says when to come back, where that is of use."""
-        status = STATUS[ending.reason]
+        """Send an error, with Retry-After where a retry can help."""
+        status = STATUS_BY_REASON[ending.reason]
         headers = {**self._headers(ending.outcome), "content-type": PROBLEM_TYPE}
         if ending.retry_after > 0:
             headers[RETRY_HEADER] = str(math.ceil(ending.retry_after))
@@ -126,50 +126,50 @@
         await self._responder.send(head + b"data: " + data + b"\n\n")
 
     async def end(self) -> None:
-        """End a stream; one that is not ended so is seen to be cut."""
+        """End a stream; without it, the caller sees a truncated stream."""
         await self._responder.end()
 
     def _headers(self, outcome: Outcome) -> dict[str, str]:
         return {OUTCOME_HEADER: outcome.value, REQUEST_HEADER: self.request}
 
 
-class WholeSink:
-    """Keeps the text for an answer that is sent whole."""
+class BufferedSink:
+    """Buffers the text of a completion that is sent as one response."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._parts: list[str] = []
+        self._texts: list[str] = []
 
     async def text(self, text: str) -> None:
-        """Keep some text."""
-        self._parts.append(text)
+        """Append text."""
+        self._texts.append(text)
 
     def joined(self) -> str:
         """Return all text."""
-        return "".join(self._parts)
+        return "".join(self._texts)
 
 
 class StreamSink:
-    """Sends text as server-sent events; its head goes out with the first text.
+    """Sends text as server-sent events; the head is sent with the first text.
 
-    Until then the request can still be refused with a status of its own.
+    Until then the request can still be refused with an error status.
     """
 
-    def __init__(self, out: Answer, model: str):
+    def __init__(self, out: ResponseWriter, model: str):
         """Send to ``out``."""
         self._out = out
         self._model = model
         self._started = False
 
     async def text(self, text: str) -> None:
-        """Send some text."""
+        """Send text as one event."""
         if not self._started:
             self._started = True
             await self._out.start_events()
-        await self._out.event(completion_answer(self._out.request, self._model, text))
+        await self._out.event(encode_completion(self._out.request, self._model, text))
 
     async def finish(self, ending: Ending) -> None:
-        """End the stream, or leave it open-ended where it is not whole."""
+        """End the stream; if the completion is incomplete, send no end marker."""
         if not self._started:
             await self._out.problem(ending)
             return
@@ -182,7 +182,7 @@
             await self._out.end()
 
 
-def completion_answer(request: RequestId, model: str, text: str) -> bytes:
-    """Return one object of an answer, whole or some of it."""
-    answer = CompletionAnswer(request, model, [Choice(0, text)])
-    return msgspec.json.encode(answer)
+def encode_completion(request: RequestId, model: str, text: str) -> bytes:
+    """Return a completion object as JSON, with all of the text or a part of it."""
+    response = CompletionResponse(request, model, [Choice(0, text)])
+    return msgspec.json.encode(response)
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -1,4 +1,4 @@
-"""Sends a request until it is done or may not be sent again; one loop for all."""
+"""Retry loop shared by routed requests, completions and service calls."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -6,71 +6,72 @@
 from berylshift.clock import Clock
 from berylshift.request.retry_policy import (
     NEVER_SENT,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
     RetryBounds,
-    SendEnd,
-    SendHistory,
-    Sent,
-    may_send_again,
+    may_retry,
 )
 
 
-class LoopEnd(StrEnum):
-    """Why no further send follows."""
+class StopReason(StrEnum):
+    """Why the loop stopped."""
 
     DONE = "done"
-    NO_PLACE = "no place"
-    NO_MORE = "no more sends allowed"
-    LATE = "out of time"
-    NO_BUDGET = "no budget"
+    NO_PLACEMENT = "no place"
+    NOT_RETRYABLE = "no more sends allowed"
+    DEADLINE_PASSED = "out of time"
+    RETRY_BUDGET_SPENT = "no budget"
 
 
 class Sender(Protocol):
-    """Places and sends one request."""
+    """Chooses a target for one request and makes attempts at it."""
 
-    async def send(self) -> Sent | None:
-        """Send once; return how it ended, ``None`` if there was no place."""
+    async def send(self) -> AttemptRecord | None:
+        """Make one attempt and return its record; ``None`` if no target was found."""
 
-    def is_late(self) -> bool:
-        """Return whether a further send would come too late."""
+    def is_past_deadline(self) -> bool:
+        """Return whether it is too late for another attempt."""
 
-    def must_finish(self) -> bool:
-        """Return whether the answer is finished whatever the budget says."""
+    def ignores_retry_budget(self) -> bool:
+        """Return whether the request is retried even if the retry budget is spent."""
 
 
 class Budget(Protocol):
-    """Bounds the further sends of all requests together."""
+    """Retry budget shared by all requests."""
 
     def first(self, now: float) -> None:
-        """Note a request's first send."""
+        """Record a request's first attempt."""
 
     def take(self, now: float) -> bool:
-        """Take leave for one further send."""
+        """Spend budget for one retry; return ``False`` if none is left."""
 
 
-async def send_until_done(
+async def run_attempts(
     sender: Sender,
     bounds: RetryBounds,
-    history: SendHistory,
+    history: AttemptHistory,
     budget: Budget,
     clock: Clock,
-) -> LoopEnd:
-    """Send until an end; ``history`` gets each send.
+) -> StopReason:
+    """Make attempts until one succeeds or no retry is allowed; add each to ``history``.
 
-    A request that never went out costs nothing: no target had work with it.
+    An attempt that never reached a target costs no retry budget, since it caused no
+    load.
     """
     budget.first(clock.monotonic())
     while True:
         sent = await sender.send()
         if sent is None:
-            return LoopEnd.NO_PLACE
+            return StopReason.NO_PLACEMENT
         history.add(sent)
-        if sent.end is SendEnd.DONE:
-            return LoopEnd.DONE
-        if not may_send_again(bounds, history):
-            return LoopEnd.NO_MORE
-        if sender.is_late():
-            return LoopEnd.LATE
-        if sent.end in NEVER_SENT:
+        if sent.outcome is AttemptOutcome.DONE:
+            return StopReason.DONE
+        if not may_retry(bounds, history):
+            return StopReason.NOT_RETRYABLE
+        if sender.is_past_deadline():
+            return StopReason.DEADLINE_PASSED
+        if sent.outcome in NEVER_SENT:
             continue
-        if not budget.take(clock.monotonic()) and not sender.must_finish():
-            return LoopEnd.NO_BUDGET
+        if not budget.take(clock.monotonic()) and not sender.ignores_retry_budget():
+            return StopReason.RETRY_BUDGET_SPENT
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -1,7 +1,7 @@
-"""Whether a request may be sent once more after a send has ended.
+"""Decides whether a request may be retried after an attempt.
 
-One rule for all callers' interfaces: what may have run is repeated only where that is
-allowed, and "not run" is said only of what no target can have run.
+All APIs share one rule: a request that may have run is retried only if it is
+repeatable, and "not run" is reported only if no target can have run the request.
 """
 
 from enum import StrEnum
@@ -16,13 +16,13 @@
 )
 from berylshift.version.routes import Route
 
-# Sends of one request at most, rejected ones included: a full service answers each
-# at once, and a caller is better told to come back than passed round.
-MOST_SENDS = 4
+# Includes rejected attempts: a service at capacity rejects each at once, and telling
+# the caller to retry later is better than trying every replica in turn.
+MAX_ATTEMPTS = 4
 
 
-class SendEnd(StrEnum):
-    """How one send of a request ended."""
+class AttemptOutcome(StrEnum):
+    """Outcome of one attempt."""
 
     DONE = "done"
     NOT_REACHED = "not-reached"
@@ -30,105 +30,107 @@
     THROTTLED = "throttled"
     BROKEN = "broken"
     SILENT = "silent"
-    SPOILED = "spoiled"
+    INVALID = "spoiled"
     FAILED = "failed"
 
     @property
     def may_have_run(self) -> bool:
         """Return whether the target may have run the request.
 
-        Only a request that never went out, or the target's own word, says that it did
-        not: after a reset, silence or a time-out it may have.
+        It did not only if the request was never sent or the target says so. After a
+        connection reset, silence or a timeout it may have run.
         """
-        return self not in (*NEVER_SENT, SendEnd.NOT_RUN)
+        return self not in (*NEVER_SENT, AttemptOutcome.NOT_RUN)
 
 
-# No byte of the request reached a target.
-NEVER_SENT = (SendEnd.NOT_REACHED, SendEnd.THROTTLED)
+# Outcomes in which no byte of the request reached a target.
+NEVER_SENT = (AttemptOutcome.NOT_REACHED, AttemptOutcome.THROTTLED)
 
 
-def end_of(exc: TargetError) -> SendEnd:
-    """Return how a send ended that raised ``exc``."""
+def outcome_of(exc: TargetError) -> AttemptOutcome:
+    """Return the outcome of an attempt that raised ``exc``."""
     match exc:
         case TargetNotReachedError():
-            return SendEnd.NOT_REACHED
+            return AttemptOutcome.NOT_REACHED
         case TargetRefusedError():
-            return SendEnd.NOT_RUN
+            return AttemptOutcome.NOT_RUN
         case _:
-            return SendEnd.BROKEN
+            return AttemptOutcome.BROKEN
 
 
 def retry_after_of(exc: TargetError) -> float:
-    """Return the seconds for which a target wants no other call."""
+    """Return how many seconds a target asked to back off; 0: it did not."""
     return exc.retry_after if isinstance(exc, TargetRefusedError) else 0.0
 
 
-class Sent(msgspec.Struct, frozen=True):
-    """One send that has ended, and the target it went to."""
+class AttemptRecord(msgspec.Struct, frozen=True):
+    """A finished attempt and its target."""
 
     target: str
-    end: SendEnd
+    outcome: AttemptOutcome
 
 
-class SendHistory:
-    """What the sends of one request have come to so far."""
+class AttemptHistory:
+    """Attempts of one request so far."""
 
     def __init__(self) -> None:
-        """Start before the first send."""
-        self.sends: list[Sent] = []
-        self.open = False
-        self._ran_before = False
+        """Start without attempts."""
+        self.attempts: list[AttemptRecord] = []
+        self.has_open_attempt = False
+        self._may_have_run_before = False
 
-    def add(self, sent: Sent) -> None:
-        """Note how a send ended."""
-        self.sends.append(sent)
+    def add(self, sent: AttemptRecord) -> None:
+        """Add a finished attempt."""
+        self.attempts.append(sent)
 
-    def start_over(self) -> None:
-        """Forget the sends, but not that one may have run.
+    def clear_attempts(self) -> None:
+        """Clear the attempts, but remember whether one may have run.
 
-        Targets that refused or failed may be back by the next try.
+        Targets that refused or failed may have recovered by the next attempt.
         """
-        self._ran_before = self.may_have_run
-        self.sends.clear()
+        self._may_have_run_before = self.may_have_run
+        self.attempts.clear()
 
     @property
-    def runs(self) -> int:
-        """Return how many sends may have run."""
-        return sum(sent.end.may_have_run for sent in self.sends)
+    def possible_runs(self) -> int:
+        """Return how many attempts may have run."""
+        return sum(sent.outcome.may_have_run for sent in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Return whether any send may have run, the open one included."""
-        return self.open or self._ran_before or self.runs > 0
+        """Return whether any attempt may have run, including an unfinished one."""
+        return (
+            self.has_open_attempt or self._may_have_run_before or self.possible_runs > 0
+        )
 
     @property
-    def last(self) -> Sent | None:
-        """Return the last send that ended."""
-        return self.sends[-1] if self.sends else None
+    def last(self) -> AttemptRecord | None:
+        """Return the last finished attempt."""
+        return self.attempts[-1] if self.attempts else None
 
     @property
     def outcome(self) -> Outcome:
-        """Return what is known of a request that no send has completed."""
+        """Return the outcome of a request that no attempt has completed."""
         return Outcome.UNKNOWN if self.may_have_run else Outcome.NOT_RUN
 
 
 class RetryBounds(msgspec.Struct, frozen=True):
-    """Sends, and sends that may have run, of one request at most."""
+    """Limits on the attempts of one request; ``max_runs``: those that may have run."""
 
     repeatable: bool
-    most_runs: int
-    most_sends: int = MOST_SENDS
+    max_runs: int
+    max_attempts: int = MAX_ATTEMPTS
 
 
-def bounds_of(route: Route) -> RetryBounds:
-    """Return the bounds of a routed request."""
+def retry_bounds(route: Route) -> RetryBounds:
+    """Return the retry limits of a routed request."""
     return RetryBounds(route.repeatable, route.most_attempts)
 
 
-def may_send_again(bounds: RetryBounds, history: SendHistory) -> bool:
-    """Return whether the request may go out again after its last send."""
-    if len(history.sends) >= bounds.most_sends:
+def may_retry(bounds: RetryBounds, history: AttemptHistory) -> bool:
+    """Return whether the request may be retried after its last attempt."""
+    if len(history.attempts) >= bounds.max_attempts:
         return False
     if not history.may_have_run:
         return True
-    return bounds.repeatable and history.runs < bounds.most_runs
+    return bounds.repeatable and history.possible_runs < bounds.max_runs
--- a/berylshift/request/retry_targets.py
+++ b/berylshift/request/retry_targets.py
@@ -1,36 +1,37 @@
-"""Where the next attempt of the own interface may go: the same target or another."""
+"""Which targets the next attempt of a native API call may use."""
 
 from collections import Counter
 
 from berylshift.ids import TargetName
-from berylshift.request.retry_policy import RetryBounds, SendEnd, SendHistory
+from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome, RetryBounds
 
-ATTEMPTS_ALLOWED = 5
-SAME_TARGET_ATTEMPTS = 2
-# Completions are resumed and lookups are idempotent: both may be repeated.
-ATTEMPT_BOUNDS = RetryBounds(
-    repeatable=True, most_runs=ATTEMPTS_ALLOWED, most_sends=ATTEMPTS_ALLOWED
+MAX_ATTEMPTS = 5
+MAX_ATTEMPTS_PER_TARGET = 2
+# Completions are resumed and lookups are idempotent, so both are repeatable.
+RETRY_BOUNDS = RetryBounds(
+    repeatable=True, max_runs=MAX_ATTEMPTS, max_attempts=MAX_ATTEMPTS
 )
 
 
-def targets_excluded(history: SendHistory) -> frozenset[TargetName]:
-    """Return the targets that are not to be tried again.
+def excluded_targets(history: AttemptHistory) -> frozenset[TargetName]:
+    """Return the targets that must not be tried again.
 
-    A broken stream is resumed on its own engine first: the prompt is in its
-    cache. Any other fault, or a second one, rules the target out.
+    A broken stream is resumed on the same engine first, which has the prompt in its
+    cache. Any other failure, or a second one, excludes the target.
     """
-    counts = Counter(sent.target for sent in history.sends)
+    counts = Counter(sent.target for sent in history.attempts)
     return frozenset(
         TargetName(sent.target)
-        for sent in history.sends
-        if sent.end is not SendEnd.BROKEN or counts[sent.target] >= SAME_TARGET_ATTEMPTS
+        for sent in history.attempts
+        if sent.outcome is not AttemptOutcome.BROKEN
+        or counts[sent.target] >= MAX_ATTEMPTS_PER_TARGET
     )
 
 
-def target_preferred(history: SendHistory) -> TargetName | None:
-    """Return the target to be tried again first."""
+def preferred_target(history: AttemptHistory) -> TargetName | None:
+    """Return the target on which a broken stream is resumed first, if any."""
     last = history.last
-    if last is None or last.end is not SendEnd.BROKEN:
+    if last is None or last.outcome is not AttemptOutcome.BROKEN:
         return None
     target = TargetName(last.target)
-    return None if target in targets_excluded(history) else target
+    return None if target in excluded_targets(history) else target
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -1,4 +1,4 @@
-"""Ties one routed request to the replicas that end under it."""
+"""Attributes replica crashes to a routed request."""
 
 from collections.abc import Iterable
 
@@ -8,60 +8,63 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.request.aside import is_last, left_of, set_aside
 from berylshift.request.crash_watch import (
-    CONNECT_SECONDS,
+    PROBE_TIMEOUT_SECONDS,
     CrashWatch,
     QuarantinedError,
 )
 from berylshift.request.fingerprint import BODY_BYTES
-from berylshift.request.relay_dependencies import RelayParts
+from berylshift.request.relay_dependencies import RelayDependencies
 
-# When a suspect may come back that only the last replica could serve, in seconds: those
-# that ended have started again by then.
-LAST_SECONDS = 2.0
+# Retry-After of a suspect request for which only the last replica is left. Crashed
+# replicas have restarted by then.
+LAST_REPLICA_RETRY_SECONDS = 2.0
 
 
-class RoutedWatch:
-    """Tells a request's crash watch what a relay sees."""
+class RoutedCrashWatch:
+    """Reports what a relay observes to the request's crash watch."""
 
-    def __init__(self, parts: RelayParts, req: RoutedRequest):
+    def __init__(self, deps: RelayDependencies, req: RoutedRequest):
         """Watch ``req``."""
-        self._parts = parts
+        self._deps = deps
         self._req = req
-        self._watch = CrashWatch(parts.quarantine, parts.clock, req.id)
+        self._watch = CrashWatch(deps.quarantine, deps.clock, req.id)
 
     @property
     def fingerprint(self) -> Fingerprint | None:
-        """Return what the tries of one request share, once the body is there."""
+        """Return the fingerprint, which is the same in each retry by the caller.
+
+        ``None``: too little of the body has arrived.
+        """
         if self._watch.fingerprint is None:
-            self._watch.fingerprint = self._parts.fingerprints.of(self._req)
+            self._watch.fingerprint = self._deps.fingerprints.of(self._req)
         return self._watch.fingerprint
 
-    async def identify(self) -> None:
-        """Wait for enough of the body, if a request that begins alike is held back."""
-        quarantine = self._parts.quarantine
+    async def wait_for_fingerprint(self) -> None:
+        """Wait for enough of the body if its start matches a quarantined request."""
+        quarantine = self._deps.quarantine
         if self.fingerprint is not None or not len(quarantine):
             return
-        if quarantine.may_hold(self._parts.fingerprints.head_of(self._req)):
+        if quarantine.may_hold(self._deps.fingerprints.head_of(self._req)):
             await self._req.body.wait_for_start(BODY_BYTES)
 
     def check(self) -> None:
-        """Raise ``QuarantinedError`` if the request may not go out now."""
+        """Raise ``QuarantinedError`` if the request is quarantined."""
         if self.fingerprint is not None:
             self._watch.check()
 
     def avoided(
-        self, pool: Pool, tried: Iterable[InstanceId], begun: bool
+        self, pool: Pool, tried: Iterable[InstanceId], has_started: bool
     ) -> list[InstanceId]:
-        """Return the replicas that the request may not go to.
+        """Return the replicas that the request must not be sent to.
 
-        Those that ended are known at once, long before their entries lapse. A suspect
-        goes to few of the others; raise ``QuarantinedError`` if only the last one is
-        left and its answer has not ``begun``.
+        Crashed replicas are excluded at once, long before their entries expire. A
+        suspect request is isolated on a few of the others. If only the last replica is
+        left and the response has not started, raise ``QuarantinedError``.
         """
-        quarantine = self._parts.quarantine
+        quarantine = self._deps.quarantine
         if not quarantine.has_suspects:
             return list(tried)
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         listed = [rep.instance for rep in pool.replicas]
         ended = [name for name in listed if quarantine.has_ended(name, now)]
         found = [*tried, *ended]
@@ -71,34 +74,34 @@
         if not crashes:
             return found
         left = left_of(pool.answerers, found)
-        if is_last(left, pool.answerers) and not begun:
-            raise QuarantinedError(crashes, LAST_SECONDS)
+        if is_last(left, pool.answerers) and not has_started:
+            raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
         aside = set_aside(left)
         return found + [rep.instance for rep in left if rep not in aside]
 
-    async def broke_off(self, replica: Replica) -> None:
-        """Note that a replica broke off while it had the request.
+    async def on_connection_lost(self, replica: Replica) -> None:
+        """Record that the connection to a replica broke while it had the request.
 
-        One that leaves ends on purpose, and what it still runs breaks with it.
+        A draining replica stops on purpose, so it is not recorded as a crash.
         """
-        if self.fingerprint is None or self._parts.replicas.is_leaving(replica):
+        if self.fingerprint is None or self._deps.replicas.is_leaving(replica):
             return
-        client, instance = self._parts.client, replica.instance
-        await self._watch.broke_off(
+        client, instance = self._deps.client, replica.instance
+        await self._watch.on_connection_lost(
             instance,
             lambda: client.takes_connections(
-                instance, replica.address, CONNECT_SECONDS
+                instance, replica.address, PROBE_TIMEOUT_SECONDS
             ),
         )
 
-    def answered(self, replica: Replica, sent_at: float) -> None:
-        """Note that a replica answered what was sent to it at ``sent_at``."""
-        replicas = self._parts.replicas
+    def on_response(self, replica: Replica, sent_at: float) -> None:
+        """Record that a replica responded to an attempt sent at ``sent_at``."""
+        replicas = self._deps.replicas
         is_listed = not replicas.is_leaving(replica)
         listed_at = replicas.confirmed_at if is_listed else None
-        self._watch.answered(replica.instance, sent_at, listed_at)
+        self._watch.on_response(replica.instance, sent_at, listed_at)
 
-    def finished(self) -> None:
-        """Note that the request ran to its end."""
+    def on_completed(self) -> None:
+        """Record that the request ran to completion."""
         if self.fingerprint is not None:
-            self._watch.finished()
+            self._watch.on_completed()
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -1,4 +1,4 @@
-"""Callers' routed requests: from HTTP to a route, and back to an answer."""
+"""HTTP handler of routed requests: authenticates, matches a route and relays."""
 
 import logging
 import random
@@ -28,48 +28,52 @@
     refuse,
 )
 from berylshift.request.relay import Relay
-from berylshift.request.relay_dependencies import RelayParts
-from berylshift.request.relay_result import Result, Verdict
-from berylshift.request.replica_exchange import FailedAnswer
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.relay_result import RelayOutcome, RelayResult
+from berylshift.request.replica_exchange import FailedResponse
 from berylshift.utils import host_of
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
 
-# How much later a caller may come back that found no replica listed: replicas whose
-# entries lapsed with the store write themselves again within two seconds. Callers come
-# back once or twice, and at once would find the list as empty as before.
-NO_REPLICA_SECONDS = 0.8
-# Ends of requests that have not run and may be sent again after a while.
-COMES_BACK = (Verdict.HOPELESS, Verdict.QUARANTINED, Verdict.THROTTLED)
-# Ends of requests that took what their kind takes; refused ones, and those whose caller
-# left, tell nothing of it.
-TELLS_TIME = (Verdict.ANSWERED, Verdict.CUT, Verdict.TIMED_OUT)
+# Retry-After when no replica is listed. Replicas whose entries expired during a store
+# outage register again within two seconds. Callers retry once or twice; an immediate
+# retry would find the list still empty.
+NO_REPLICA_RETRY_SECONDS = 0.8
+# Outcomes of requests that have not run and may be retried after a while.
+RETRY_LATER_OUTCOMES = (
+    RelayOutcome.DEADLINE_UNREACHABLE,
+    RelayOutcome.QUARANTINED,
+    RelayOutcome.THROTTLED,
+)
+# Outcomes whose duration is typical of the route; that of a refused request, or of one
+# whose caller disconnected, is not.
+TIMED_OUTCOMES = (RelayOutcome.ANSWERED, RelayOutcome.CUT, RelayOutcome.TIMED_OUT)
 
 
-class Ended(msgspec.Struct, frozen=True):
-    """How a routed request ended, for the metrics; ``bound``: whose time was up."""
+class RequestSummary(msgspec.Struct, frozen=True):
+    """A finished request, for metrics; ``timeout_source``: which limit ended it."""
 
     route: RouteName
-    verdict: Verdict
+    outcome: RelayOutcome
     seconds: float
-    bound: TimeBound | None = None
+    timeout_source: TimeBound | None = None
     customer: CustomerName | None = None
 
 
-class RoutedFront:
-    """Handles callers' routed requests."""
+class RoutedHandler:
+    """Handles routed requests."""
 
     def __init__(
         self,
-        parts: RelayParts,
+        deps: RelayDependencies,
         routes: RouteHolder,
         gate: KeyGate,
         rng: random.Random,
-        observe: Callable[[Ended], None],
+        observe: Callable[[RequestSummary], None],
     ):
-        """Route by ``routes``; tell ``observe`` how each request ended."""
-        self._parts = parts
+        """Route by ``routes``; call ``observe`` with a summary of each request."""
+        self._deps = deps
         self._gate = gate
         self._routes = routes
         self._rng = rng
@@ -78,13 +82,13 @@
         self.handled = 0
 
     async def handle(self, http: HttpRequest, responder: Responder) -> None:
-        """Answer one HTTP request."""
+        """Handle one HTTP request."""
         with self._in_flight():
             await self._route(http, responder)
 
     @contextmanager
     def _in_flight(self) -> Iterator[None]:
-        """Count the block as work that a graceful shutdown waits for."""
+        """Count the block as in-flight work, which a graceful shutdown waits for."""
         self.in_flight += 1
         self.handled += 1
         try:
@@ -95,7 +99,7 @@
     async def _route(self, http: HttpRequest, responder: Responder) -> None:
         path = http.target.partition(b"?")[0].decode("latin-1")
         try:
-            req = self._parts.language.read_request(
+            req = self._deps.codec.read_request(
                 http.method.encode(),
                 http.target,
                 list(http.raw_headers),
@@ -108,7 +112,7 @@
         table = self._routes.table
         if table is None:
             reason = "no routes are known yet"
-            await self._turn_away(req, responder, reason, NO_REPLICA_SECONDS)
+            await self._reject(req, responder, reason, NO_REPLICA_RETRY_SECONDS)
         else:
             host = host_of(http.headers.get("host", ""))
             await self._serve(req, table.match(host, path), responder, host, path)
@@ -125,41 +129,46 @@
             self._log_no_route(req, host, path)
             await refuse(responder, Refusal(STATUS_NOT_FOUND, "no such route"))
             return
-        admission = self._gate.admit(req, route, self._parts.clock.monotonic())
+        admission = self._gate.admit(req, route, self._deps.clock.monotonic())
         if admission.verdict is not KeyVerdict.ADMITTED:
-            await self._deny(req, route, admission, responder)
+            await self._refuse_unauthorized(req, route, admission, responder)
             return
-        req, route = self._on_behalf(req, route, admission)
-        if self._ends_in_time(req, route):
+        req, route = self._for_customer(req, route, admission)
+        if self._finishes_before_stop(req, route):
             await self._relay(req, route, responder)
         else:
-            await self._turn_away(req, responder, "this host is leaving", 0.0)
+            await self._reject(req, responder, "this host is leaving", 0.0)
 
-    def _on_behalf(
+    def _for_customer(
         self, req: RoutedRequest, route: Route, admission: Admission
     ) -> tuple[RoutedRequest, Route]:
-        """Return request and route as they are for the customer."""
+        """Return the request without its API key, and the route at the customer's rank.
+
+        Replicas receive the customer's name instead of the key.
+        """
         if not admission.keyed:
             return req, route
         customer = admission.customer
         if customer is None:
-            return self._parts.language.without_key(req, None), route
-        named = self._parts.language.without_key(req, customer.name)
+            return self._deps.codec.without_key(req, None), route
+        named = self._deps.codec.without_key(req, customer.name)
         return named, route.ranked(customer.rank)
 
-    async def _deny(
+    async def _refuse_unauthorized(
         self,
         req: RoutedRequest,
         route: Route,
         admission: Admission,
         responder: Responder,
     ) -> None:
-        """Answer a request that is served for no customer; its body is not read."""
+        """Refuse a request that no API key authorizes; its body is not read."""
         if admission.verdict is KeyVerdict.UNSURE:
-            refusal = self._come_back("keys can't be judged here", NO_REPLICA_SECONDS)
+            refusal = self._retry_later(
+                "keys can't be judged here", NO_REPLICA_RETRY_SECONDS
+            )
         else:
             refusal = Refusal(STATUS_UNAUTHORIZED, admission.verdict)
-        table, now = self._routes.table, self._parts.clock.monotonic()
+        table, now = self._routes.table, self._deps.clock.monotonic()
         logger.info(
             "not admitted",
             extra={
@@ -174,27 +183,29 @@
         )
         await refuse(responder, refusal)
 
-    def _ends_in_time(self, req: RoutedRequest, route: Route) -> bool:
-        """Return whether a request ends before a planned stop of this host does."""
-        stop = self._parts.shutdown
-        if stop.has_time_for(allowance_of(route, req).seconds):
+    def _finishes_before_stop(self, req: RoutedRequest, route: Route) -> bool:
+        """Return whether a request finishes before a planned stop of this host."""
+        shutdown = self._deps.shutdown
+        if shutdown.has_time_for(allowance_of(route, req).seconds):
             return True
-        return stop.is_news and stop.has_time_for(self._parts.times.likely(route.name))
+        return shutdown.is_news and shutdown.has_time_for(
+            self._deps.recent_durations.likely(route.name)
+        )
 
-    async def _turn_away(
-        self, req: RoutedRequest, responder: Responder, reason: str, wait: float
+    async def _reject(
+        self, req: RoutedRequest, responder: Responder, reason: str, wait_seconds: float
     ) -> None:
-        """Refuse a request whatever it asks for; it is not run here."""
-        refusal = self._come_back(reason, wait)
+        """Refuse a request that this host can't serve now; it is not run."""
+        refusal = self._retry_later(reason, wait_seconds)
         logger.info(
             "turned away",
             extra={
                 "request": req.id,
-                "same": shown(self._parts.fingerprints.of(req)),
+                "same": shown(self._deps.fingerprints.of(req)),
                 "reason": reason,
                 "outcome": refusal.status,
                 "again": refusal.again,
-                "stopping_for": _rounded(self._parts.shutdown.running_for),
+                "stopping_for": _rounded(self._deps.shutdown.running_for),
             },
         )
         await refuse(responder, refusal)
@@ -202,10 +213,10 @@
     async def _relay(
         self, req: RoutedRequest, route: Route, responder: Responder
     ) -> None:
-        clock = self._parts.clock
+        clock = self._deps.clock
         service = self._service(route)
         relay = Relay(
-            self._parts,
+            self._deps,
             req,
             route,
             service,
@@ -213,31 +224,37 @@
             lambda: self._gate.still_holds(req, route),
         )
         started = clock.monotonic()
-        measured = self._parts.times.begin(route.name)
-        # What stands if the request is cancelled from outside: its caller left, or
-        # the process ends before the request does.
-        result = Result(Verdict.GIVEN_UP)
+        measured = self._deps.recent_durations.begin(route.name)
+        # The result if the request is cancelled from outside: the caller disconnected,
+        # or the process stops before the request finishes.
+        result = RelayResult(RelayOutcome.GIVEN_UP)
         try:
             result = await relay.run()
-            await self._conclude(relay, req, result, responder)
+            await self._send_final_response(relay, req, result, responder)
         except SlowCallerError as exc:
-            result = relay.cut_off(str(exc))
+            result = relay.truncated_result(str(exc))
             raise
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            result = Result(Verdict.CALLER_LEFT, sends=result.sends)
+            result = RelayResult(RelayOutcome.CALLER_LEFT, attempts=result.attempts)
             raise
         finally:
-            if result.verdict is Verdict.GIVEN_UP and responder.caller_left:
-                result = Result(Verdict.CALLER_LEFT, sends=result.sends)
-            self._parts.times.end(measured, result.verdict in TELLS_TIME)
+            if result.outcome is RelayOutcome.GIVEN_UP and responder.caller_left:
+                result = RelayResult(RelayOutcome.CALLER_LEFT, attempts=result.attempts)
+            self._deps.recent_durations.end(measured, result.outcome in TIMED_OUTCOMES)
             seconds = clock.monotonic() - started
             self._log(relay, req, route, result, seconds)
             self._observe(
-                Ended(route.name, result.verdict, seconds, result.bound, req.customer)
+                RequestSummary(
+                    route.name,
+                    result.outcome,
+                    seconds,
+                    result.timeout_source,
+                    req.customer,
+                )
             )
 
     def _log_no_route(self, req: RoutedRequest, host: str, path: str) -> None:
-        table, now = self._routes.table, self._parts.clock.monotonic()
+        table, now = self._routes.table, self._deps.clock.monotonic()
         logger.info(
             "no route",
             extra={
@@ -255,58 +272,66 @@
         weights = [share.weight for share in route.shares]
         return self._rng.choices(names, weights)[0]
 
-    async def _conclude(
-        self, relay: Relay, req: RoutedRequest, result: Result, responder: Responder
+    async def _send_final_response(
+        self,
+        relay: Relay,
+        req: RoutedRequest,
+        result: RelayResult,
+        responder: Responder,
     ) -> None:
-        """Give the caller its final answer where the relay has not."""
-        if result.verdict is Verdict.NOT_RUN:
-            wait = 0.0 if result.sends else NO_REPLICA_SECONDS
-            await refuse(responder, self._come_back("no replica took it", wait))
-        elif result.verdict in COMES_BACK:
-            await refuse(responder, self._come_back(result.detail, result.again))
-        elif result.verdict is Verdict.KEY_GONE:
-            await refuse(responder, self._key_gone(req))
-        elif result.verdict is Verdict.FAILED and relay.failure is not None:
-            await self._pass_on(relay.failure, responder)
-        elif result.verdict is Verdict.FAILED:
+        """Send the final response where the relay has not sent one."""
+        if result.outcome is RelayOutcome.NOT_RUN:
+            wait = 0.0 if result.attempts else NO_REPLICA_RETRY_SECONDS
+            await refuse(responder, self._retry_later("no replica took it", wait))
+        elif result.outcome in RETRY_LATER_OUTCOMES:
+            await refuse(
+                responder, self._retry_later(result.detail, result.retry_after_seconds)
+            )
+        elif result.outcome is RelayOutcome.KEY_REVOKED:
+            await refuse(responder, self._key_revoked(req))
+        elif result.outcome is RelayOutcome.FAILED and relay.failure is not None:
+            await self._forward_failure(relay.failure, responder)
+        elif result.outcome is RelayOutcome.FAILED:
             refusal = Refusal(STATUS_BAD_GATEWAY, "the replica broke off")
             await refuse(responder, refusal)
-        elif result.verdict is Verdict.TIMED_OUT:
+        elif result.outcome is RelayOutcome.TIMED_OUT:
             await refuse(responder, self._timed_out(relay))
 
-    async def _pass_on(self, failed: FailedAnswer, responder: Responder) -> None:
+    async def _forward_failure(
+        self, failed: FailedResponse, responder: Responder
+    ) -> None:
         head, body = failed.head, failed.body
         await responder.full_raw(head.status, list(head.headers), body)
 
     def _timed_out(self, relay: Relay) -> Refusal:
         if relay.may_have_run:
             return Refusal(STATUS_GATEWAY_TIMEOUT, "no answer in time")
-        return self._come_back("no replica took it in time")
+        return self._retry_later("no replica took it in time")
 
-    def _key_gone(self, req: RoutedRequest) -> Refusal:
-        """Return the answer to a caller whose key was taken away as it waited.
+    def _key_revoked(self, req: RoutedRequest) -> Refusal:
+        """Return the refusal for a caller whose key was revoked while it waited.
 
-        Where routes have come to ask for keys meanwhile, the key may hold: the caller's
-        next try is judged by it.
+        If the route has started to require keys meanwhile, the caller's key may be
+        valid: it is checked when the caller retries.
         """
         if req.customer is None:
-            return self._come_back("keys are asked for since")
+            return self._retry_later("keys are asked for since")
         return Refusal(STATUS_UNAUTHORIZED, KeyVerdict.UNKNOWN_KEY)
 
-    def _come_back(self, title: str, wait: float = 0.0) -> Refusal:
-        return come_back(title, self._rng, wait)
+    def _retry_later(self, title: str, wait_seconds: float = 0.0) -> Refusal:
+        return come_back(title, self._rng, wait_seconds)
 
     def _log(
         self,
         relay: Relay,
         req: RoutedRequest,
         route: Route,
-        result: Result,
+        result: RelayResult,
         seconds: float,
     ) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         table = self._routes.table
-        replicas = self._parts.replicas
+        replicas = self._deps.replicas
         logger.info(
             "request ended",
             extra={
@@ -315,11 +340,11 @@
                 "route": route.name,
                 "customer": req.customer,
                 "service": relay.service,
-                "outcome": result.verdict,
+                "outcome": result.outcome,
                 "detail": result.detail,
-                "sends": result.sends,
-                "bound": result.bound,
-                "stopping_for": _rounded(self._parts.shutdown.running_for),
+                "sends": result.attempts,
+                "bound": result.timeout_source,
+                "stopping_for": _rounded(self._deps.shutdown.running_for),
                 "ms": round(seconds * 1000, 1),
                 "first_ms": relay.first_ms,
                 "pause_ms": relay.pause_ms,
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: lookups with retries, confirmations at most once."""
+"""Calls to plain services: retried lookups, and confirmations that run at most once."""
 
 import logging
 import random
@@ -24,8 +24,8 @@
     PlainEnding,
     Reason,
 )
-from berylshift.request.retry_policy import Sent
-from berylshift.request.service_sender import PlainSend
+from berylshift.request.retry_policy import AttemptRecord
+from berylshift.request.service_sender import ServiceSender
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
@@ -38,20 +38,23 @@
 
 logger = logging.getLogger(__name__)
 
-KEY_LIFE_SECONDS = 24 * 3600.0
-RECORD_SECONDS = 2.0
-STORE_PAUSE = 0.05
-REFUSE_SECONDS = 0.25
-# When a caller whose confirmation a leaving host does not begin may come back.
-LEAVING_SECONDS = 1.0
+KEY_TTL_SECONDS = 24 * 3600.0
+RECORD_TIMEOUT_SECONDS = 2.0
+STORE_RETRY_SECONDS = 0.05
+KEY_LOOKUP_TIMEOUT_SECONDS = 0.25
+# Retry-After of a confirmation that a draining host does not start.
+DRAINING_RETRY_SECONDS = 1.0
 
 
 @dataclass
-class ServiceParts:
-    """What service calls work with; ``last_sends``: when the last confirmation goes."""
+class ServiceDependencies:
+    """Dependencies of service calls.
+
+    ``last_sends`` bounds when confirmations may still be sent before a shutdown.
+    """
 
     clock: Clock
-    sender: PlainSend
+    sender: ServiceSender
     retries: RetryBudget
     gate: TableGate
     pending: PendingRecords
@@ -61,38 +64,38 @@
 
 
 class ServiceCalls:
-    """Carries plain calls out."""
+    """Runs calls to plain services."""
 
-    def __init__(self, parts: ServiceParts):
-        """Work with ``parts``."""
-        self._parts = parts
+    def __init__(self, deps: ServiceDependencies):
+        """Start without confirmations under way."""
+        self._deps = deps
         self._nursery: trio.Nursery | None = None
         self.open_confirmations = 0
 
     async def serve(self) -> None:
-        """Hold the confirmations' tasks until cancelled."""
+        """Run the confirmations' background tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await trio.sleep_forever()
 
     async def run(self, call: PlainCall) -> PlainEnding:
-        """Return how the call ended."""
+        """Run a call and return how it ended."""
         if call.idempotent:
-            return await self._look_up(call)
-        return await self._confirm_apart(call)
+            return await self._run_lookup(call)
+        return await self._confirm_in_background(call)
 
-    async def _look_up(self, call: PlainCall) -> PlainEnding:
-        lookup = Lookup(self._parts.sender, call, self._parts.retries)
+    async def _run_lookup(self, call: PlainCall) -> PlainEnding:
+        lookup = Lookup(self._deps.sender, call, self._deps.retries)
         scope = trio.CancelScope()
-        with scope, self._parts.shutdown.bounding(scope):
+        with scope, self._deps.shutdown.bounding(scope):
             return await lookup.run()
         return lookup.given_up()
 
-    async def _confirm_apart(self, call: PlainCall) -> PlainEnding:
-        """Confirm in a task that lives for the process, not for the request.
+    async def _confirm_in_background(self, call: PlainCall) -> PlainEnding:
+        """Run the confirmation in a task that is not cancelled with the request.
 
-        A caller that leaves would otherwise leave its key's row without a result,
-        and the key's fate would be unknown for ever.
+        Otherwise a caller that disconnects would leave its key's row without a result,
+        and the key's outcome would stay unknown for ever.
         """
         done = trio.Event()
         found: list[PlainEnding] = []
@@ -102,7 +105,7 @@
             try:
                 found.append(await self._confirm(call))
             except Exception:
-                # It must not end the process, with all other requests in it.
+                # An error must not stop the process and all other requests.
                 logger.exception("confirmation failed")
                 found.append(PlainEnding(Ending(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)))
             finally:
@@ -114,21 +117,21 @@
         return found[0]
 
     async def refuse(self, call: PlainCall, ending: Ending) -> PlainEnding:
-        """Return the refusal of a call that is turned away at the door.
+        """Return the refusal of a call that is not admitted.
 
-        "Not run" may be said of a key only when its row can be read: an earlier
-        arrival with it, at another host, may have run.
+        "Not run" may be reported for a key only if its row can be read: an earlier
+        request with the key, at another host, may have run.
         """
         if call.idempotent:
             return PlainEnding(ending)
         state = self._new_state(call)
-        with trio.move_on_after(REFUSE_SECONDS):
+        with trio.move_on_after(KEY_LOOKUP_TIMEOUT_SECONDS):
             await self._read(
                 state, confirmation.row_key(call.caller.customer, call.key)
             )
             if state.step is Step.ANSWER:
                 return _confirmed(state)
-            if state.step in (Step.INSERT, Step.TAKE):
+            if state.step in (Step.INSERT, Step.TAKE_OVER):
                 return PlainEnding(ending)
         unknown = msgspec.structs.replace(ending, outcome=Outcome.UNKNOWN)
         return PlainEnding(unknown)
@@ -139,30 +142,32 @@
         state = self._new_state(call)
         key = confirmation.row_key(call.caller.customer, call.key)
         tried: set[TargetName] = set()
-        watch = self._parts.sender.watching.of_plain(call)
-        held = self._parts.sender.held_back(watch)
-        if held is not None:
-            return await self.refuse(call, held)
-        with self._parts.last_sends.bounding(state):
-            if self._parts.clock.monotonic() >= state.deadline:
-                # The process would end before it has seen the call end.
-                leaving = Ending(Outcome.NOT_RUN, Reason.DRAINING, "", LEAVING_SECONDS)
+        watch = self._deps.sender.crash_watches.for_service_call(call)
+        refusal = self._deps.sender.quarantine_refusal(watch)
+        if refusal is not None:
+            return await self.refuse(call, refusal)
+        with self._deps.last_sends.bounding(state):
+            if self._deps.clock.monotonic() >= state.deadline:
+                # The process would stop before the call has finished.
+                leaving = Ending(
+                    Outcome.NOT_RUN, Reason.DRAINING, "", DRAINING_RETRY_SECONDS
+                )
                 return await self.refuse(call, leaving)
             while state.step is not Step.ANSWER:
-                await self._carry_out(state, call, key, tried, watch)
-        if state.leaves_row:
+                await self._run_step(state, call, key, tried, watch)
+        if state.needs_abandon:
             row = state.row(confirmation.RowState.ABANDONED)
-            self._parts.pending.add(key, row)
+            self._deps.pending.add(key, row)
         return _confirmed(state)
 
     def _new_state(self, call: PlainCall) -> Confirmation:
-        parts = self._parts
+        deps = self._deps
         digest = confirmation.body_digest(call.method, call.path, call.body)
-        expires = parts.clock.now().timestamp() + KEY_LIFE_SECONDS
-        attempt = AttemptId(f"{call.request}.{parts.rng.getrandbits(48):012x}")
+        expires = deps.clock.now().timestamp() + KEY_TTL_SECONDS
+        attempt = AttemptId(f"{call.request}.{deps.rng.getrandbits(48):012x}")
         return Confirmation(attempt, digest, call.deadline, expires)
 
-    async def _carry_out(
+    async def _run_step(
         self,
         state: Confirmation,
         call: PlainCall,
@@ -170,19 +175,19 @@
         tried: set[TargetName],
         watch: CrashWatch,
     ) -> None:
-        clock = self._parts.clock
+        clock = self._deps.clock
         match state.step:
-            case Step.INSERT | Step.TAKE:
+            case Step.INSERT | Step.TAKE_OVER:
                 row = state.row(confirmation.RowState.STARTED)
                 event = await self._put(key, state.revision, row, state.deadline)
-                state.inserted(event, clock.monotonic())
+                state.on_insert(event, clock.monotonic())
             case Step.READ:
                 scope = trio.CancelScope()
-                with scope, self._parts.last_sends.bounding(scope):
+                with scope, self._deps.last_sends.bounding(scope):
                     await self._read(state, key)
             case Step.WAIT:
                 await trio.sleep(confirmation.POLL_SECONDS)
-                state.waited()
+                state.on_wait_over()
             case Step.SEND:
                 await self._send_once(state, call, tried, watch)
             case Step.RECORD:
@@ -191,35 +196,35 @@
     async def _put(
         self, key: str, revision: int, row: ConfirmRow, until: float
     ) -> Event:
-        """Write the row; wait for the store no longer than the deadline."""
+        """Write the row, waiting for the store until the deadline at most."""
         write = Write(key, as_raw(row))
         scope = trio.CancelScope(deadline=until)
-        with scope, self._parts.last_sends.bounding(scope):
+        with scope, self._deps.last_sends.bounding(scope):
             try:
-                answer = await self._parts.gate.put_row(Condition(key, revision), write)
+                answer = await self._deps.gate.put_row(Condition(key, revision), write)
                 return Event.COMMITTED if answer.committed else Event.CONFLICT
             except AnswerLostError:
                 return Event.LOST
             except PlatformError:
-                await trio.sleep(STORE_PAUSE)
+                await trio.sleep(STORE_RETRY_SECONDS)
                 return Event.UNAVAILABLE
         return Event.LOST
 
     async def _read(self, state: Confirmation, key: str) -> None:
-        clock = self._parts.clock
+        clock = self._deps.clock
         with trio.move_on_at(state.deadline):
             try:
-                found = await self._parts.gate.read([key], Priority.CONFIRMATION)
+                found = await self._deps.gate.read([key], Priority.CONFIRMATION)
                 stored = found[0]
                 row = None
                 if stored is not None:
                     row = msgspec.json.decode(stored.value, type=ConfirmRow)
                 revision = stored.revision if stored else ABSENT
-                state.read(row, revision, clock.monotonic())
+                state.on_read(row, revision, clock.monotonic())
                 return
             except PlatformError:
-                await trio.sleep(STORE_PAUSE)
-        state.read_failed(clock.monotonic())
+                await trio.sleep(STORE_RETRY_SECONDS)
+        state.on_read_failed(clock.monotonic())
 
     async def _send_once(
         self,
@@ -228,32 +233,32 @@
         tried: set[TargetName],
         watch: CrashWatch,
     ) -> None:
-        sender = self._parts.sender
+        sender = self._deps.sender
         placed = sender.place(call, frozenset(tried))
         if isinstance(placed, Ending):
-            state.no_target(placed.reason)
+            state.on_no_target(placed.reason)
             return
         tried.add(placed.target.name)
         found = await sender.run(placed, call, state.attempt, watch)
-        sent = Sent(placed.target.name, found.end)
-        state.sent(sent, found.answer, self._parts.clock.monotonic())
+        sent = AttemptRecord(placed.target.name, found.outcome)
+        state.on_attempt(sent, found.answer, self._deps.clock.monotonic())
 
     async def _record(self, state: Confirmation, key: str) -> None:
-        """Write the result; where that fails, leave it to the upkeep."""
+        """Write the result; if that fails, queue it for the upkeep loop."""
         written = False
-        with trio.move_on_after(RECORD_SECONDS):
+        with trio.move_on_after(RECORD_TIMEOUT_SECONDS):
             condition = Condition(key, state.revision)
             write = Write(key, as_raw(state.record))
             try:
-                answer = await self._parts.gate.put_row(condition, write)
+                answer = await self._deps.gate.put_row(condition, write)
                 written = answer.committed
             except PlatformError:
                 logger.warning("result of a confirmation not written yet")
         if written:
-            state.owned = state.unsure = False
+            state.owns_row = state.is_insert_uncertain = False
         else:
-            self._parts.pending.add(key, state.record)
-        state.recorded()
+            self._deps.pending.add(key, state.record)
+        state.on_recorded()
 
 
 def _confirmed(state: Confirmation) -> PlainEnding:
