--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -1,4 +1,4 @@
-"""One send of a call to a plain service: its place, its books, its end."""
+"""Sends calls to plain services: chooses a replica and tracks load and health."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -11,10 +11,10 @@
 from berylshift.ids import AttemptId, TargetName
 from berylshift.request.choice import Knowledge, Plan, ReplicaChooser, WorkItem
 from berylshift.request.crash_watch import CrashWatch, QuarantinedError
-from berylshift.request.crash_watch_factory import CallWatching
+from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import Ending, Outcome, PlainCall, Reason
-from berylshift.request.retry_policy import SendEnd, end_of, retry_after_of
+from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
 from berylshift.request.target_check import takes_connections
 from berylshift.targets import (
     ServiceAnswer,
@@ -26,29 +26,29 @@
 from berylshift.version.table import Table
 
 
-class PlainSent(msgspec.Struct, frozen=True):
-    """How a send ended, with the answer if it is done."""
+class ServiceAttempt(msgspec.Struct, frozen=True):
+    """Outcome of one attempt, with the service's answer if it succeeded."""
 
-    end: SendEnd
+    outcome: AttemptOutcome
     answer: ServiceAnswer | None = None
 
 
 @dataclass
-class PlainSend:
-    """Places and sends calls; ``timeout`` bounds one send, in seconds."""
+class ServiceSender:
+    """Chooses replicas and sends calls; ``timeout_seconds`` bounds one attempt."""
 
     clock: Clock
     client: ServiceClient
-    know: Knowledge
+    context: Knowledge
     chooser: ReplicaChooser
     decisions: DecisionLog
     table: Callable[[], Table]
     may_route: Callable[[], bool]
-    timeout: float
-    watching: CallWatching
+    timeout_seconds: float
+    crash_watches: CrashWatchFactory
 
-    def held_back(self, watch: CrashWatch) -> Ending | None:
-        """Return the refusal of a call under which replicas ended."""
+    def quarantine_refusal(self, watch: CrashWatch) -> Ending | None:
+        """Return the refusal of a call that is quarantined for crashing replicas."""
         try:
             watch.check()
         except QuarantinedError as exc:
@@ -56,7 +56,7 @@
         return None
 
     def place(self, call: PlainCall, exclude: frozenset[TargetName]) -> Plan | Ending:
-        """Return the replica for ``call``, or how the call ends without one."""
+        """Choose a replica for ``call``; return a refusal if there is none."""
         if not self.may_route():
             return Ending(Outcome.NOT_RUN, Reason.STALE_VIEW, "", 1.0)
         now = self.clock.monotonic()
@@ -81,24 +81,28 @@
 
     async def run(
         self, plan: Plan, call: PlainCall, attempt: AttemptId, watch: CrashWatch
-    ) -> PlainSent:
-        """Send one attempt; tell ``watch`` what it came to."""
+    ) -> ServiceAttempt:
+        """Make one attempt and report its outcome to ``watch``."""
         found = await self._send(plan, call, attempt)
-        if found.end is SendEnd.DONE:
-            watch.finished()
-        elif found.end is SendEnd.BROKEN and self._takes_work(plan.target.name):
-            await watch.broke_off(
-                self.watching.instance(plan.target.name),
+        if found.outcome is AttemptOutcome.DONE:
+            watch.on_completed()
+        elif found.outcome is AttemptOutcome.BROKEN and self._takes_work(
+            plan.target.name
+        ):
+            await watch.on_connection_lost(
+                self.crash_watches.instance_id(plan.target.name),
                 lambda: takes_connections(self.client, plan.target.address),
             )
         return found
 
     def _takes_work(self, name: TargetName) -> bool:
-        """Return whether a replica is listed and not leaving."""
+        """Return whether a replica is listed and not draining."""
         row = self.table().targets.get(name)
         return row is not None and row.takes_work
 
-    async def _send(self, plan: Plan, call: PlainCall, attempt: AttemptId) -> PlainSent:
+    async def _send(
+        self, plan: Plan, call: PlainCall, attempt: AttemptId
+    ) -> ServiceAttempt:
         name = plan.target.name
         out = ServiceCall(
             attempt=attempt,
@@ -110,18 +114,18 @@
             idempotent=call.idempotent,
             key=call.key,
         )
-        load, health = self.know.load, self.know.health
+        load, health = self.context.load, self.context.health
         load.sent(name, attempt, call.caller.fleet, 0, self.clock.monotonic())
         health.started(name)
         try:
             answer = await self._bounded(plan.target.address, out)
             health.succeeded(name)
-            return PlainSent(SendEnd.DONE, answer)
+            return ServiceAttempt(AttemptOutcome.DONE, answer)
         except TargetError as exc:
             now = self.clock.monotonic()
             health.failed(name, now)
             health.back_off(name, retry_after_of(exc), now)
-            return PlainSent(end_of(exc))
+            return ServiceAttempt(outcome_of(exc))
         except trio.Cancelled:
             health.cancelled(name)
             raise
@@ -129,6 +133,6 @@
             load.ended(name, attempt, self.clock.monotonic())
 
     async def _bounded(self, address: str, out: ServiceCall) -> ServiceAnswer:
-        with trio.move_on_after(self.timeout):
+        with trio.move_on_after(self.timeout_seconds):
             return await self.client.call(address, out)
         raise TargetBrokenError("no answer in time")
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from berylshift.request.crash_watch import CONNECT_SECONDS
+from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
 from berylshift.targets import EngineClient, ServiceClient, TargetNotReachedError
 
 
@@ -11,7 +11,7 @@
 
     A busy one does, however late it answers; a process that has ended does not.
     """
-    with trio.move_on_after(CONNECT_SECONDS):
+    with trio.move_on_after(PROBE_TIMEOUT_SECONDS):
         try:
             await client.connect(address)
         except TargetNotReachedError:
--- a/berylshift/telemetry.py
+++ b/berylshift/telemetry.py
@@ -8,7 +8,7 @@
     generate_latest,
 )
 
-from berylshift.request.routed_handler import Ended
+from berylshift.request.routed_handler import RequestSummary
 
 # Customers that are counted each by themselves; further ones are counted together.
 MOST_CUSTOMERS = 500
@@ -51,15 +51,15 @@
         self._customers: set[str] = set()
         self._gauges: dict[str, Gauge] = {}
 
-    def request_ended(self, ended: Ended) -> None:
+    def request_ended(self, ended: RequestSummary) -> None:
         """Count a request."""
-        self._requests.labels(ended.route, ended.verdict).inc()
+        self._requests.labels(ended.route, ended.outcome).inc()
         self._seconds.labels(ended.route).observe(ended.seconds)
-        if ended.bound is not None:
-            self._out_of_time.labels(ended.route, ended.bound).inc()
+        if ended.timeout_source is not None:
+            self._out_of_time.labels(ended.route, ended.timeout_source).inc()
         if ended.customer is not None:
             label = self._customer_label(ended.customer)
-            self._by_customer.labels(label, ended.verdict).inc()
+            self._by_customer.labels(label, ended.outcome).inc()
 
     def _customer_label(self, customer: str) -> str:
         """Return a customer's label; the number of labels is bounded."""
--- a/berylshift/tests/ledger_play.py
+++ b/berylshift/tests/ledger_play.py
@@ -9,7 +9,7 @@
 
 from berylshift.ids import ServiceName
 from berylshift.platform import names
-from berylshift.request.relay import ANSWER_SECONDS
+from berylshift.request.relay import FINAL_RESPONSE_SECONDS
 from berylshift.settings import parse_settings
 from berylshift.stand_ins.entry_replica import EntryReplica, Fault, _Session
 from berylshift.tests.entry_world import (
@@ -375,7 +375,7 @@
         stream = entry.pieces > 0
         if stream and entry.fault in BREAKS:
             return True
-        slack = ANSWER_SECONDS if stream else 0.0
+        slack = FINAL_RESPONSE_SECONDS if stream else 0.0
         return entry.ended >= self._time_over(entry) - slack - MOMENT
 
     def _time_over(self, entry: Entry) -> float:
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -7,7 +7,7 @@
 
 from berylshift.ids import AttemptId
 from berylshift.process.control.orders import role_order
-from berylshift.request.assembly import AnswerAssembler, Verdict
+from berylshift.request.assembly import ChunkStatus, ResponseAssembler
 from berylshift.request.messages import Outcome, Reason
 from berylshift.targets import EngineChunk, Role
 from berylshift.tests.world import (
@@ -28,35 +28,35 @@
     """Chunks that come late, crossed, twice or with gaps."""
 
     def setUp(self):
-        self.answer = AnswerAssembler()
-        self.answer.begin(AttemptId("a1"))
+        self.answer = ResponseAssembler()
+        self.answer.begin_attempt(AttemptId("a1"))
 
     def test_late_chunk_of_another_attempt_is_foreign(self):
         # The first attempt was given up, its connection is reused, and its late
         # chunk arrives first. The caller would see text of another answer.
-        self.answer.begin(AttemptId("a2"))
-        self.assertIs(self.answer.take(chunk("a1", 0, "x")), Verdict.FOREIGN)
-        self.assertEqual(self.answer.whole_text(), "")
+        self.answer.begin_attempt(AttemptId("a2"))
+        self.assertIs(self.answer.add(chunk("a1", 0, "x")), ChunkStatus.OTHER_ATTEMPT)
+        self.assertEqual(self.answer.full_text(), "")
 
     def test_repeated_offset_adds_nothing(self):
-        self.answer.take(chunk("a1", 0, "a", "b"))
-        self.answer.take(chunk("a1", 0, "a", "b"))
-        self.answer.take(chunk("a1", 1, "b", "c"))
-        self.assertEqual(self.answer.whole_text(), "abc")
+        self.answer.add(chunk("a1", 0, "a", "b"))
+        self.answer.add(chunk("a1", 0, "a", "b"))
+        self.answer.add(chunk("a1", 1, "b", "c"))
+        self.assertEqual(self.answer.full_text(), "abc")
 
     def test_gap_is_found(self):
-        self.answer.take(chunk("a1", 0, "a"))
-        self.assertIs(self.answer.take(chunk("a1", 2, "c")), Verdict.GAP)
+        self.answer.add(chunk("a1", 0, "a"))
+        self.assertIs(self.answer.add(chunk("a1", 2, "c")), ChunkStatus.GAP)
 
     def test_end_counts_the_tokens(self):
-        self.answer.take(chunk("a1", 0, "a"))
-        self.assertIs(self.answer.take(chunk("a1", 0, end=2)), Verdict.SHORT)
-        self.assertIs(self.answer.take(chunk("a1", 0, end=1)), Verdict.WHOLE)
+        self.answer.add(chunk("a1", 0, "a"))
+        self.assertIs(self.answer.add(chunk("a1", 0, end=2)), ChunkStatus.TRUNCATED)
+        self.assertIs(self.answer.add(chunk("a1", 0, end=1)), ChunkStatus.COMPLETE)
 
     def test_text_is_passed_on_once(self):
-        self.answer.take(chunk("a1", 0, "a"))
-        self.assertEqual(self.answer.new_text(), "a")
-        self.assertEqual(self.answer.new_text(), "")
+        self.answer.add(chunk("a1", 0, "a"))
+        self.assertEqual(self.answer.take_new_text(), "a")
+        self.assertEqual(self.answer.take_new_text(), "")
 
 
 class StreamFailureTest(unittest.TestCase):
@@ -100,7 +100,7 @@
         # The caller holds a part of its answer: the rest still comes, since ending
         # it here would leave the caller with a cut answer.
         async def fail(world, engine):
-            retries = world.hosts["host-1"].app.front._parts.completions.retries
+            retries = world.hosts["host-1"].app.handler._deps.completions.retries
             while retries.take(trio.current_time()):
                 pass
             engine.crash(trio.current_time())
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.ids import TargetName
-from berylshift.messages.retry_after import seconds_of
+from berylshift.messages.retry_after import parse_retry_after
 from berylshift.process.knowledge.health import Health
 from berylshift.request.messages import Outcome
 from berylshift.tests.world import call_service, plain_call, run_world, small_rows
@@ -63,6 +63,6 @@
     """The header's values."""
 
     def test_seconds(self):
-        self.assertEqual(seconds_of("2.5"), 2.5)
+        self.assertEqual(parse_retry_after("2.5"), 2.5)
         for value in (None, "", "-1", "nan", "inf", "Thu, 03 Dec 2026 10:00:00 GMT"):
-            self.assertEqual(seconds_of(value), 0)
+            self.assertEqual(parse_retry_after(value), 0)
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -18,7 +18,7 @@
     Step,
 )
 from berylshift.request.messages import Outcome
-from berylshift.request.retry_policy import SendEnd, Sent
+from berylshift.request.retry_policy import AttemptOutcome, AttemptRecord
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.store.interfaces import (
@@ -106,14 +106,17 @@
             return
         arrival = self.wire.pop(place % len(self.wire))
         answer = None
-        ended = {"refused": SendEnd.NOT_RUN, "not reached": SendEnd.NOT_REACHED}.get(
-            end
-        )
+        ended = {
+            "refused": AttemptOutcome.NOT_RUN,
+            "not reached": AttemptOutcome.NOT_REACHED,
+        }.get(end)
         if ended is None:
             answer = self._run(arrival)
-            ended = SendEnd.DONE if end == "answered" else SendEnd.BROKEN
+            ended = AttemptOutcome.DONE if end == "answered" else AttemptOutcome.BROKEN
         arrival.sending = False
-        arrival.state.sent(Sent("replica", ended), answer, self.clock.monotonic())
+        arrival.state.on_attempt(
+            AttemptRecord("replica", ended), answer, self.clock.monotonic()
+        )
 
     @rule(place=st.integers(0, 4))
     def kill_host(self, place):
@@ -162,13 +165,13 @@
         state, now = arrival.state, self.clock.monotonic()
         key = f"confirm/c/{arrival.key}"
         match state.step:
-            case Step.INSERT | Step.TAKE:
+            case Step.INSERT | Step.TAKE_OVER:
                 event = self._put(key, state.revision, state.row(RowState.STARTED))
-                state.inserted(event, now)
+                state.on_insert(event, now)
             case Step.READ:
                 self._read(state, key, now)
             case Step.WAIT:
-                state.waited()
+                state.on_wait_over()
             case Step.SEND:
                 arrival.sending = True
                 self.wire.append(arrival)
@@ -176,7 +179,7 @@
                 event = self._put(key, state.revision, state.record)
                 if event is not Event.COMMITTED:
                     self.pending.add(key, state.record)
-                state.recorded()
+                state.on_recorded()
             case Step.ANSWER:
                 self._answer(arrival, key)
 
@@ -184,16 +187,16 @@
         try:
             stored = self.platform.read([key])[0]
         except StoreUnavailableError:
-            state.read_failed(now)
+            state.on_read_failed(now)
             return
         row = msgspec.json.decode(stored.value, type=ConfirmRow) if stored else None
-        state.read(row, stored.revision if stored else ABSENT, now)
+        state.on_read(row, stored.revision if stored else ABSENT, now)
 
     def _answer(self, arrival: Arrival, key: str) -> None:
         """Tell the caller; what it is told must be true at that moment."""
         arrival.ended = True
         state = arrival.state
-        if state.leaves_row:
+        if state.needs_abandon:
             self.pending.add(key, state.row(RowState.ABANDONED))
         ran = self.service.ran[arrival.key]
         if state.outcome is Outcome.NOT_RUN:
--- a/berylshift/tests/test_confirmations.py
+++ b/berylshift/tests/test_confirmations.py
@@ -10,8 +10,8 @@
 from berylshift.ids import AttemptId
 from berylshift.replay.virtual_fleet import HostDownError
 from berylshift.request.confirmation import (
-    COME_BACK_SECONDS,
     PREFIX,
+    RETRY_AFTER_SECONDS,
     Confirmation,
     ConfirmRow,
     Event,
@@ -19,7 +19,7 @@
     Step,
 )
 from berylshift.request.messages import Outcome, Reason
-from berylshift.request.retry_policy import SendEnd, Sent
+from berylshift.request.retry_policy import AttemptOutcome, AttemptRecord
 from berylshift.targets import ServiceAnswer
 from berylshift.tests.world import call_service, plain_call, run_world
 
@@ -39,87 +39,95 @@
 
     def test_sends_only_after_its_row_is_committed(self):
         self.assertIs(self.state.step, Step.INSERT)
-        self.state.inserted(Event.COMMITTED, 0.0)
+        self.state.on_insert(Event.COMMITTED, 0.0)
         self.assertIs(self.state.step, Step.SEND)
 
     def test_lost_insert_is_read_back_and_found_to_be_ours(self):
         # The insert took effect, its answer was lost. Inserting again would fail
         # on our own row, and the call would never run.
-        self.state.inserted(Event.LOST, 0.0)
+        self.state.on_insert(Event.LOST, 0.0)
         self.assertIs(self.state.step, Step.READ)
-        self.state.read(self.state.row(RowState.STARTED), 1, 0.1)
+        self.state.on_read(self.state.row(RowState.STARTED), 1, 0.1)
         self.assertIs(self.state.step, Step.SEND)
 
     def test_lost_insert_that_did_not_land_is_tried_again(self):
-        self.state.inserted(Event.LOST, 0.0)
-        self.state.read(None, 0, 0.1)
+        self.state.on_insert(Event.LOST, 0.0)
+        self.state.on_read(None, 0, 0.1)
         self.assertIs(self.state.step, Step.INSERT)
 
     def test_other_arrival_with_the_key_never_sends(self):
-        self.state.inserted(Event.CONFLICT, 0.0)
-        self.state.read(other(RowState.STARTED), 1, 0.1)
+        self.state.on_insert(Event.CONFLICT, 0.0)
+        self.state.on_read(other(RowState.STARTED), 1, 0.1)
         self.assertIs(self.state.step, Step.WAIT)
-        self.state.waited()
-        self.state.read(other(RowState.STARTED), 1, 11.0)
+        self.state.on_wait_over()
+        self.state.on_read(other(RowState.STARTED), 1, 11.0)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
-        self.assertEqual(self.state.retry_after, COME_BACK_SECONDS)
+        self.assertEqual(self.state.retry_after, RETRY_AFTER_SECONDS)
 
     def test_other_arrival_gets_the_first_ones_answer(self):
-        self.state.inserted(Event.CONFLICT, 0.0)
-        self.state.read(other(RowState.DONE, answer=ANSWER), 2, 0.1)
+        self.state.on_insert(Event.CONFLICT, 0.0)
+        self.state.on_read(other(RowState.DONE, answer=ANSWER), 2, 0.1)
         self.assertIs(self.state.outcome, Outcome.COMPLETE)
         self.assertEqual(self.state.answer, ANSWER)
 
     def test_same_key_with_another_body_is_an_error(self):
-        self.state.inserted(Event.CONFLICT, 0.0)
-        self.state.read(other(RowState.DONE, digest="else"), 2, 0.1)
+        self.state.on_insert(Event.CONFLICT, 0.0)
+        self.state.on_read(other(RowState.DONE, digest="else"), 2, 0.1)
         self.assertIs(self.state.reason, Reason.KEY_REUSED)
         self.assertIs(self.state.outcome, Outcome.NOT_RUN)
 
     def test_abandoned_key_is_taken_over_at_its_revision(self):
-        self.state.inserted(Event.CONFLICT, 0.0)
-        self.state.read(other(RowState.ABANDONED), 3, 0.1)
-        self.assertIs(self.state.step, Step.TAKE)
-        self.state.inserted(Event.COMMITTED, 0.2)
+        self.state.on_insert(Event.CONFLICT, 0.0)
+        self.state.on_read(other(RowState.ABANDONED), 3, 0.1)
+        self.assertIs(self.state.step, Step.TAKE_OVER)
+        self.state.on_insert(Event.COMMITTED, 0.2)
         self.assertEqual(self.state.revision, 4)
 
     def test_process_paused_past_the_deadline_does_not_send(self):
         # It was paused between the commit and the send. Its caller has long been
         # told something else; the row is set to abandoned instead.
-        self.state.inserted(Event.COMMITTED, 11.0)
+        self.state.on_insert(Event.COMMITTED, 11.0)
         self.assertIs(self.state.step, Step.RECORD)
         self.assertIs(self.state.record.state, RowState.ABANDONED)
         self.assertIs(self.state.outcome, Outcome.NOT_RUN)
 
     def test_broken_answer_is_unknown_and_not_sent_again(self):
-        self.state.inserted(Event.COMMITTED, 0.0)
-        self.state.sent(Sent("replica", SendEnd.BROKEN), None, 0.1)
+        self.state.on_insert(Event.COMMITTED, 0.0)
+        self.state.on_attempt(
+            AttemptRecord("replica", AttemptOutcome.BROKEN), None, 0.1
+        )
         self.assertIs(self.state.record.state, RowState.UNKNOWN)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
 
     def test_unreached_target_lets_another_be_tried(self):
-        self.state.inserted(Event.COMMITTED, 0.0)
-        self.state.sent(Sent("replica", SendEnd.NOT_REACHED), None, 0.1)
+        self.state.on_insert(Event.COMMITTED, 0.0)
+        self.state.on_attempt(
+            AttemptRecord("replica", AttemptOutcome.NOT_REACHED), None, 0.1
+        )
         self.assertIs(self.state.step, Step.SEND)
-        self.state.sent(Sent("replica", SendEnd.NOT_RUN), None, 0.2)
-        self.state.sent(Sent("replica", SendEnd.NOT_RUN), None, 0.3)
+        self.state.on_attempt(
+            AttemptRecord("replica", AttemptOutcome.NOT_RUN), None, 0.2
+        )
+        self.state.on_attempt(
+            AttemptRecord("replica", AttemptOutcome.NOT_RUN), None, 0.3
+        )
         self.assertIs(self.state.record.state, RowState.ABANDONED)
 
     def test_store_down_to_the_deadline_can_not_be_called_not_run(self):
         # This arrival sent nothing. But an earlier one with the key may have run
         # at another host, and only the row could tell.
-        self.state.inserted(Event.UNAVAILABLE, 1.0)
+        self.state.on_insert(Event.UNAVAILABLE, 1.0)
         self.assertIs(self.state.step, Step.INSERT)
-        self.state.inserted(Event.UNAVAILABLE, 11.0)
+        self.state.on_insert(Event.UNAVAILABLE, 11.0)
         self.assertIs(self.state.reason, Reason.STORE_DOWN)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
-        self.assertFalse(self.state.leaves_row)
+        self.assertFalse(self.state.needs_abandon)
 
     def test_unsure_insert_leaves_a_row_to_be_abandoned(self):
-        self.state.inserted(Event.LOST, 1.0)
-        self.state.read_failed(11.0)
+        self.state.on_insert(Event.LOST, 1.0)
+        self.state.on_read_failed(11.0)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
-        self.assertTrue(self.state.leaves_row)
+        self.assertTrue(self.state.needs_abandon)
 
 
 class WholePathTest(unittest.TestCase):
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -183,7 +183,7 @@
             await trio.sleep(1.0)
             await link.stream.send_eof()
             await trio.sleep(0.4)
-            return process.app.front.in_flight
+            return process.app.handler.in_flight
 
         self.assertEqual(run_ledger(task, engines="d"), 0)
 
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -23,8 +23,8 @@
 
     def __init__(self, world, nursery):
         self.app = world.hosts["host-1"].app
-        self.app.front._parts.callers = {TOKEN: Credential("hobart", FLEET)}
-        server = HttpServer(self.app.front.handle)
+        self.app.handler._deps.callers = {TOKEN: Credential("hobart", FLEET)}
+        server = HttpServer(self.app.handler.handle)
         admin = HttpServer(Admin(self.app, "cluster").handle)
 
         async def dial(address):
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -133,7 +133,7 @@
         # must not send by it; the key is free again.
         async def prepare(world):
             app = world.hosts["host-1"].app
-            app.services._parts.sender.may_route = lambda: False
+            app.services._deps.sender.may_route = lambda: False
 
         outcome, ran, reason = self.confirm(prepare)
         self.assertEqual((outcome, ran), (Outcome.NOT_RUN, 0))
--- a/berylshift/tests/test_request_aside.py
+++ b/berylshift/tests/test_request_aside.py
@@ -8,7 +8,7 @@
 from berylshift.messages.replicas import Replica
 from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS, Quarantine
 from berylshift.request.aside import ASIDE_PART, is_last, left_of, set_aside
-from berylshift.request.routed_crash_watch import LAST_SECONDS
+from berylshift.request.routed_crash_watch import LAST_REPLICA_RETRY_SECONDS
 from berylshift.tests.entry_world import prompt_headers, run_entry
 
 HEARTBEAT_SECONDS = 1.2
@@ -146,7 +146,7 @@
         more, reply = run_entry(task, engines="dd")
         self.assertEqual(more, 0)
         if reply.status == 503:
-            self.assertGreaterEqual(reply.again, LAST_SECONDS)
+            self.assertGreaterEqual(reply.again, LAST_REPLICA_RETRY_SECONDS)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_request_event_splitter.py
+++ b/berylshift/tests/test_request_event_splitter.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from berylshift.request.event_splitter import (
-    LONGEST_EVENT,
+    MAX_EVENT_BYTES,
     EventSplitter,
     EventTooLongError,
 )
@@ -32,13 +32,13 @@
             data = data[size:]
         found += splitter.feed(data)
         self.assertEqual([event.data for event in found], EVENTS)
-        self.assertEqual(splitter.rest, b"")
+        self.assertEqual(splitter.buffered, b"")
 
     def test_half_an_event_is_held(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata:"), [])
-        self.assertEqual(splitter.rest, b"id: 1\ndata:")
+        self.assertEqual(splitter.buffered, b"id: 1\ndata:")
 
     def test_event_without_end_is_bounded(self):
         with self.assertRaises(EventTooLongError):
-            EventSplitter().feed(b"x" * (LONGEST_EVENT + 1))
+            EventSplitter().feed(b"x" * (MAX_EVENT_BYTES + 1))
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -15,11 +15,11 @@
 from berylshift.platform import names
 from berylshift.platform.exchange import PlatformLanguage
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.answer_stream import AnswerStream
-from berylshift.request.engine_attempt import AttemptFailedError, AttemptRun
-from berylshift.request.relay_dependencies import RelayParts
-from berylshift.request.replica_exchange import Reading, SingleSend
-from berylshift.request.retry_policy import SendEnd, SendHistory
+from berylshift.request.engine_attempt import AttemptFailedError, EngineAttempt
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.replica_exchange import PendingPrefill, ReplicaExchange
+from berylshift.request.response_stream import ResponseStream
+from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.targets import EngineChunk
 from berylshift.tests.entry_world import CallerLink, route
@@ -114,39 +114,39 @@
         self.got.append(data)
 
 
-def relay_parts(late: str) -> RelayParts:
+def relay_dependencies(late: str) -> RelayDependencies:
     """Return parts whose client gives a late answer."""
-    return RelayParts(
+    return RelayDependencies(
         clock=LoopClock(),
-        language=PlatformLanguage(),
+        codec=PlatformLanguage(),
         client=LateClient(late),
         replicas=None,
         loads=TargetLoads(),
         speeds=None,
         placer=None,
-        reads=None,
+        prefill_client=None,
         shutdown=None,
-        budget=None,
-        readings=None,
-        times=None,
+        retry_budget_for=None,
+        prefill_scheduler=None,
+        recent_durations=None,
         quarantine=None,
         fingerprints=None,
         throttle=None,
     )
 
 
-async def send_once(late: str, kind: RouteKind) -> tuple[SendEnd, list[bytes]]:
+async def send_once(late: str, kind: RouteKind) -> tuple[AttemptOutcome, list[bytes]]:
     """Send once; return how it ended and what the caller got."""
-    parts = relay_parts(late)
+    deps = relay_dependencies(late)
     caller = SlowCaller()
     body = SimpleNamespace(ended=True)
     req = RoutedRequest(RequestId("r1"), b"POST", b"/x", (), body)
     way = route("x", kind, resumable=True, most_attempts=2, objective=OBJECTIVE)
-    out = AnswerStream(caller, parts.clock)
-    send = SingleSend(parts, req, way, out, SendHistory())
+    out = ResponseStream(caller, deps.clock)
+    send = ReplicaExchange(deps, req, way, out, AttemptHistory())
     engine = InstanceId("engine-1")
     call = TargetRequest(engine, "10.0.0.1:80", b"POST", b"/x", [])
-    end = await send.run(call, Reading(parts.loads, engine, 0, 0))
+    end = await send.run(call, PendingPrefill(deps.loads, engine, 0, 0))
     return end, caller.got
 
 
@@ -160,7 +160,7 @@
 
     def check_stream(self, late: str):
         end, got = run_virtual(send_once, late, RouteKind.STREAM)
-        self.assertEqual(end, SendEnd.DONE)
+        self.assertEqual(end, AttemptOutcome.DONE)
         self.assertEqual(got, [b"head", EVENT, EVENT.replace(b"1", b"2"), b"end"])
 
     def test_the_head_is_written_whole(self):
@@ -174,7 +174,7 @@
 
     def test_a_whole_answer_is_written_whole(self):
         end, got = run_virtual(send_once, "whole", RouteKind.IDEMPOTENT)
-        self.assertEqual((end, got), (SendEnd.DONE, [b"headbodyend"]))
+        self.assertEqual((end, got), (AttemptOutcome.DONE, [b"headbodyend"]))
 
 
 class GivenUpTest(unittest.TestCase):
@@ -189,7 +189,7 @@
         """Have a handler ``write`` past its time; return what its caller got."""
 
         async def handle(http, responder):
-            out = AnswerStream(responder, LoopClock())
+            out = ResponseStream(responder, LoopClock())
             with trio.CancelScope() as scope:
                 scope.cancel()
                 await write(out, PlatformLanguage().read_answer(200, []))
@@ -206,13 +206,13 @@
 
     def test_a_whole_answer_is_delivered(self):
         async def write(out, head):
-            await out.whole(head, b"body")
+            await out.send_full(head, b"body")
 
         self.assertEqual(self.answer(write), (200, b"body", True))
 
     def test_a_streams_first_and_last_event_are_delivered(self):
         async def write(out, head):
-            out.open(head)
+            out.set_head(head)
             await out.feed(EVENT)
             await out.close()
 
@@ -262,21 +262,21 @@
                 cancelled=lambda *args: None,
                 prefill=lambda *args: None,
             )
-            parts = SimpleNamespace(
+            deps = SimpleNamespace(
                 clock=LoopClock(),
                 client=LateEngine(),
-                know=SimpleNamespace(load=note, health=note),
+                context=SimpleNamespace(load=note, health=note),
                 meter=note,
                 cfg=SimpleNamespace(first_token_timeout=1.0, token_timeout=1.0),
                 rng=random.Random(1),
             )
-            asked = SimpleNamespace(model="m", caller=SimpleNamespace(fleet="f"))
+            model_call = SimpleNamespace(model="m", caller=SimpleNamespace(fleet="f"))
             row = SimpleNamespace(name="engine-1", address="10.0.0.1:80")
             call = SimpleNamespace(attempt="a1")
             try:
-                await AttemptRun(parts, row, call, 0, asked).run(take)
+                await EngineAttempt(deps, row, call, 0, model_call).run(take)
             except AttemptFailedError as exc:
-                return exc.end, got
+                return exc.outcome, got
             return None, got
 
         self.assertEqual(run_virtual(task), (None, ["0", "1"]))
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -33,7 +33,7 @@
         self.host = world.hosts[host]
         self.app = self.host.app
         self.took = 0.0
-        self.app.front._parts.callers[TOKEN] = Credential("hobart", FLEET)
+        self.app.handler._deps.callers[TOKEN] = Credential("hobart", FLEET)
         stop = ShutdownSettings(balancer_notice=NOTICE, longest=longest)
         self.app.cfg = msgspec.structs.replace(self.app.cfg, shutdown=stop)
 
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -79,7 +79,7 @@
     """Make a model call at a host."""
     sink = Sink()
     with host.call() as app:
-        ending = await app.front.complete(call, sink)
+        ending = await app.handler.complete(call, sink)
     return ending, sink.joined()
 
 
@@ -102,4 +102,4 @@
 async def call_service(host: VirtualHost, call: PlainCall) -> PlainEnding:
     """Make a plain call at a host."""
     with host.call() as app:
-        return await app.front.call_service(call)
+        return await app.handler.call_service(call)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -50,15 +50,15 @@
     Proof(
         "a key is judged again before each send",
         "request/relay.py",
-        "not self._out.started and not self._key_holds()",
+        "not self._out.started and not self._is_key_valid()",
         "False",
         f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
     ),
     Proof(
         "a stream that has begun is finished for any key",
         "request/relay.py",
-        "not self._out.started and not self._key_holds()",
-        "not self._key_holds()",
+        "not self._out.started and not self._is_key_valid()",
+        "not self._is_key_valid()",
         f"{KEYS}.ChangeTest.test_a_stream_that_has_begun_is_finished",
     ),
     Proof(
@@ -134,7 +134,7 @@
     Proof(
         "the last engine takes no suspect",
         "request/routed_crash_watch.py",
-        "        if is_last(left, pool.answerers) and not begun:\n",
+        "        if is_last(left, pool.answerers) and not has_started:\n",
         "        if False:\n",
         f"{ASIDE}.SuspectsTest",
     ),
@@ -148,14 +148,14 @@
     Proof(
         "not run only by the replica's word",
         "request/retry_policy.py",
-        "self not in (*NEVER_SENT, SendEnd.NOT_RUN)",
-        "self in (SendEnd.DONE, SendEnd.FAILED)",
+        "self not in (*NEVER_SENT, AttemptOutcome.NOT_RUN)",
+        "self in (AttemptOutcome.DONE, AttemptOutcome.FAILED)",
         f"{RELAY}.NotRunTest",
     ),
     Proof(
         "a send that was cancelled may have run",
         "request/replica_exchange.py",
-        "        self._history.open = True\n",
+        "        self._history.has_open_attempt = True\n",
         "",
         f"{RELAY}.NotRunTest.test_silence_is_not_called_not_run",
     ),
@@ -185,7 +185,7 @@
     Proof(
         "a leaving host takes nothing that it can't finish",
         "request/routed_handler.py",
-        "        if self._ends_in_time(req, route):\n",
+        "        if self._finishes_before_stop(req, route):\n",
         "        if True:\n",
         "test_entry_shutdown.PlannedStopTest",
     ),
@@ -235,14 +235,15 @@
     Proof(
         "a stream is passed on in whole events",
         "request/event_splitter.py",
-        "        while (end := _event_end(self._rest)) > 0:\n",
-        "        while (end := _event_end(self._rest) or len(self._rest)) > 0:\n",
+        "        while (end := _event_end(self._buffered)) > 0:\n",
+        "        while (end := _event_end(self._buffered) or len(self._buffered))"
+        " > 0:\n",
         f"{STREAMS}.StreamTest",
     ),
     Proof(
         "a resumed stream goes on after the last event",
         "request/relay.py",
-        "            after = self._out.last_event\n",
+        "            after = self._out.last_event_id\n",
         "            after = None\n",
         f"{STREAMS}.StreamTest",
     ),
@@ -263,15 +264,15 @@
     Proof(
         "a cache that was not taken is freed",
         "request/relay.py",
-        "                self._drop_source()\n            return Result",
-        "                pass\n            return Result",
+        "                self._release_kv_source()\n            return RelayResult",
+        "                pass\n            return RelayResult",
         f"{STREAMS}.StreamTest.test_cache_of_a_caller_that_left_is_freed",
     ),
     Proof(
         "a second send is told less time",
         "request/relay.py",
-        "seconds_left=self._until - self._now(),",
-        "seconds_left=self._until - self._started,",
+        "seconds_left=self._deadline - self._now(),",
+        "seconds_left=self._deadline - self._started_at,",
         f"{RELAY}.TimeLeftTest",
     ),
     Proof(
@@ -313,21 +314,21 @@
     Proof(
         "starting over keeps that a send may have run",
         "request/retry_policy.py",
-        "self._ran_before = self.may_have_run",
-        "self._ran_before = False",
+        "self._may_have_run_before = self.may_have_run",
+        "self._may_have_run_before = False",
         "test_request_retry_loop.SendLoopTest",
     ),
     Proof(
         "further readings are further sends",
         "request/relay.py",
-        "if self._reads and not self._budget.take(self._now()):",
+        "if self._prefills and not self._retry_budget.take(self._now()):",
         "if False:",
         f"{RELAY}.RetryTest.test_readings_count_as_sends",
     ),
     Proof(
         "a prompt that comes too late is refused at once",
         "request/relay.py",
-        "self._now() + seconds > self._first_until:",
+        "self._now() + seconds > self._first_chunk_deadline:",
         "False:",
         f"{STREAMS}.StreamTest."
         "test_prompt_that_no_engine_reads_in_time_is_refused_at_once",
@@ -335,7 +336,8 @@
     Proof(
         "a hopeless further send is not called not run",
         "request/relay.py",
-        "        found = self._gave_up()\n        if found is Verdict.NOT_RUN:\n",
+        "        found = self._final_outcome()\n"
+        "        if found is RelayOutcome.NOT_RUN:\n",
         "        if True:\n",
         f"{STREAMS}.StreamTest.test_a_hopeless_second_send_is_not_called_not_run",
     ),
@@ -661,14 +663,14 @@
     Proof(
         "a leaving host of the own interface answers before it ends",
         "request/completion.py",
-        "with scope, self._parts.shutdown.bounding(scope):",
+        "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
         "test_shutdown.AnswerTest",
     ),
     Proof(
         "a look-up that outlasts a stop is answered",
         "request/service_call.py",
-        "with scope, self._parts.shutdown.bounding(scope):",
+        "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
         "test_shutdown.LookupTest",
     ),
@@ -712,15 +714,16 @@
     Proof(
         "a request under which replicas ended is held back",
         "request/relay.py",
-        "        self._check_may_go()\n        if self._req.prompt is None:",
+        "        self._check_allowed()\n        if self._req.prompt is None:",
         "        if self._req.prompt is None:",
         "test_entry_crashing_requests.EndsAllKindsTest",
     ),
     Proof(
         "it is judged again between reading and answering",
         "request/relay.py",
-        "            # A replica may have ended under another try of it meanwhile.\n"
-        "            self._check_may_go()\n",
+        "            # Another attempt of this request may have crashed a replica"
+        " meanwhile.\n"
+        "            self._check_allowed()\n",
         "",
         f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
     ),
@@ -780,7 +783,7 @@
     Proof(
         "a replica that takes a new connection has not ended",
         "request/crash_watch.py",
-        "        if lives:\n            self._quarantine.lives(instance, now)\n",
+        "        if is_alive:\n            self._quarantine.lives(instance, now)\n",
         "",
         "test_entry_crashing_requests.InnocentTest."
         "test_a_caller_whose_connections_are_reset_is_served",
@@ -788,7 +791,7 @@
     Proof(
         "what breaks with a replica that leaves is not suspect",
         "request/routed_crash_watch.py",
-        "self.fingerprint is None or self._parts.replicas.is_leaving(replica)",
+        "self.fingerprint is None or self._deps.replicas.is_leaving(replica)",
         "self.fingerprint is None",
         "test_entry_crashing_requests.InnocentTest."
         "test_what_breaks_with_a_replica_that_leaves_is_not_suspect",
@@ -819,15 +822,15 @@
     Proof(
         "a call under which targets ended is held back",
         "request/completion.py",
-        "            if not self._may_go_out():\n                return None\n",
+        "            if not self._is_allowed():\n                return None\n",
         "",
         "test_crashing_calls.CrashingCompletionTest",
     ),
     Proof(
         "a confirmation under which replicas ended is held back",
         "request/service_call.py",
-        "        if held is not None:\n"
-        "            return await self.refuse(call, held)\n",
+        "        if refusal is not None:\n"
+        "            return await self.refuse(call, refusal)\n",
         "",
         "test_crashing_calls.CrashingPlainCallTest."
         "test_a_confirmation_under_a_new_key_each_time",
