--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -1,80 +1,80 @@
 """The application: wires all parts of an entry host, and its life-cycle hooks."""
 
-import logging
-import random
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.http_server import HttpServer, ServerLimits
-from berylshift.ids import DomainName, HostName
+from berylshift.connection.http_server import HttpServer
+from berylshift.connection.http_server import ServerLimits
+from berylshift.ids import DomainName
+from berylshift.ids import HostName
 from berylshift.metrics import Metrics
 from berylshift.process.control.mix_meter import MixMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.control.pool_loop import ORDER_SECONDS, PoolLoop, PoolParts
+from berylshift.process.control.pool_loop import ORDER_SECONDS
+from berylshift.process.control.pool_loop import PoolLoop
+from berylshift.process.control.pool_loop import PoolParts
 from berylshift.process.knowledge.cost import CostModel
 from berylshift.process.knowledge.health import Health
 from berylshift.process.knowledge.lengths import OutputLengths
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.knowledge.prefixes import PrefixIndex
-from berylshift.process.knowledge.report_poller import PollerParts, ReportPoller
+from berylshift.process.knowledge.report_poller import PollerParts
+from berylshift.process.knowledge.report_poller import ReportPoller
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import StoreBudget
 from berylshift.process.membership.host_list_loop import HostListLoop
-from berylshift.process.membership.members import Membership, make_incarnation
-from berylshift.process.membership.peer_loop import PeerLink, PeerLoop, PeerParts
-from berylshift.process.membership.readiness import Phase, Readiness
+from berylshift.process.membership.members import Membership
+from berylshift.process.membership.members import make_incarnation
+from berylshift.process.membership.peer_loop import PeerLink
+from berylshift.process.membership.peer_loop import PeerLoop
+from berylshift.process.membership.peer_loop import PeerParts
+from berylshift.process.membership.readiness import Phase
+from berylshift.process.membership.readiness import Readiness
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.records.pending_loop import PendingLoop
 from berylshift.process.records.pending_records import PendingRecords
 from berylshift.process.records.sweep_loop import SweepLoop
 from berylshift.process.shutdown import Shutdown
-from berylshift.process.table.follower import (
-    FollowerParts,
-    PeerTables,
-    PeerView,
-    TableFollower,
-    TableHolder,
-)
-from berylshift.request.call_watching import CallWatching
+from berylshift.process.table.follower import FollowerParts
+from berylshift.process.table.follower import PeerTables
+from berylshift.process.table.follower import PeerView
+from berylshift.process.table.follower import TableFollower
+from berylshift.process.table.follower import TableHolder
+from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
-from berylshift.request.engine_attempt import CompletionParts
+from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.fingerprint import RequestFingerprinter
-from berylshift.request.front import Front, FrontParts
-from berylshift.request.plain_send import PlainSend
-from berylshift.request.router import (
-    LeastLateness,
-    ReplicaChooser,
-    Router,
-    RoutingContext,
-)
-from berylshift.request.router_baselines import LeastReported, RoundRobin
-from berylshift.request.service_call import (
-    RECORD_SECONDS,
-    ServiceCalls,
-    ServiceParts,
-)
-from berylshift.settings import (
-    CallerSettings,
-    Credential,
-    PolicySettings,
-    Settings,
-)
+from berylshift.request.native_handler import NativeHandler
+from berylshift.request.native_handler import NativeHandlerDependencies
+from berylshift.request.router import LeastLateness
+from berylshift.request.router import ReplicaChooser
+from berylshift.request.router import Router
+from berylshift.request.router import RoutingContext
+from berylshift.request.router_baselines import LeastReported
+from berylshift.request.router_baselines import RoundRobin
+from berylshift.request.service_call import RECORD_TIMEOUT_SECONDS
+from berylshift.request.service_call import ServiceCalls
+from berylshift.request.service_call import ServiceDependencies
+from berylshift.request.service_sender import ServiceSender
+from berylshift.settings import CallerSettings
+from berylshift.settings import Credential
+from berylshift.settings import PolicySettings
+from berylshift.settings import Settings
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import (
-    HostEntry,
-    HostList,
-    HostState,
-    ObjectStore,
-    TableService,
-    WeightStore,
-)
-from berylshift.targets import EngineClient, ServiceClient
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import HostList
+from berylshift.store.interfaces import HostState
+from berylshift.store.interfaces import ObjectStore
+from berylshift.store.interfaces import TableService
+from berylshift.store.interfaces import WeightStore
+from berylshift.targets import EngineClient
+from berylshift.targets import ServiceClient
 from berylshift.version.changelog import TableLog
 from berylshift.version.freshness import Freshness
 from berylshift.version.table import Table
+from dataclasses import dataclass
+import logging
+import random
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -166,14 +166,14 @@
         self.quarantine = Quarantine(
             cfg.targets.report_interval, TOLD_TIMES * cfg.peers.interval
         )
-        self.watching = CallWatching(
+        self.crash_watches = CrashWatchFactory(
             self.quarantine, RequestFingerprinter(), self.load, clock
         )
         self.shutdown = Shutdown(clock)
         self.last_sends = Shutdown(clock)
         self.gate = self._make_gate()
-        self.front = self._make_front(callers)
-        self.server = HttpServer(self.front.handle, _limits(cfg.callers))
+        self.handler = self._make_handler(callers)
+        self.server = HttpServer(self.handler.handle, _limits(cfg.callers))
         self._make_loops(addresses)
 
     def _make_gate(self) -> TableGate:
@@ -187,14 +187,14 @@
             cfg.batch_rows,
         )
 
-    def _make_front(self, callers: dict[str, Credential]) -> Front:
+    def _make_handler(self, callers: dict[str, Credential]) -> NativeHandler:
         cfg, ports = self.cfg, self.ports
         retries = RetryBudget(cfg.policy.retry_share, cfg.policy.retry_floor)
         router = make_router(cfg.policy, self.know)
-        completions = CompletionParts(
+        completions = CompletionDependencies(
             clock=ports.clock,
             client=ports.engines,
-            know=self.know,
+            context=self.know,
             router=router,
             retries=retries,
             lengths=OutputLengths(),
@@ -203,22 +203,22 @@
             table=self.holder.get,
             may_route=self.readiness.may_route,
             cfg=cfg.targets,
-            longest=cfg.callers.longest_request,
+            max_duration_seconds=cfg.callers.longest_request,
             shutdown=self.shutdown,
-            watching=self.watching,
+            crash_watches=self.crash_watches,
         )
-        sender = PlainSend(
+        sender = ServiceSender(
             clock=ports.clock,
             client=ports.services,
-            know=self.know,
+            context=self.know,
             chooser=ReplicaChooser(self.know),
             decisions=self.decisions,
             table=self.holder.get,
             may_route=self.readiness.may_route,
-            timeout=cfg.targets.service_timeout,
-            watching=self.watching,
+            timeout_seconds=cfg.targets.service_timeout,
+            crash_watches=self.crash_watches,
         )
-        services = ServiceParts(
+        services = ServiceDependencies(
             clock=ports.clock,
             sender=sender,
             retries=retries,
@@ -229,7 +229,7 @@
             last_sends=self.last_sends,
         )
         self.services = ServiceCalls(services)
-        parts = FrontParts(
+        deps = NativeHandlerDependencies(
             clock=ports.clock,
             cfg=cfg.callers,
             callers=callers,
@@ -242,7 +242,7 @@
             ready=self.readiness.is_ready,
             rng=ports.rng,
         )
-        return Front(parts)
+        return NativeHandler(deps)
 
     def _make_loops(self, addresses: Addresses) -> None:
         cfg, ports = self.cfg, self.ports
@@ -327,7 +327,7 @@
             metrics.gauge("table_version", self.holder.table.version)
             age = min(LONGEST_AGE, self.fresh.store_age(clock.monotonic()))
             metrics.gauge("store_age_seconds", age)
-            metrics.gauge("in_flight", self.front.in_flight)
+            metrics.gauge("in_flight", self.handler.in_flight)
             metrics.gauge("pending_records", len(self.pending))
             metrics.gauge("quarantined", len(self.quarantine))
             await trio.sleep(GAUGE_SECONDS)
@@ -374,7 +374,7 @@
         self.readiness.phase = Phase.LEAVING
         self.peer_loop.leaving = True
         self.host_loop.entry = _leaving(self.host_loop.entry)
-        logger.info("leaving", extra={"in_flight": self.front.in_flight})
+        logger.info("leaving", extra={"in_flight": self.handler.in_flight})
         await trio.sleep(cfg.balancer_notice)
         self.readiness.phase = Phase.CLOSED
         self.server.close_idle()
@@ -391,7 +391,7 @@
         one goes out as long before as that may take.
         """
         self.shutdown.begin(seconds)
-        sent_and_recorded = self.cfg.targets.service_timeout + RECORD_SECONDS
+        sent_and_recorded = self.cfg.targets.service_timeout + RECORD_TIMEOUT_SECONDS
         self.last_sends.begin(seconds - sent_and_recorded)
 
     async def _release_leases(self) -> None:
@@ -407,7 +407,7 @@
         await self._wait_until_answered()
 
     async def _wait_until_answered(self) -> None:
-        while self.front.in_flight:
+        while self.handler.in_flight:
             await trio.sleep(EMPTY_CHECK_SECONDS)
         await self.server.wait_until_quiet(0)
         # The last, since nothing may wait between its last look and the end.
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -1,24 +1,24 @@
 """The entry application: wires a host that serves the platform's routes."""
 
-import logging
-import random
-from collections.abc import Callable
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
 from berylshift.connection.entry_status import EntryStatus
-from berylshift.connection.http_server import HttpServer, ServerLimits
+from berylshift.connection.http_server import HttpServer
+from berylshift.connection.http_server import ServerLimits
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_duties import DutyParts, EntryDuties
+from berylshift.entry_duties import DutyParts
+from berylshift.entry_duties import EntryDuties
 from berylshift.entry_gauges import report_gauges
-from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
+from berylshift.ids import DomainName
+from berylshift.ids import HostName
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
 from berylshift.messages.routed import WireCodec
-from berylshift.messages.scaling import ScaleOrdering, ScaleRows
-from berylshift.messages.usage import UsageReporting, UsageRows
+from berylshift.messages.scaling import ScaleOrdering
+from berylshift.messages.scaling import ScaleRows
+from berylshift.messages.usage import UsageReporting
+from berylshift.messages.usage import UsageRows
 from berylshift.process.directory.directory_loop import DirectoryLoop
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
@@ -27,27 +27,32 @@
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.duties.phase_loop import PhaseLoop
 from berylshift.process.duties.phase_planner import PhasePlanner
-from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
+from berylshift.process.limits.arrival_budget import ArrivalBudget
+from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.limit_shares import LimitShare, LimitShares
+from berylshift.process.targets.limit_shares import LimitShare
+from berylshift.process.targets.limit_shares import LimitShares
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.recent_times import RecentTimes
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.load_loop import LoadLink, LoadLoop, LoadParts
+from berylshift.process.telling.load_loop import LoadLink
+from berylshift.process.telling.load_loop import LoadLoop
+from berylshift.process.telling.load_loop import LoadParts
 from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.key_gate import KeyGate
-from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES
+from berylshift.request.placement_policies import PlacementContext
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
-from berylshift.request.relay_parts import RelayParts
-from berylshift.request.routed_front import RoutedFront
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.routed_handler import RoutedHandler
 from berylshift.request.target_gate import ReplicaGate
 from berylshift.settings import Settings
 from berylshift.store.crash_rows import CrashRows
@@ -55,7 +60,14 @@
 from berylshift.store.host_rows import HostRows
 from berylshift.store.lease_rows import LeaseRows
 from berylshift.telemetry import Telemetry
-from berylshift.version.routes import EngineFacts, RouteTable, Service
+from berylshift.version.routes import EngineFacts
+from berylshift.version.routes import RouteTable
+from berylshift.version.routes import Service
+from collections.abc import Callable
+from dataclasses import dataclass
+import logging
+import random
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -148,33 +160,35 @@
             self.quarantine, ports.crashes, self.watch.clock, ports.clock
         )
         self.watch.eras.tell(self.quarantine.ledger.write_again)
-        parts = RelayParts(
+        deps = RelayDependencies(
             clock=ports.clock,
-            language=ports.language,
+            codec=ports.language,
             client=ports.client,
             replicas=self.replicas,
             loads=self.loads,
             speeds=self.speeds,
             placer=placer,
-            reads=reads,
+            prefill_client=reads,
             shutdown=self.shutdown,
-            budget=self.budget,
-            readings=PrefillScheduler(placer, self.speeds, self._hosts_that_share),
-            times=self.times,
+            retry_budget_for=self.budget,
+            prefill_scheduler=PrefillScheduler(
+                placer, self.speeds, self._hosts_that_share
+            ),
+            recent_durations=self.times,
             quarantine=self.quarantine,
             fingerprints=self.fingerprints,
             throttle=self.throttle,
-            run_began=self.duties.run_began,
+            on_run_started=self.duties.run_began,
         )
         key_gate = KeyGate(
             self.routes,
             cfg.directory.in_force_ms / 1000,
             cfg.entry.keys_expire_ms / 1000 or None,
         )
-        self.front = RoutedFront(
-            parts, self.routes, key_gate, ports.rng, self.telemetry.request_ended
+        self.handler = RoutedHandler(
+            deps, self.routes, key_gate, ports.rng, self.telemetry.request_ended
         )
-        self.server = HttpServer(self.front.handle, hands_on_bodies=True)
+        self.server = HttpServer(self.handler.handle, hands_on_bodies=True)
         status = EntryStatus(cfg.entry.ready_path, self.is_ready, self.telemetry.text)
         self.status_server = HttpServer(status.handle)
         self.follower = DirectoryLoop(
@@ -382,7 +396,7 @@
         Engines may then all change phase at once. A process that alone starts again
         has seen no caller either, but is told that the system is not starting.
         """
-        if not self.cfg.entry.first_start or self.front.handled:
+        if not self.cfg.entry.first_start or self.handler.handled:
             return False
         age = self.ports.clock.monotonic() - self._started
         return age < FIRST_START_SECONDS
@@ -423,7 +437,7 @@
         self.server.draining = True
         grace = self.cfg.entry.grace - STOP_MARGIN_SECONDS
         logger.info(
-            "leaving", extra={"in_flight": self.front.in_flight, "ends_in": grace}
+            "leaving", extra={"in_flight": self.handler.in_flight, "ends_in": grace}
         )
         requests_end = grace - LAST_ANSWER_SECONDS
         self.shutdown.begin(requests_end, BALANCER_NOTICE_SECONDS)
@@ -434,9 +448,9 @@
         with trio.move_on_after(LAST_ANSWER_SECONDS) as scope:
             await self.server.finish()
         if scope.cancelled_caught:
-            logger.error("stopped", extra={"in_flight": self.front.in_flight})
+            logger.error("stopped", extra={"in_flight": self.handler.in_flight})
 
     def on_stop(self) -> None:
         """Note that the process ends."""
         self.ports.client.close()
-        logger.info("stopped", extra={"in_flight": self.front.in_flight})
+        logger.info("stopped", extra={"in_flight": self.handler.in_flight})
--- a/berylshift/request/call_watching.py
+++ b/berylshift/request/crash_watch_factory.py
@@ -1,27 +1,28 @@
-"""Crash watches for calls of the own interface."""
-
-from dataclasses import dataclass
+"""Creates crash watches for calls of the native API."""
 
 from berylshift.clock import Clock
-from berylshift.ids import InstanceId, TargetName
+from berylshift.ids import InstanceId
+from berylshift.ids import TargetName
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.request.crash_watch import CrashWatch
 from berylshift.request.fingerprint import RequestFingerprinter
-from berylshift.request.messages import ModelCall, PlainCall
+from berylshift.request.messages import ModelCall
+from berylshift.request.messages import PlainCall
+from dataclasses import dataclass
 
 
 @dataclass
-class CallWatching:
-    """Makes the watches; wired once for the process."""
+class CrashWatchFactory:
+    """Creates the watches; wired once per process."""
 
     quarantine: Quarantine
     fingerprints: RequestFingerprinter
     load: LoadView
     clock: Clock
 
-    def of_completion(self, call: ModelCall) -> CrashWatch:
-        """Return the watch of a model call."""
+    def for_completion(self, call: ModelCall) -> CrashWatch:
+        """Return the watch for a model call."""
         caller = call.caller
         fields = (caller.fleet, caller.customer, call.model, str(call.max_tokens))
         watch = CrashWatch(self.quarantine, self.clock, call.request)
@@ -30,8 +31,12 @@
         )
         return watch
 
-    def of_plain(self, call: PlainCall) -> CrashWatch:
-        """Return the watch of a plain call; its key may differ in each try."""
+    def for_service_call(self, call: PlainCall) -> CrashWatch:
+        """Return the watch for a service call.
+
+        The idempotency key is not part of the fingerprint, since it may differ in each
+        retry by the caller.
+        """
         caller = call.caller
         fields = (
             caller.fleet,
@@ -44,7 +49,10 @@
         watch.fingerprint = self.fingerprints.fingerprint_call(fields, call.body)
         return watch
 
-    def instance(self, target: TargetName) -> InstanceId:
-        """Return what stands for one start of a target, as far as its reports tell."""
+    def instance_id(self, target: TargetName) -> InstanceId:
+        """Return the id of a target's running instance.
+
+        It contains the incarnation if the target has reported one.
+        """
         incarnation = self.load.incarnation(target)
         return InstanceId(f"{target}@{incarnation}" if incarnation else target)
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -1,29 +1,23 @@
 """Disaggregated prefill: one engine prefills a prompt, another one decodes it."""
 
-import logging
-from collections.abc import Callable
-
-import msgspec
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.errors import (
-    ConnectFailedError,
-    ConnectionLayerError,
-    ThrottledError,
-)
-from berylshift.connection.target_client import (
-    TargetAnswer,
-    TargetClient,
-    TargetRequest,
-)
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.errors import ThrottledError
+from berylshift.connection.target_client import TargetAnswer
+from berylshift.connection.target_client import TargetClient
+from berylshift.connection.target_client import TargetRequest
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import WireCodec
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
-from berylshift.request.retry_rule import SendEnd
+from berylshift.request.retry_policy import AttemptOutcome
+from collections.abc import Callable
+import logging
+import msgspec
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -49,7 +43,7 @@
 class PrefillResult(msgspec.Struct, frozen=True):
     """How a prefill ended; ``source`` is set if it succeeded."""
 
-    end: SendEnd
+    end: AttemptOutcome
     source: KvSource | None = None
 
 
@@ -92,13 +86,13 @@
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as answer:
                     return await self._parse_response(request, place.target, answer)
-            return PrefillResult(SendEnd.SILENT)
+            return PrefillResult(AttemptOutcome.SILENT)
         except ThrottledError:
-            return PrefillResult(SendEnd.THROTTLED)
+            return PrefillResult(AttemptOutcome.THROTTLED)
         except ConnectFailedError:
-            return PrefillResult(SendEnd.NOT_REACHED)
+            return PrefillResult(AttemptOutcome.NOT_REACHED)
         except ConnectionLayerError:
-            return PrefillResult(SendEnd.BROKEN)
+            return PrefillResult(AttemptOutcome.BROKEN)
         finally:
             self._loads.read(instance, place.tokens, urgency)
             self._loads.ended(instance)
@@ -110,7 +104,7 @@
         if head.request is not None and head.request != request:
             # A late response to an earlier request on a reused connection.
             answer.usable = False
-            return PrefillResult(SendEnd.BROKEN)
+            return PrefillResult(AttemptOutcome.BROKEN)
         if head.keep_seconds is not None:
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
@@ -118,11 +112,13 @@
             self._loads.heard(engine.instance, head.load, now)
         body = await answer.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
-            return PrefillResult(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
+            return PrefillResult(
+                AttemptOutcome.NOT_RUN if head.not_run else AttemptOutcome.FAILED
+            )
         handle = self._codec.parse_kv_handle(body)
         if handle is None:
-            return PrefillResult(SendEnd.SPOILED)
-        return PrefillResult(SendEnd.DONE, KvSource(engine, handle.handle))
+            return PrefillResult(AttemptOutcome.INVALID)
+        return PrefillResult(AttemptOutcome.DONE, KvSource(engine, handle.handle))
 
     def release(self, source: KvSource) -> None:
         """Release an unused KV cache, which would hold memory until it expires."""
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_dependencies.py
@@ -1,11 +1,9 @@
-"""What relays work with; wired once for the process."""
-
-from collections.abc import Callable
-from dataclasses import dataclass
+"""Dependencies of a relay, wired once per process."""
 
 from berylshift.clock import Clock
 from berylshift.connection.target_client import TargetClient
-from berylshift.ids import CustomerName, ServiceName
+from berylshift.ids import CustomerName
+from berylshift.ids import ServiceName
 from berylshift.messages.routed import WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.limits.arrival_budget import ArrivalBudget
@@ -19,26 +17,30 @@
 from berylshift.request.placement import PlacementPolicy
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
+from collections.abc import Callable
+from dataclasses import dataclass
 
 
 @dataclass
-class RelayParts:
-    """The parts; ``budget`` gives a service's share of further sends."""
+class RelayDependencies:
+    """Dependencies; ``retry_budget_for`` returns the retry budget of a service."""
 
     clock: Clock
-    language: WireCodec
+    codec: WireCodec
     client: TargetClient
     replicas: ReplicaSet
     loads: TargetLoads
     speeds: EngineSpeeds
     placer: PlacementPolicy
-    reads: PrefillClient
+    prefill_client: PrefillClient
     shutdown: Shutdown
-    budget: Callable[[ServiceName], ArrivalBudget]
-    readings: PrefillScheduler
-    times: RecentTimes
+    retry_budget_for: Callable[[ServiceName], ArrivalBudget]
+    prefill_scheduler: PrefillScheduler
+    recent_durations: RecentTimes
     quarantine: Quarantine
     fingerprints: RequestFingerprinter
     throttle: Throttle
-    # Told the customer of a request that began to run, and how many seconds ago.
-    run_began: Callable[[CustomerName | None, float], None] = lambda customer, ago: None
+    # Called with the customer of a request that started to run and the seconds since.
+    on_run_started: Callable[[CustomerName | None, float], None] = (
+        lambda customer, ago: None
+    )
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -1,13 +1,14 @@
 """The replicas that one request may still be sent to."""
 
-from berylshift.ids import InstanceId, ServiceName
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.request.placement import Placement
-from berylshift.request.relay_parts import RelayParts
-from berylshift.request.relay_result import NoRoomError
-from berylshift.request.routed_watch import RoutedWatch
+from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.relay_result import AllThrottledError
+from berylshift.request.routed_crash_watch import RoutedCrashWatch
 
 
 class ReplicaSelector:
@@ -17,7 +18,9 @@
     throttled, and those that the request's crash watch excludes.
     """
 
-    def __init__(self, parts: RelayParts, service: ServiceName, watch: RoutedWatch):
+    def __init__(
+        self, parts: RelayDependencies, service: ServiceName, watch: RoutedCrashWatch
+    ):
         """Choose for a request to ``service`` that ``watch`` tracks for crashes."""
         self._parts = parts
         self._service = service
@@ -68,7 +71,7 @@
         return instance == reserved
 
     def check_not_throttled(self) -> None:
-        """Raise ``NoRoomError`` if all decode engines that are left are throttled."""
+        """Raise ``AllThrottledError`` if all decode engines that are left are throttled."""
         throttle, now = self._parts.throttle, self._now()
         closed = set(throttle.closed(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().answerers]
@@ -76,7 +79,7 @@
             throttle.retry_after(name, now) for name in answerers if name in closed
         ]
         if waits:
-            raise NoRoomError(min(waits))
+            raise AllThrottledError(min(waits))
 
     def _now(self) -> float:
         return self._parts.clock.monotonic()
--- /dev/null
+++ b/berylshift/request/retry_loop.py
@@ -0,0 +1,77 @@
+"""Retry loop shared by routed requests, completions and service calls."""
+
+from enum import StrEnum
+from typing import Protocol
+
+from berylshift.clock import Clock
+from berylshift.request.retry_policy import (
+    NEVER_SENT,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    RetryBounds,
+    may_retry,
+)
+
+
+class StopReason(StrEnum):
+    """Why the loop stopped."""
+
+    DONE = "done"
+    NO_PLACEMENT = "no place"
+    NOT_RETRYABLE = "no more sends allowed"
+    DEADLINE_PASSED = "out of time"
+    RETRY_BUDGET_SPENT = "no budget"
+
+
+class Sender(Protocol):
+    """Chooses a target for one request and makes attempts at it."""
+
+    async def send(self) -> AttemptRecord | None:
+        """Make one attempt and return its record; ``None`` if no target was found."""
+
+    def is_past_deadline(self) -> bool:
+        """Return whether it is too late for another attempt."""
+
+    def ignores_retry_budget(self) -> bool:
+        """Return whether the request is retried even if the retry budget is spent."""
+
+
+class Budget(Protocol):
+    """Retry budget shared by all requests."""
+
+    def first(self, now: float) -> None:
+        """Record a request's first attempt."""
+
+    def take(self, now: float) -> bool:
+        """Spend budget for one retry; return ``False`` if none is left."""
+
+
+async def run_attempts(
+    sender: Sender,
+    bounds: RetryBounds,
+    history: AttemptHistory,
+    budget: Budget,
+    clock: Clock,
+) -> StopReason:
+    """Make attempts until one succeeds or no retry is allowed; add each to ``history``.
+
+    An attempt that never reached a target costs no retry budget, since it caused no
+    load.
+    """
+    budget.first(clock.monotonic())
+    while True:
+        sent = await sender.send()
+        if sent is None:
+            return StopReason.NO_PLACEMENT
+        history.add(sent)
+        if sent.outcome is AttemptOutcome.DONE:
+            return StopReason.DONE
+        if not may_retry(bounds, history):
+            return StopReason.NOT_RETRYABLE
+        if sender.is_past_deadline():
+            return StopReason.DEADLINE_PASSED
+        if sent.outcome in NEVER_SENT:
+            continue
+        if not budget.take(clock.monotonic()) and not sender.ignores_retry_budget():
+            return StopReason.RETRY_BUDGET_SPENT
--- /dev/null
+++ b/berylshift/request/routed_crash_watch.py
@@ -0,0 +1,107 @@
+"""Attributes replica crashes to a routed request."""
+
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.messages.replicas import Replica
+from berylshift.messages.routed import RoutedRequest
+from berylshift.process.directory.pools import Pool
+from berylshift.request.crash_watch import CrashWatch
+from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
+from berylshift.request.crash_watch import QuarantinedError
+from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES
+from berylshift.request.isolation import is_last_remaining
+from berylshift.request.isolation import isolation_replicas
+from berylshift.request.isolation import remaining_replicas
+from berylshift.request.relay_dependencies import RelayDependencies
+from collections.abc import Iterable
+
+# Retry-After of a suspect request for which only the last replica is left. Crashed
+# replicas have restarted by then.
+LAST_REPLICA_RETRY_SECONDS = 2.0
+
+
+class RoutedCrashWatch:
+    """Reports what a relay observes to the request's crash watch."""
+
+    def __init__(self, deps: RelayDependencies, req: RoutedRequest):
+        """Watch ``req``."""
+        self._deps = deps
+        self._req = req
+        self._watch = CrashWatch(deps.quarantine, deps.clock, req.id)
+
+    @property
+    def fingerprint(self) -> Fingerprint | None:
+        """Return the fingerprint, which is the same in each retry by the caller.
+
+        ``None``: too little of the body has arrived.
+        """
+        if self._watch.fingerprint is None:
+            self._watch.fingerprint = self._deps.fingerprints.of(self._req)
+        return self._watch.fingerprint
+
+    async def wait_for_fingerprint(self) -> None:
+        """Wait for enough of the body if its start matches a quarantined request."""
+        quarantine = self._deps.quarantine
+        if self.fingerprint is not None or not len(quarantine):
+            return
+        if quarantine.may_hold(self._deps.fingerprints.head_hash(self._req)):
+            await self._req.body.wait_for_start(MAX_HASHED_BODY_BYTES)
+
+    def check(self) -> None:
+        """Raise ``QuarantinedError`` if the request is quarantined."""
+        if self.fingerprint is not None:
+            self._watch.check()
+
+    def avoided(
+        self, pool: Pool, tried: Iterable[InstanceId], has_started: bool
+    ) -> list[InstanceId]:
+        """Return the replicas that the request must not be sent to.
+
+        Crashed replicas are excluded at once, long before their entries expire. A
+        suspect request is isolated on a few of the others. If only the last replica is
+        left and the response has not started, raise ``QuarantinedError``.
+        """
+        quarantine = self._deps.quarantine
+        if not quarantine.has_suspects:
+            return list(tried)
+        now = self._deps.clock.monotonic()
+        listed = [rep.instance for rep in pool.replicas]
+        ended = [name for name in listed if quarantine.has_ended(name, now)]
+        found = [*tried, *ended]
+        crashes = 0
+        if self.fingerprint is not None:
+            crashes = quarantine.crashes(self.fingerprint)
+        if not crashes:
+            return found
+        left = remaining_replicas(pool.answerers, found)
+        if is_last_remaining(left, pool.answerers) and not has_started:
+            raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
+        aside = isolation_replicas(left)
+        return found + [rep.instance for rep in left if rep not in aside]
+
+    async def on_connection_lost(self, replica: Replica) -> None:
+        """Record that the connection to a replica broke while it had the request.
+
+        A draining replica stops on purpose, so it is not recorded as a crash.
+        """
+        if self.fingerprint is None or self._deps.replicas.is_leaving(replica):
+            return
+        client, instance = self._deps.client, replica.instance
+        await self._watch.on_connection_lost(
+            instance,
+            lambda: client.accepts_connections(
+                instance, replica.address, PROBE_TIMEOUT_SECONDS
+            ),
+        )
+
+    def on_response(self, replica: Replica, sent_at: float) -> None:
+        """Record that a replica responded to an attempt sent at ``sent_at``."""
+        replicas = self._deps.replicas
+        is_listed = not replicas.is_leaving(replica)
+        listed_at = replicas.confirmed_at if is_listed else None
+        self._watch.on_response(replica.instance, sent_at, listed_at)
+
+    def on_completed(self) -> None:
+        """Record that the request ran to completion."""
+        if self.fingerprint is not None:
+            self._watch.on_completed()
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -1,10 +1,11 @@
 """Checks whether a target accepts connections."""
 
+from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
+from berylshift.targets import EngineClient
+from berylshift.targets import ServiceClient
+from berylshift.targets import TargetNotReachedError
 import trio
 
-from berylshift.request.crash_watch import CONNECT_SECONDS
-from berylshift.targets import EngineClient, ServiceClient, TargetNotReachedError
-
 
 async def accepts_connections(
     client: EngineClient | ServiceClient, address: str
@@ -13,7 +14,7 @@
 
     A busy process does, however slowly it responds; one that has exited does not.
     """
-    with trio.move_on_after(CONNECT_SECONDS):
+    with trio.move_on_after(PROBE_TIMEOUT_SECONDS):
         try:
             await client.connect(address)
         except TargetNotReachedError:
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -1,20 +1,21 @@
 """Where requests go on that ran on a replica as it ended."""
 
-import unittest
-
-import trio
-
-from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
+from berylshift.ids import DomainName
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS, Quarantine
-from berylshift.request.isolation import (
-    REPLICAS_PER_ISOLATION_REPLICA,
-    is_last_remaining,
-    isolation_replicas,
-    remaining_replicas,
-)
-from berylshift.request.routed_watch import LAST_SECONDS
-from berylshift.tests.entry_world import prompt_headers, run_entry
+from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS
+from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.request.isolation import REPLICAS_PER_ISOLATION_REPLICA
+from berylshift.request.isolation import is_last_remaining
+from berylshift.request.isolation import isolation_replicas
+from berylshift.request.isolation import remaining_replicas
+from berylshift.request.routed_crash_watch import LAST_REPLICA_RETRY_SECONDS
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 HEARTBEAT_SECONDS = 1.2
 
@@ -153,7 +154,7 @@
         more, reply = run_entry(task, engines="dd")
         self.assertEqual(more, 0)
         if reply.status == 503:
-            self.assertGreaterEqual(reply.again, LAST_SECONDS)
+            self.assertGreaterEqual(reply.again, LAST_REPLICA_RETRY_SECONDS)
 
 
 if __name__ == "__main__":
--- /dev/null
+++ b/berylshift/tests/test_request_retry_policy.py
@@ -0,0 +1,62 @@
+"""When a request may go out once more."""
+
+import unittest
+
+from berylshift.request.retry_policy import (
+    MAX_ATTEMPTS,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    may_retry,
+    retry_bounds,
+)
+from berylshift.tests.entry_world import route
+from berylshift.version.routes import RouteKind
+
+ONCE = retry_bounds(route("book", RouteKind.AT_MOST_ONCE, most_attempts=3))
+AGAIN = retry_bounds(route("look", RouteKind.IDEMPOTENT, most_attempts=2))
+
+
+def after(*ends: AttemptOutcome) -> AttemptHistory:
+    """Return a history of ended sends."""
+    history = AttemptHistory()
+    for end in ends:
+        history.add(AttemptRecord("replica", end))
+    return history
+
+
+class RetryRuleTest(unittest.TestCase):
+    """The rule alone."""
+
+    def test_what_may_have_run_is_not_sent_again(self):
+        not_run = (
+            AttemptOutcome.NOT_REACHED,
+            AttemptOutcome.NOT_RUN,
+            AttemptOutcome.THROTTLED,
+        )
+        for end in AttemptOutcome:
+            with self.subTest(end=end):
+                allowed = end in not_run
+                self.assertEqual(may_retry(ONCE, after(end)), allowed)
+
+    def test_repeatable_requests_run_on_so_many_replicas_at_most(self):
+        self.assertTrue(may_retry(AGAIN, after(AttemptOutcome.BROKEN)))
+        self.assertFalse(
+            may_retry(AGAIN, after(AttemptOutcome.BROKEN, AttemptOutcome.SILENT))
+        )
+
+    def test_refusals_are_not_runs(self):
+        history = after(
+            AttemptOutcome.NOT_RUN, AttemptOutcome.NOT_RUN, AttemptOutcome.BROKEN
+        )
+        self.assertTrue(may_retry(AGAIN, history))
+
+    def test_sends_are_bounded(self):
+        history = after(*[AttemptOutcome.NOT_RUN] * MAX_ATTEMPTS)
+        self.assertFalse(may_retry(ONCE, history))
+
+    def test_an_open_send_may_have_run(self):
+        history = after(AttemptOutcome.NOT_RUN)
+        self.assertFalse(history.may_have_run)
+        history.has_open_attempt = True
+        self.assertTrue(history.may_have_run)
