--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -27,6 +27,9 @@
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.duties.phase_loop import PhaseLoop
 from berylshift.process.duties.phase_planner import PhasePlanner
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.load_loop import LoadLink, LoadLoop, LoadParts
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
@@ -34,13 +37,10 @@
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.limit_shares import LimitShare, LimitShares
 from berylshift.process.targets.rate_limits import RateLimits
-from berylshift.process.targets.recent_times import RecentTimes
+from berylshift.process.targets.recent_durations import RecentTimes
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.load_loop import LoadLink, LoadLoop, LoadParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.key_gate import KeyGate
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -5,12 +5,12 @@
 from berylshift.ids import DomainName
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.model.event_queue import EventQueue
+from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, TELL_SECONDS
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.process.telling.telling import REPEAT_SECONDS, TELL_SECONDS
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.request.reading_choice import ReadingChooser
 from berylshift.version.routes import EngineFacts
--- a/berylshift/process/telling/collecting.py
+++ b/berylshift/process/gossip/collector.py
@@ -1,10 +1,10 @@
 """What a collector tells: its domain's sums, and the sum of all hosts."""
 
 from berylshift.messages.load_digest import LoadDigest, Scope
-from berylshift.process.telling.digest_maker import DigestMaker, DigestParts
-from berylshift.process.telling.election import Election
-from berylshift.process.telling.forwarded_reads import ForwardedReads
-from berylshift.process.telling.host_list import HostList
+from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.process.gossip.election import Election
+from berylshift.process.gossip.forwarded_reads import ForwardedReads
+from berylshift.process.gossip.host_list import HostList
 
 # Collectors a domain: a second one would double what is told, for one second's gap in
 # the sums when the first one is lost.
--- a/berylshift/process/telling/digest_maker.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -6,11 +6,11 @@
 from berylshift.messages.usage import RunCount
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.process.usage.usage_book import UsageBook
 
 
--- a/berylshift/process/telling/host_list.py
+++ b/berylshift/process/gossip/host_list.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from berylshift.process.telling.election import rank
+from berylshift.process.gossip.election import rank
 from berylshift.store.host_rows import HostRecord
 
 
--- a/berylshift/process/telling/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -11,10 +11,10 @@
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.process.directory.store_eras import StoreEras
-from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.host_list import HostList
-from berylshift.process.telling.peer_loads import MEMBER_SECONDS
-from berylshift.process.telling.telling import REPEAT_SECONDS, Role, Teller
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.host_list import HostList
+from berylshift.process.gossip.peer_loads import MEMBER_SECONDS
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, Role, Teller
 from berylshift.store.host_rows import HostRecord, HostRows
 from berylshift.store.interfaces import PlatformError
 
--- a/berylshift/process/telling/telling.py
+++ b/berylshift/process/gossip/protocol.py
@@ -11,10 +11,10 @@
 from enum import StrEnum
 
 from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreWord
-from berylshift.process.telling.collecting import COLLECTORS, Collecting
-from berylshift.process.telling.digest_maker import DigestMaker, DigestParts
-from berylshift.process.telling.election import Election, rank
-from berylshift.process.telling.host_list import HostList
+from berylshift.process.gossip.collector import COLLECTORS, Collecting
+from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.process.gossip.election import Election, rank
+from berylshift.process.gossip.host_list import HostList
 
 # Shorter than the time in which a usual prompt is read: a queue is seen as it grows.
 TELL_SECONDS = 0.08
--- a/berylshift/process/targets/throttle.py
+++ b/berylshift/process/targets/throttle.py
@@ -7,7 +7,7 @@
 from berylshift.messages.load_digest import LimitTold, target_hash
 from berylshift.messages.routed import FlowControl
 from berylshift.process.targets.backoffs import Backoffs
-from berylshift.process.targets.limit_news import LimitNews
+from berylshift.process.targets.limit_gossip import LimitNews
 from berylshift.process.targets.rate_limits import RateLimits
 
 logger = logging.getLogger(__name__)
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -18,10 +18,10 @@
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoad, TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 
 # Shared parts shorter than this are read in less time than a hop to their home saves.
 HOME_TOKENS = 1000
--- a/berylshift/request/placing_policies.py
+++ b/berylshift/request/placing_policies.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass
 
 from berylshift.ids import DomainName
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement import Placer, Placing
 from berylshift.request.placement_baselines import (
     LeastReportedPick,
--- a/berylshift/request/reading_choice.py
+++ b/berylshift/request/reading_choice.py
@@ -8,7 +8,7 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.reading_flow import ReadingFlow
+from berylshift.process.targets.prefill_send_rate import ReadingFlow
 from berylshift.request.placement import Placement, Placing
 from berylshift.request.standing import (
     Goal,
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -12,7 +12,7 @@
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.recent_times import RecentTimes
+from berylshift.process.targets.recent_durations import RecentTimes
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import Fingerprints
--- a/berylshift/tests/gathered_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -21,12 +21,12 @@
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.load_loop import LoadLoop, LoadParts
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.load_loop import LoadLoop, LoadParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.settings import DirectorySettings
 from berylshift.stand_ins.fake_directory import FakeDirectory, FakeHostRows
 from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
--- a/berylshift/tests/test_entry_backoff.py
+++ b/berylshift/tests/test_entry_backoff.py
@@ -4,7 +4,7 @@
 
 from berylshift.stand_ins.entry_replica import EntryReplica
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_play import LimitPlay
+from berylshift.tests.limit_load import LimitPlay
 
 EVEN = (1, 1, 1)
 RETRY_AFTER_SECONDS = 3.0
--- a/berylshift/tests/test_entry_leaving.py
+++ b/berylshift/tests/test_entry_leaving.py
@@ -4,7 +4,7 @@
 
 from berylshift.stand_ins.entry_replica import EntryReplica
 from berylshift.tests.entry_world import ENGINES, run_entry
-from berylshift.tests.limit_play import LimitPlay
+from berylshift.tests.limit_load import LimitPlay
 
 EVEN = (1, 1, 1)
 # The platform's bound on requests to a replica that has said that it leaves.
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -6,7 +6,7 @@
 
 from berylshift.messages.replicas import EnginePhase
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_play import LimitPlay, most_allowed, most_from_told
+from berylshift.tests.limit_load import LimitPlay, most_allowed, most_from_told
 
 UNEVEN = (8, 8, 4, 2, 2, 1, 1, 1, 1)
 
--- a/berylshift/tests/test_telling_gathering.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -6,7 +6,7 @@
 import trio
 
 from berylshift.messages.load_digest import Urgency
-from berylshift.tests.gathered_world import GatheredWorld, Path
+from berylshift.tests.multi_host_world import GatheredWorld, Path
 from berylshift.tests.support import run_virtual
 
 # The time in which a change must be in force, and bytes a second: so few that thirty
--- a/berylshift/tests/test_telling_election.py
+++ b/berylshift/tests/test_gossip_election.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from berylshift.process.telling.election import (
+from berylshift.process.gossip.election import (
     MOST_PLACES,
     PLACE_SECONDS,
     SILENT_SECONDS,
--- a/berylshift/tests/test_telling_telling.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -5,14 +5,14 @@
 from berylshift.messages.load_digest import LoadDigest, PartRead, Scope, Urgency
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.election import rank
+from berylshift.process.gossip.host_list import HostList
+from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.gossip.protocol import SUM_SECONDS, Role, Teller
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.election import rank
-from berylshift.process.telling.host_list import HostList
-from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.process.telling.telling import SUM_SECONDS, Role, Teller
 from berylshift.store.host_rows import HostRecord
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
--- a/berylshift/tests/test_layout.py
+++ b/berylshift/tests/test_layout.py
@@ -16,7 +16,7 @@
     "duties": {"directory"},
     "usage": {"duties", "directory"},
     "scaling": {"duties", "directory", "targets"},
-    "telling": {"directory", "quarantine", "targets", "usage"},
+    "gossip": {"directory", "quarantine", "targets", "usage"},
 }
 PREFIX = "berylshift.process."
 
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -6,6 +6,7 @@
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.process.gossip.protocol import TELL_SECONDS
 from berylshift.process.quarantine.crash_news import (
     AGAIN_SECONDS,
     MOST_CRASHES_TOLD,
@@ -19,7 +20,6 @@
     MOST_NOTED,
     Quarantine,
 )
-from berylshift.process.telling.telling import TELL_SECONDS
 
 BAD = joined(7, 1)
 HEARTBEAT = 1.2
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -7,8 +7,8 @@
 
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import joined
-from berylshift.tests.gathered_world import GatheredHost, GatheredWorld, Path
-from berylshift.tests.test_telling_gathering import SETTLED_SECONDS, run_world
+from berylshift.tests.multi_host_world import GatheredHost, GatheredWorld, Path
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
 
 BAD = joined(7, 1)
 # The platform counts a host as in touch after this time without trouble; it also has so
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -8,10 +8,10 @@
 from berylshift.messages.replicas import EnginePhase, Replica
 from berylshift.messages.routed import Prompt, PromptPart, ReportedLoad
 from berylshift.process.directory.pools import Pool
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE, EngineSpeeds
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement import (
     BEGUN_TOKENS,
     DIRECT_TOKENS,
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -6,10 +6,10 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.pools import Pool
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.settings import CHOICES
 from berylshift.tests.test_request_placement import DECODERS, ENGINES, READERS, prompt
--- a/berylshift/tests/test_request_reading_choice.py
+++ b/berylshift/tests/test_request_reading_choice.py
@@ -6,10 +6,10 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.directory.pools import Pool
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE, EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.peer_loads import PeerLoads
 from berylshift.request.placement import Placer
 from berylshift.request.reading_choice import ReadingAsk, ReadingChoice, ReadingChooser
 from berylshift.request.standing import LEAST_LATE_SHARE, Standing
--- a/berylshift/tests/test_request_standing.py
+++ b/berylshift/tests/test_request_standing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from berylshift.messages.load_digest import Urgency
-from berylshift.process.targets.reading_flow import FLOW_SECONDS, ReadingFlow
+from berylshift.process.targets.prefill_send_rate import FLOW_SECONDS, ReadingFlow
 from berylshift.request.standing import (
     LAST_RANK,
     LEAST_LATE_SHARE,
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -4,9 +4,9 @@
 
 import trio
 
-from berylshift.process.telling.telling import PROBE_SECONDS
-from berylshift.tests.gathered_world import GatheredWorld, Path
-from berylshift.tests.test_telling_gathering import BOUND_SECONDS, run_world
+from berylshift.process.gossip.protocol import PROBE_SECONDS
+from berylshift.tests.multi_host_world import GatheredWorld, Path
+from berylshift.tests.test_gossip_collectors import BOUND_SECONDS, run_world
 
 BYTE_BUDGET = 16_384
 HOSTS = 9
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -29,13 +29,13 @@
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
+from berylshift.process.gossip.collector import MOST_READS, READS_A_CRASH
+from berylshift.process.gossip.peer_loads import LIFE_SECONDS, PeerLoads
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
-from berylshift.process.targets.limit_news import MOST_TOLD as MOST_LIMITS
+from berylshift.process.targets.limit_gossip import MOST_TOLD as MOST_LIMITS
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
 from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
-from berylshift.process.telling.collecting import MOST_READS, READS_A_CRASH
-from berylshift.process.telling.peer_loads import LIFE_SECONDS, PeerLoads
 from berylshift.tests.entry_world import routes
 from berylshift.tests.support import EXPLORE
 
--- a/berylshift/tests/test_targets_limit_news.py
+++ b/berylshift/tests/test_targets_limit_gossip.py
@@ -7,15 +7,15 @@
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import LimitTold, target_hash
 from berylshift.messages.routed import FlowControl
-from berylshift.process.targets.limit_news import (
+from berylshift.process.targets.limit_gossip import (
     AGAIN_SECONDS,
     MOST_TOLD,
     TOLD_SECONDS,
     LimitNews,
 )
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.gathered_world import GatheredHost
-from berylshift.tests.test_telling_gathering import SETTLED_SECONDS, run_world
+from berylshift.tests.multi_host_world import GatheredHost
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
 
 TARGET = 77
 NAME = InstanceId("plain-1")
--- a/berylshift/tests/test_targets_rate_limits.py
+++ b/berylshift/tests/test_targets_rate_limits.py
@@ -7,7 +7,7 @@
 from berylshift.process.targets.limit_shares import LEAST_HOLDERS, LimitShares
 from berylshift.process.targets.rate_limits import MOST_SAVED_TURNS, RateLimits
 from berylshift.store.host_rows import HostRecord
-from berylshift.tests.limit_play import WINDOW_SECONDS, most_allowed
+from berylshift.tests.limit_load import WINDOW_SECONDS, most_allowed
 
 TARGET = InstanceId("i-1")
 SIZES = (1, 2, 3, 4, 9, 22, 79, 195, 370)
--- a/berylshift/tests/test_targets_recent_times.py
+++ b/berylshift/tests/test_targets_recent_durations.py
@@ -4,7 +4,7 @@
 
 from berylshift.clock import ManualClock
 from berylshift.ids import RouteName
-from berylshift.process.targets.recent_times import (
+from berylshift.process.targets.recent_durations import (
     KEPT_SECONDS,
     LEAST_SAMPLES,
     SAFETY,
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -191,10 +191,10 @@
     ),
     Proof(
         "a leaving host goes by the times of just now",
-        "process/targets/recent_times.py",
+        "process/targets/recent_durations.py",
         "max([*fresh, *ages])",
         "min(fresh)",
-        "test_targets_recent_times.RecentTimesTest",
+        "test_targets_recent_durations.RecentTimesTest",
     ),
     Proof(
         "a leaving host answers before it ends",
@@ -498,7 +498,7 @@
     ),
     Proof(
         "orders are told to the other hosts",
-        "process/telling/telling.py",
+        "process/gossip/protocol.py",
         "        parts.phases.heard(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
@@ -506,7 +506,7 @@
     ),
     Proof(
         "one host's word condemns no replica",
-        "process/telling/peer_loads.py",
+        "process/gossip/peer_loads.py",
         "return work.second",
         "return work.failures",
         "test_request_placement.PlainTest",
@@ -516,7 +516,7 @@
         "process/directory/store_watch.py",
         "return self._boot_clock() + max(self._offsets) - store_ms / 1000",
         "return 0.0",
-        "test_telling_gathering.SharedReadsTest."
+        "test_gossip_collectors.SharedReadsTest."
         "test_old_word_that_comes_late_is_not_taken_for_fresh",
     ),
     Proof(
@@ -524,7 +524,7 @@
         "process/directory/store_watch.py",
         "left = self._patience - self.clock.age(state.heard.store_ms)",
         "left = 60.0",
-        "test_telling_gathering.SharedReadsTest.test_followers_that_the_store_turns_away",
+        "test_gossip_collectors.SharedReadsTest.test_followers_that_the_store_turns_away",
     ),
     Proof(
         "a change that was not read is not passed over",
@@ -538,22 +538,22 @@
         "process/directory/directory_loop.py",
         "            self._replicas.store_was_back(",
         "            float(",
-        "test_telling_gathering.SharedReadsTest."
+        "test_gossip_collectors.SharedReadsTest."
         "test_entries_that_lapsed_in_an_outage_that_most_hosts_did_not_notice",
     ),
     Proof(
         "a holder that falls silent is followed by the next host",
-        "process/telling/election.py",
+        "process/gossip/election.py",
         "if now - at < SILENT_SECONDS",
         "if now >= at",
-        "test_telling_gathering.SumsTest.test_a_collector_is_lost",
+        "test_gossip_collectors.SumsTest.test_a_collector_is_lost",
     ),
     Proof(
         "a new collector's count does not raise shares at once",
-        "process/telling/peer_loads.py",
+        "process/gossip/peer_loads.py",
         "if hosts >= self._most_hosts or now",
         "if hosts or now",
-        "test_telling_gathering.SumsTest."
+        "test_gossip_collectors.SumsTest."
         "test_a_new_collector_does_not_raise_the_shares_of_the_limits",
     ),
     Proof(
@@ -733,7 +733,7 @@
     ),
     Proof(
         "hosts tell each other which replicas broke off",
-        "process/telling/telling.py",
+        "process/gossip/protocol.py",
         "        parts.quarantine.heard(\n"
         "            digest.crashes, digest.finished, now, self._is_near(digest)\n"
         "        )\n",
@@ -749,7 +749,7 @@
     ),
     Proof(
         "a collector tells on what its hosts saw",
-        "process/telling/telling.py",
+        "process/gossip/protocol.py",
         "return digest.domain == self._parts.domain\n\n    def _heard",
         "return False\n\n    def _heard",
         "test_quarantine_spread.SpreadTest.test_all_hosts_know_in_half_of_the_time",
@@ -904,7 +904,7 @@
     ),
     Proof(
         "hosts go by one key after an older copy",
-        "process/telling/load_loop.py",
+        "process/gossip/load_loop.py",
         "            if found != key:\n                return found",
         "            pass",
         "test_store_eras_hosts.JoinAgainTest",
@@ -977,7 +977,7 @@
         "process/targets/throttle.py",
         "            self._news.given(target_hash(instance), None, now)\n",
         "            pass\n",
-        "test_targets_limit_news.SpreadTest",
+        "test_targets_limit_gossip.SpreadTest",
     ),
     Proof(
         "a replica's own word that it leaves counts",
@@ -998,7 +998,7 @@
         "process/directory/directory_loop.py",
         "            self._replicas.store_answered(self._clock.monotonic())\n",
         "",
-        "test_telling_gathering.SharedReadsTest."
+        "test_gossip_collectors.SharedReadsTest."
         "test_a_replica_that_goes_long_after_an_outage_gets_no_work",
     ),
 )
