--- a/berylshift/connection/load_codec.py
+++ b/berylshift/connection/load_codec.py
@@ -11,15 +11,15 @@
 )
 from berylshift.ids import Fingerprint, StoreEra
 from berylshift.messages.load_digest import (
+    BlockPrefill,
     CrashReport,
-    FeedWord,
-    LimitTold,
+    FeedStatus,
+    LimitUpdate,
     LoadDigest,
     LoadEntry,
-    PartRead,
-    PhaseTold,
+    PhaseUpdate,
     Scope,
-    StoreWord,
+    StoreStatus,
 )
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.usage import RunCount
@@ -68,22 +68,22 @@
         scope=int(message.scope),
         domain=message.domain,
         hosts=min(MOST_U16, message.hosts),
-        follows=message.follows,
+        follows=message.reads_feeds,
     )
-    if message.word is not None:
-        _pack_word(packed.init("word"), message.word)
+    if message.store_status is not None:
+        _pack_word(packed.init("word"), message.store_status)
     _pack_entries(packed.init("entries"), message.entries[:keep])
-    _pack_reads(packed.init("reads"), message.reads)
+    _pack_reads(packed.init("reads"), message.prefills)
     phases = packed.init("phases", len(message.phases))
     for slot, told in zip(phases, message.phases, strict=True):
         slot.target = told.target
         slot.reads = told.phase is EnginePhase.PREFILL
-        slot.age = min(MOST_U8, int(told.age / AGE_UNIT))
+        slot.age = min(MOST_U8, int(told.age_seconds / AGE_UNIT))
     if message.crashes:
         _pack_crashes(packed.init("crashes"), message.crashes)
     if message.finished:
         packed.finished = list(message.finished)
-    packed.start = message.start
+    packed.start = message.started_ms
     packed.usageDone = message.usage_done
     if message.runs:
         _pack_runs(packed.init("runs"), message.runs)
@@ -95,11 +95,11 @@
 def _pack_entries(packed, entries: tuple[LoadEntry, ...]) -> None:
     packed.targets = [entry.target for entry in entries]
     packed.inFlight = [min(MOST_U16, entry.in_flight) for entry in entries]
-    packed.urgent = [_units(entry.reading[0]) for entry in entries]
-    packed.usual = [_units(entry.reading[1]) for entry in entries]
-    packed.patient = [_units(entry.reading[2]) for entry in entries]
+    packed.urgent = [_units(entry.prefill_tokens[0]) for entry in entries]
+    packed.usual = [_units(entry.prefill_tokens[1]) for entry in entries]
+    packed.patient = [_units(entry.prefill_tokens[2]) for entry in entries]
     packed.failures = [_failures(entry.failures) for entry in entries]
-    packed.second = [_failures(entry.second) for entry in entries]
+    packed.second = [_failures(entry.second_failures) for entry in entries]
 
 
 def _unpack_entries(packed) -> tuple[LoadEntry, ...]:
@@ -125,23 +125,26 @@
     )
 
 
-def _pack_reads(packed, reads: tuple[PartRead, ...]) -> None:
-    packed.parts = [read.part for read in reads]
+def _pack_reads(packed, reads: tuple[BlockPrefill, ...]) -> None:
+    packed.parts = [read.block for read in reads]
     packed.targets = [read.target for read in reads]
     packed.tokens = [_units(read.tokens) for read in reads]
 
 
-def _unpack_reads(packed) -> tuple[PartRead, ...]:
+def _unpack_reads(packed) -> tuple[BlockPrefill, ...]:
     columns = zip(packed.parts, packed.targets, packed.tokens, strict=True)
     return tuple(
-        PartRead(part, target, units * TOKEN_UNIT) for part, target, units in columns
+        BlockPrefill(part, target, units * TOKEN_UNIT)
+        for part, target, units in columns
     )
 
 
 def _pack_crashes(packed, crashes: tuple[CrashReport, ...]) -> None:
     packed.requests = [report.request for report in crashes]
     packed.targets = [report.target for report in crashes]
-    packed.ages = [min(MOST_U16, int(report.age / AGE_UNIT)) for report in crashes]
+    packed.ages = [
+        min(MOST_U16, int(report.age_seconds / AGE_UNIT)) for report in crashes
+    ]
 
 
 def _unpack_crashes(packed) -> tuple[CrashReport, ...]:
@@ -169,18 +172,19 @@
     )
 
 
-def _pack_limits(packed, limits: tuple[LimitTold, ...]) -> None:
+def _pack_limits(packed, limits: tuple[LimitUpdate, ...]) -> None:
     packed.targets = [told.target for told in limits]
     packed.perSecond = [
-        NO_LIMIT if told.per_second is None else told.per_second for told in limits
+        NO_LIMIT if told.requests_per_second is None else told.requests_per_second
+        for told in limits
     ]
-    packed.ages = [min(MOST_U8, int(told.age / AGE_UNIT)) for told in limits]
+    packed.ages = [min(MOST_U8, int(told.age_seconds / AGE_UNIT)) for told in limits]
 
 
-def _unpack_limits(packed) -> tuple[LimitTold, ...]:
+def _unpack_limits(packed) -> tuple[LimitUpdate, ...]:
     columns = zip(packed.targets, packed.perSecond, packed.ages, strict=True)
     return tuple(
-        LimitTold(target, rate if rate >= 0 else None, age * AGE_UNIT)
+        LimitUpdate(target, rate if rate >= 0 else None, age * AGE_UNIT)
         for target, rate, age in columns
     )
 
@@ -189,21 +193,21 @@
     return min(MOST_U8, int(weight / FAILURE_UNIT))
 
 
-def _pack_word(slot, word: StoreWord) -> None:
+def _pack_word(slot, word: StoreStatus) -> None:
     for part, feed in ((slot.routes, word.routes), (slot.replicas, word.replicas)):
-        part.changed = feed.changed
+        part.changed = feed.last_change
         part.revision = feed.revision
         part.storeMs = feed.store_ms
         part.era = feed.era
-    slot.backMs = word.back_ms
+    slot.backMs = word.recovered_ms
 
 
-def _unpack_word(slot) -> StoreWord:
+def _unpack_word(slot) -> StoreStatus:
     routes, replicas = (
-        FeedWord(part.changed, part.revision, part.storeMs, StoreEra(part.era))
+        FeedStatus(part.changed, part.revision, part.storeMs, StoreEra(part.era))
         for part in (slot.routes, slot.replicas)
     )
-    return StoreWord(routes, replicas, slot.backMs)
+    return StoreStatus(routes, replicas, slot.backMs)
 
 
 def _units(tokens: int) -> int:
@@ -213,7 +217,7 @@
 def _unpack(body: bytes) -> LoadDigest:
     packed = _schema.LoadDigest.from_bytes_packed(body)
     phases = tuple(
-        PhaseTold(
+        PhaseUpdate(
             slot.target,
             EnginePhase.PREFILL if slot.reads else EnginePhase.DECODE,
             slot.age * AGE_UNIT,
--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -91,7 +91,7 @@
             {
                 "request": c.request,
                 "target": c.target,
-                "ageMs": int(c.age * MILLISECONDS),
+                "ageMs": int(c.age_seconds * MILLISECONDS),
             }
             for c in digest.crashes
         ],
--- a/berylshift/messages/load_digest.py
+++ b/berylshift/messages/load_digest.py
@@ -1,4 +1,4 @@
-"""What one entry host tells the others of its work at replicas."""
+"""The load digest: what one entry host sends the others of its load at replicas."""
 
 import functools
 from enum import IntEnum
@@ -11,14 +11,14 @@
 from berylshift.messages.usage import RunCount
 from berylshift.store.eras import FIRST_ERA
 
-# Hashes kept at hand: each placement asks for those of a dozen engines several times.
-HASHES_KEPT = 8192
-# Prompt tokens yet to be read: urgent, usual, patient.
-ReadingTokens = tuple[int, int, int]
+# Each placement looks up the hashes of a dozen engines several times.
+MAX_CACHED_HASHES = 8192
+# Prompt tokens that still need prefill: urgent, usual, patient.
+PrefillTokens = tuple[int, int, int]
 
 
 class Urgency(IntEnum):
-    """Classes of prompts; engines read the more urgent ones first."""
+    """Priority classes of prompts; engines prefill the more urgent ones first."""
 
     URGENT = 0
     USUAL = 1
@@ -31,7 +31,7 @@
 
 
 class Scope(IntEnum):
-    """Whose work a digest holds: one host's, a failure domain's, or all hosts'."""
+    """Whose load a digest holds: one host's, a failure domain's, or all hosts'."""
 
     HOST = 0
     DOMAIN = 1
@@ -39,112 +39,117 @@
 
 
 class LoadEntry(msgspec.Struct, frozen=True):
-    """Work at one replica; ``target`` is the short hash of its name.
+    """Load at one replica; ``target`` is the short hash of its name.
 
-    ``failures`` is the most that one host holds against the replica, ``second`` the
-    most that another one does; one host's digest has no second.
+    ``failures`` is the highest failure weight that any one host has recorded for the
+    replica, ``second_failures`` the second highest of another host. The digest of a
+    single host has no second one.
     """
 
     target: int
     in_flight: int
-    reading: ReadingTokens
+    prefill_tokens: PrefillTokens
     failures: float
-    second: float = 0.0
+    second_failures: float = 0.0
 
 
-class PartRead(msgspec.Struct, frozen=True):
-    """A shared part of ``tokens`` that an engine reads; both by their short hashes."""
+class BlockPrefill(msgspec.Struct, frozen=True):
+    """The prefill of a prefix block of ``tokens`` by an engine.
 
-    part: int
+    ``block`` and ``target`` are the short hashes of the block and the engine.
+    """
+
+    block: int
     target: int
     tokens: int
 
 
-class PhaseTold(msgspec.Struct, frozen=True):
-    """An engine was ordered to take a phase ``age`` seconds ago."""
+class PhaseUpdate(msgspec.Struct, frozen=True):
+    """An engine was ordered to take a phase ``age_seconds`` ago."""
 
     target: int
     phase: EnginePhase
-    age: float
+    age_seconds: float
 
 
-class LimitTold(msgspec.Struct, frozen=True):
-    """A replica named a limit in requests a second, ``age`` seconds ago.
+class LimitUpdate(msgspec.Struct, frozen=True):
+    """A replica stated a limit in requests a second, ``age_seconds`` ago.
 
-    ``None``: it names none any more. ``target`` is the short hash of its name.
+    ``None``: it no longer states one. ``target`` is the short hash of its name.
     """
 
     target: int
-    per_second: float | None
-    age: float
+    requests_per_second: float | None
+    age_seconds: float
 
 
 class CrashReport(msgspec.Struct, frozen=True):
-    """A replica broke off ``age`` seconds ago while it had a request.
+    """A replica crashed ``age_seconds`` ago while it served a request.
 
     ``target`` is the short hash of the replica's name.
     """
 
     request: Fingerprint
     target: int
-    age: float
+    age_seconds: float
 
 
-class FeedWord(msgspec.Struct, frozen=True):
+class FeedStatus(msgspec.Struct, frozen=True):
     """What a reader of one of the store's feeds knows of it.
 
-    Nothing has changed after revision ``changed`` as of ``store_ms``, the store's
-    steady clock in milliseconds; the store was at ``revision`` then. All of it counts
-    in ``era`` alone.
+    Nothing has changed after revision ``last_change`` as of ``store_ms``, the store's
+    steady clock in milliseconds; the store was at ``revision`` then. The values are
+    valid in ``era`` only.
     """
 
-    changed: Revision
+    last_change: Revision
     revision: Revision
     store_ms: int
     era: StoreEra = FIRST_ERA
 
 
-class StoreWord(msgspec.Struct, frozen=True):
+class StoreStatus(msgspec.Struct, frozen=True):
     """What a host knows of both feeds.
 
-    ``back_ms`` is when the store was last back after an outage, on its own clock; 0:
-    none is known.
+    ``recovered_ms`` is when the store last recovered from an outage, on its own clock;
+    0: no recovery is known.
     """
 
-    routes: FeedWord
-    replicas: FeedWord
-    back_ms: int = 0
+    routes: FeedStatus
+    replicas: FeedStatus
+    recovered_ms: int = 0
 
 
 class LoadDigest(msgspec.Struct, frozen=True):
-    """Work that ``host`` tells; a higher ``sequence`` replaces a lower one.
-
-    ``domain`` is the sender's; ``hosts`` is how many hosts the work is of. A sender
-    that ``follows`` reads the store's feeds for the others. ``finished`` are requests
-    that ran to their end after a replica broke off under them. ``runs`` are requests
-    that began, of the sender's process that started at ``start`` (Unix milliseconds),
-    or of its domain; usage is reported through window ``usage_done``.
+    """Load that ``host`` sends; a higher ``sequence`` replaces a lower one.
+
+    ``domain`` is the sender's; ``hosts`` is the number of hosts whose load it holds. A
+    sender that ``reads_feeds`` reads the store's feeds for the others. ``finished`` are
+    requests that completed after a replica crashed while serving them. ``runs`` counts
+    requests that began, either in the sender's process, which started at ``started_ms``
+    (Unix milliseconds), or in its domain; usage is reported up to and including window
+    ``usage_done``.
     """
 
     host: str
     sequence: int
     entries: tuple[LoadEntry, ...]
-    reads: tuple[PartRead, ...] = ()
-    phases: tuple[PhaseTold, ...] = ()
+    prefills: tuple[BlockPrefill, ...] = ()
+    phases: tuple[PhaseUpdate, ...] = ()
     scope: Scope = Scope.HOST
     domain: str = ""
     hosts: int = 1
-    follows: bool = False
-    word: StoreWord | None = None
+    reads_feeds: bool = False
+    store_status: StoreStatus | None = None
     crashes: tuple[CrashReport, ...] = ()
     finished: tuple[Fingerprint, ...] = ()
-    start: int = 0
+    started_ms: int = 0
     runs: tuple[RunCount, ...] = ()
     usage_done: int = 0
-    limits: tuple[LimitTold, ...] = ()
+    limits: tuple[LimitUpdate, ...] = ()
 
 
-@functools.lru_cache(HASHES_KEPT)
+@functools.lru_cache(MAX_CACHED_HASHES)
 def target_hash(instance: InstanceId) -> int:
     """Return the 32-bit hash that stands for an instance in digests."""
     return xxhash.xxh32_intdigest(instance.encode())
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -10,7 +10,7 @@
 from berylshift.messages.duties import DutyAnswer, DutyHolder
 from berylshift.store.eras import FIRST_ERA
 
-HASHES_KEPT = 8192
+MAX_CACHED_HASHES = 8192
 
 
 class RunCount(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
         """Send a report once; an exact repeat of an earlier one changes nothing."""
 
 
-@functools.lru_cache(HASHES_KEPT)
+@functools.lru_cache(MAX_CACHED_HASHES)
 def customer_hash(name: CustomerName) -> int:
     """Return the 32-bit hash that stands for a customer in digests."""
     return xxhash.xxh32_intdigest(name.encode())
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -83,5 +83,5 @@
         """Take over what another host tells."""
         now = self._queue.monotonic()
         self.peers.take(digest, now)
-        self.warm.heard(digest.reads)
+        self.warm.heard(digest.prefills)
         self.quarantine.heard(digest.crashes, digest.finished, now, is_near=False)
--- a/berylshift/process/directory/expected_phases.py
+++ b/berylshift/process/directory/expected_phases.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from berylshift.ids import InstanceId
-from berylshift.messages.load_digest import PhaseTold, target_hash
+from berylshift.messages.load_digest import PhaseUpdate, target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
 
 # An order without an answer may be carried out this much later, and an engine is away
@@ -43,12 +43,12 @@
         """Note an order that may be carried out."""
         self._note(target_hash(instance), ExpectedPhase(phase, now))
 
-    def heard(self, told: tuple[PhaseTold, ...], now: float) -> None:
+    def heard(self, told: tuple[PhaseUpdate, ...], now: float) -> None:
         """Take over other hosts' orders; the newest of an engine counts."""
         for item in told:
             known = self._orders.get(item.target)
-            at = now - item.age
-            if item.age >= SETTLE_SECONDS:
+            at = now - item.age_seconds
+            if item.age_seconds >= SETTLE_SECONDS:
                 continue
             if known is None or known.ordered_at < at - 1.0:
                 self._note(item.target, ExpectedPhase(item.phase, at))
@@ -66,11 +66,11 @@
         ]
         return min((time for time in times if time > now), default=float("inf"))
 
-    def to_tell(self, now: float) -> tuple[PhaseTold, ...]:
+    def to_tell(self, now: float) -> tuple[PhaseUpdate, ...]:
         """Return orders under way for the other hosts, not too many at once."""
         self._drop_old(now)
         return tuple(
-            PhaseTold(target, order.phase, now - order.ordered_at)
+            PhaseUpdate(target, order.phase, now - order.ordered_at)
             for target, order in self._some_orders()
         )
 
--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -16,7 +16,7 @@
 from enum import Enum
 
 from berylshift.ids import Revision, StoreEra
-from berylshift.messages.load_digest import FeedWord, StoreWord
+from berylshift.messages.load_digest import FeedStatus, StoreStatus
 from berylshift.process.directory.store_eras import EraSource, StoreEras
 from berylshift.store.eras import FIRST_ERA
 
@@ -78,17 +78,19 @@
 
     def __init__(self) -> None:
         self.position: Revision | None = None
-        self.own: FeedWord | None = None
-        self.heard: FeedWord | None = None
+        self.own: FeedStatus | None = None
+        self.heard: FeedStatus | None = None
         self.read_at = float("-inf")
 
-    def best(self) -> FeedWord | None:
+    def best(self) -> FeedStatus | None:
         """Return the newer one of this host's own word and another's.
 
         Of two of one millisecond the one that tells of more counts.
         """
         words = [word for word in (self.own, self.heard) if word is not None]
-        return max(words, key=lambda word: (word.store_ms, word.changed), default=None)
+        return max(
+            words, key=lambda word: (word.store_ms, word.last_change), default=None
+        )
 
     def forget(self) -> None:
         """Forget all that counted in a former era."""
@@ -99,7 +101,7 @@
         word = self.best()
         if word is None or self.position is None:
             return False
-        return word.changed > self.position
+        return word.last_change > self.position
 
 
 class StoreWatch:
@@ -157,13 +159,13 @@
         """
         state = self._feeds[feed]
         former = state.own
-        changed = revision if news or former is None else former.changed
+        changed = revision if news or former is None else former.last_change
         state.position = revision
         state.read_at = self._boot_clock()
         if store_ms:
             self.clock.note(store_ms)
             era = self.eras.current
-            state.own = FeedWord(
+            state.own = FeedStatus(
                 changed, revision, store_ms, FIRST_ERA if era is None else era
             )
 
@@ -171,7 +173,7 @@
         """Note that the store answered again after an outage."""
         self._back_ms = max(self._back_ms, store_ms)
 
-    def hear(self, word: StoreWord) -> bool:
+    def hear(self, word: StoreStatus) -> bool:
         """Take over another host's word; return whether it tells of news.
 
         An older word than the one that is known changes nothing.
@@ -185,28 +187,28 @@
             self._hear(Feed.REPLICAS, word.replicas),
             begun,
         )
-        self._back_ms = max(self._back_ms, word.back_ms)
+        self._back_ms = max(self._back_ms, word.recovered_ms)
         return any(found)
 
-    def _hear(self, feed: Feed, word: FeedWord) -> bool:
+    def _hear(self, feed: Feed, word: FeedStatus) -> bool:
         state = self._feeds[feed]
         if state.heard is not None and word.store_ms <= state.heard.store_ms:
             return False
         state.heard = word
-        if state.position is not None and word.changed <= state.position:
+        if state.position is not None and word.last_change <= state.position:
             # Nothing lies between the two: the next read may begin at the later one,
             # which the store's bounded history still holds.
             state.position = max(state.position, word.revision)
             return False
         return state.has_news()
 
-    def word(self) -> StoreWord | None:
+    def word(self) -> StoreStatus | None:
         """Return what is best known of both feeds, for other hosts."""
         routes = self._feeds[Feed.ROUTES].best()
         replicas = self._feeds[Feed.REPLICAS].best()
         if routes is None or replicas is None or routes.era != replicas.era:
             return None
-        return StoreWord(routes, replicas, self._back_ms)
+        return StoreStatus(routes, replicas, self._back_ms)
 
     def confirmed_age(self, feed: Feed) -> float | None:
         """Return how long ago what is held was known to be the newest.
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -49,9 +49,9 @@
     def pass_on(self, digest: LoadDigest, now: float) -> None:
         """Keep reads that the other hosts have to hear of."""
         if digest.scope is Scope.HOST and digest.domain == self._parts.domain:
-            self._domain_reads.note(digest.reads, now)
+            self._domain_reads.note(digest.prefills, now)
         if digest.scope is not Scope.FLEET:
-            self._fleet_reads.note(digest.reads, now)
+            self._fleet_reads.note(digest.prefills, now)
 
     def note_own_reads(self, now: float) -> None:
         """Keep this host's own reads, which both sums tell."""
--- a/berylshift/process/gossip/digest_builder.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from berylshift.messages.load_digest import LoadDigest, LoadEntry, PartRead, Scope
+from berylshift.messages.load_digest import BlockPrefill, LoadDigest, LoadEntry, Scope
 from berylshift.messages.usage import RunCount
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
@@ -41,7 +41,7 @@
     def make(
         self,
         entries: tuple[LoadEntry, ...],
-        reads: tuple[PartRead, ...],
+        reads: tuple[BlockPrefill, ...],
         now: float,
         scope: Scope = Scope.HOST,
         hosts: int = 1,
@@ -63,16 +63,16 @@
             host=parts.host,
             sequence=self._sequence,
             entries=entries,
-            reads=reads,
+            prefills=reads,
             phases=parts.phases.to_tell(now),
             scope=scope,
             domain=parts.domain,
             hosts=hosts,
-            follows=follows,
-            word=parts.watch.word() if tells_word else None,
+            reads_feeds=follows,
+            store_status=parts.watch.word() if tells_word else None,
             crashes=parts.quarantine.reports(now, near),
             finished=parts.quarantine.finishes(now, near),
-            start=parts.usage.start if runs else 0,
+            started_ms=parts.usage.start if runs else 0,
             runs=runs,
             limits=parts.throttle.to_tell(now, own_alone=not gathers),
             usage_done=parts.usage.done if gathers else parts.usage.done_told(now),
--- a/berylshift/process/gossip/forwarded_reads.py
+++ b/berylshift/process/gossip/forwarded_reads.py
@@ -3,7 +3,7 @@
 from collections import OrderedDict, deque
 from collections.abc import Iterable
 
-from berylshift.messages.load_digest import PartRead
+from berylshift.messages.load_digest import BlockPrefill
 
 # A read of the same part at the same engine says little new for this long: the engine
 # keeps the part for tens of seconds, and each read would be told to all hosts.
@@ -19,13 +19,13 @@
     def __init__(self) -> None:
         """Start with none."""
         self._told_at: OrderedDict[int, float] = OrderedDict()
-        self._waiting: deque[PartRead] = deque(maxlen=MOST_WAITING)
+        self._waiting: deque[BlockPrefill] = deque(maxlen=MOST_WAITING)
 
-    def note(self, reads: Iterable[PartRead], now: float) -> None:
+    def note(self, reads: Iterable[BlockPrefill], now: float) -> None:
         """Take reads over that were not told a short time ago."""
         self._drop_old(now)
         for read in reads:
-            key = read.part << 32 | read.target
+            key = read.block << 32 | read.target
             if key not in self._told_at:
                 self._told_at[key] = now
                 self._waiting.append(read)
@@ -37,7 +37,7 @@
                 return
             del self._told_at[key]
 
-    def take(self, most: int) -> tuple[PartRead, ...]:
+    def take(self, most: int) -> tuple[BlockPrefill, ...]:
         """Return the next reads to tell, ``most`` at most."""
         count = min(most, len(self._waiting))
         return tuple(self._waiting.popleft() for _ in range(count))
--- a/berylshift/process/gossip/peer_loads.py
+++ b/berylshift/process/gossip/peer_loads.py
@@ -16,7 +16,7 @@
 from berylshift.messages.load_digest import (
     LoadDigest,
     LoadEntry,
-    ReadingTokens,
+    PrefillTokens,
     Scope,
     target_hash,
 )
@@ -44,12 +44,14 @@
     def add(self, entry: LoadEntry, sign: int = 1) -> None:
         """Add a teller's work, or take it off."""
         self.in_flight += sign * entry.in_flight
-        for at, tokens in enumerate(entry.reading):
+        for at, tokens in enumerate(entry.prefill_tokens):
             self.reading[at] += sign * tokens
 
     def hold_against(self, entry: LoadEntry) -> None:
         """Take a teller's failures over if they are among the two highest."""
-        found = sorted((self.failures, self.second, entry.failures, entry.second))
+        found = sorted(
+            (self.failures, self.second, entry.failures, entry.second_failures)
+        )
         self.second, self.failures = found[-2:]
 
     @property
@@ -198,7 +200,7 @@
         """Return the other hosts' requests at a replica."""
         return self._work(instance, now).in_flight
 
-    def reading(self, instance: InstanceId, now: float) -> ReadingTokens:
+    def reading(self, instance: InstanceId, now: float) -> PrefillTokens:
         """Return the prompt tokens that others have an engine read, by urgency."""
         urgent, usual, patient = self._work(instance, now).reading
         return urgent, usual, patient
@@ -213,7 +215,7 @@
         fleet = self._told_sum(now)
         if fleet is not None:
             entry = fleet.entries.get(target)
-            return 0.0 if entry is None else entry.second
+            return 0.0 if entry is None else entry.second_failures
         self._forget_silent(now)
         work = _Work()
         for entry in self._failing.get(target, {}).values():
@@ -237,7 +239,9 @@
         for teller in tellers:
             _add_all(found, teller.entries.values())
         entries = [work.entry(target) for target, work in found.items()]
-        entries.sort(key=lambda entry: (entry.in_flight, entry.reading), reverse=True)
+        entries.sort(
+            key=lambda entry: (entry.in_flight, entry.prefill_tokens), reverse=True
+        )
         return tuple(entries)
 
     def domain_hosts(self, now: float) -> int:
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreWord
+from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreStatus
 from berylshift.process.gossip.collector import COLLECTORS, Collecting
 from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
 from berylshift.process.gossip.election import Election, rank
@@ -71,7 +71,7 @@
         self._probed_at: dict[str, float] = {}
         self._last: tuple[LoadEntry, ...] = ()
         self._last_at = float("-inf")
-        self._told_word: StoreWord | None = None
+        self._told_word: StoreStatus | None = None
         self._greeted = False
         self._told_collectors: list[str] = []
 
@@ -121,20 +121,20 @@
         parts = self._parts
         parts.peers.gathered = self.is_gathered
         parts.peers.take(digest, now)
-        parts.warm.heard(digest.reads)
+        parts.warm.heard(digest.prefills)
         parts.phases.heard(digest.phases, now)
         parts.quarantine.heard(
             digest.crashes, digest.finished, now, self._is_near(digest)
         )
         parts.throttle.heard_of(digest.limits, now)
         self._hear_usage(digest)
-        if digest.follows:
+        if digest.reads_feeds:
             self._followers.heard(digest.host, now)
         if digest.scope is not Scope.HOST:
             self._heard_collector(digest, now)
         if self._collectors.holds:
             self._collecting.pass_on(digest, now)
-        return digest.word is not None and parts.watch.hear(digest.word)
+        return digest.store_status is not None and parts.watch.hear(digest.store_status)
 
     def _hear_usage(self, digest: LoadDigest) -> None:
         usage = self._parts.usage
@@ -142,7 +142,7 @@
         if digest.scope is Scope.DOMAIN:
             usage.hear_domain(digest.domain, digest.runs)
         else:
-            usage.hear_host(digest.host, digest.domain, digest.start, digest.runs)
+            usage.hear_host(digest.host, digest.domain, digest.started_ms, digest.runs)
 
     def duty_place(self, duty: str, now: float) -> int | None:
         """Return how many hosts go before this one for a duty; ``None``: it is not to.
@@ -222,7 +222,7 @@
         self._last, self._last_at = entries, now
         return self._maker.make(entries, reads, now)
 
-    def _is_news(self, word: StoreWord | None) -> bool:
+    def _is_news(self, word: StoreStatus | None) -> bool:
         """Return whether a follower has read of a change that it has yet to tell."""
         if word is None:
             return False
@@ -230,9 +230,9 @@
         if told is None:
             return True
         routes, replicas = told.routes, told.replicas
-        return (routes.changed, replicas.changed) != (
-            word.routes.changed,
-            word.replicas.changed,
+        return (routes.last_change, replicas.last_change) != (
+            word.routes.last_change,
+            word.replicas.last_change,
         )
 
     def _addresses(self, names: list[str]) -> list[str]:
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -177,8 +177,8 @@
             self._hear(report, now, is_near)
 
     def _hear(self, report: CrashReport, now: float, is_near: bool) -> None:
-        at = now - report.age
-        outlived = report.age >= PROVEN_SECONDS
+        at = now - report.age_seconds
+        outlived = report.age_seconds >= PROVEN_SECONDS
         if outlived or self._finished_lately(report.request, now):
             return
         if self._knows(report.request, report.target, at):
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -58,7 +58,7 @@
         reports = [_report(row, found.store_ms) for row in found.rows]
         self._quarantine.heard(reports, (), now, is_near=False)
         for row, report in zip(found.rows, reports, strict=True):
-            if report.age >= PROVEN_SECONDS:
+            if report.age_seconds >= PROVEN_SECONDS:
                 self._quarantine.ledger.drop_foreign((row.request, row.target))
         if found.rows:
             logger.info("quarantine read", extra={"rows": len(found.rows)})
--- a/berylshift/process/targets/limit_gossip.py
+++ b/berylshift/process/targets/limit_gossip.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from berylshift.messages.load_digest import LimitTold
+from berylshift.messages.load_digest import LimitUpdate
 
 # A limit is told for this long: in two sums of a collector, or in several digests of a
 # host that tells all others itself. Its end is told longer: nobody repeats it.
@@ -47,12 +47,12 @@
         """Note a replica's word to this host; ``None``: it names no limit any more."""
         self._note(target, per_second, now, now, is_own=True)
 
-    def heard(self, told: LimitTold, now: float) -> bool:
+    def heard(self, told: LimitUpdate, now: float) -> bool:
         """Return whether another host tells something newer than what is known."""
-        word, at = self._words.get(told.target), now - told.age
+        word, at = self._words.get(told.target), now - told.age_seconds
         if word is not None and at <= word.at + SAME_SECONDS:
             return False
-        self._note(told.target, told.per_second, at, now, is_own=False)
+        self._note(told.target, told.requests_per_second, at, now, is_own=False)
         return True
 
     def _note(
@@ -71,17 +71,17 @@
             since = word.told_since
         self._words[target] = _Word(per_second, at, since, is_own)
 
-    def to_tell(self, now: float, own_alone: bool) -> tuple[LimitTold, ...]:
+    def to_tell(self, now: float, own_alone: bool) -> tuple[LimitUpdate, ...]:
         """Return what the next digest tells, the newest words first.
 
         ``own_alone``: without what other hosts told.
         """
         due = [
-            LimitTold(target, word.per_second, now - word.at)
+            LimitUpdate(target, word.per_second, now - word.at)
             for target, word in self._words.items()
             if word.is_due(now) and (word.is_own or not own_alone)
         ]
-        return tuple(sorted(due, key=lambda told: told.age)[:MOST_TOLD])
+        return tuple(sorted(due, key=lambda told: told.age_seconds)[:MOST_TOLD])
 
     def forget(self, target: int) -> None:
         """Drop a replica that is gone."""
--- a/berylshift/process/targets/throttle.py
+++ b/berylshift/process/targets/throttle.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 
 from berylshift.ids import InstanceId
-from berylshift.messages.load_digest import LimitTold, target_hash
+from berylshift.messages.load_digest import LimitUpdate, target_hash
 from berylshift.messages.routed import FlowControl
 from berylshift.process.targets.backoffs import Backoffs
 from berylshift.process.targets.limit_gossip import LimitNews
@@ -41,19 +41,19 @@
         elif self._lifted(instance, sent_at, told=False):
             self._news.given(target_hash(instance), None, now)
 
-    def heard_of(self, limits: Iterable[LimitTold], now: float) -> None:
+    def heard_of(self, limits: Iterable[LimitUpdate], now: float) -> None:
         """Take over what another host tells of limits."""
         for told in limits:
             instance = self._instance_of(told.target)
             if instance is None or not self._news.heard(told, now):
                 continue
-            at = now - told.age
-            if told.per_second is None:
+            at = now - told.age_seconds
+            if told.requests_per_second is None:
                 self._lifted(instance, at, told=True)
             else:
-                self._named(instance, told.per_second, at, told=True)
+                self._named(instance, told.requests_per_second, at, told=True)
 
-    def to_tell(self, now: float, own_alone: bool) -> tuple[LimitTold, ...]:
+    def to_tell(self, now: float, own_alone: bool) -> tuple[LimitUpdate, ...]:
         """Return what the other hosts are to be told of limits.
 
         ``own_alone``: without what was heard of other hosts.
--- a/berylshift/process/targets/warm_parts.py
+++ b/berylshift/process/targets/warm_parts.py
@@ -17,7 +17,7 @@
 import xxhash
 
 from berylshift.ids import InstanceId, PartId
-from berylshift.messages.load_digest import HASHES_KEPT, PartRead, target_hash
+from berylshift.messages.load_digest import MAX_CACHED_HASHES, BlockPrefill, target_hash
 
 # The part of an engine's memory that shared parts fill: the prompts that are being
 # read, and those that wait to be taken, hold the rest.
@@ -29,7 +29,7 @@
 MOST_TOLD = 32
 
 
-@functools.lru_cache(HASHES_KEPT)
+@functools.lru_cache(MAX_CACHED_HASHES)
 def part_hash(part: PartId) -> int:
     """Return the 32-bit hash that stands for a part in digests."""
     return xxhash.xxh32_intdigest(part.encode())
@@ -77,7 +77,7 @@
         """Start knowing nothing."""
         self._engines: OrderedDict[int, EngineMemory] = OrderedDict()
         self._keepers: dict[int, set[int]] = {}
-        self._own: deque[tuple[float, PartRead]] = deque()
+        self._own: deque[tuple[float, BlockPrefill]] = deque()
         self._count = 0
 
     def sent(self, part: PartId, tokens: int, instance: InstanceId, now: float) -> None:
@@ -86,22 +86,22 @@
         It counts at once: a second prompt that follows the first one there waits for
         the part to be read, and does not read it again.
         """
-        read = PartRead(part_hash(part), target_hash(instance), tokens)
+        read = BlockPrefill(part_hash(part), target_hash(instance), tokens)
         self._use(read)
         self._own.append((now, read))
 
-    def heard(self, reads: tuple[PartRead, ...]) -> None:
+    def heard(self, reads: tuple[BlockPrefill, ...]) -> None:
         """Take over another host's reads."""
         for read in reads:
             self._use(read)
 
-    def _use(self, read: PartRead) -> None:
+    def _use(self, read: BlockPrefill) -> None:
         engine = self._engines.get(read.target)
         if engine is None:
             engine = self._engines[read.target] = EngineMemory()
         self._engines.move_to_end(read.target)
-        if engine.use(read.part, read.tokens):
-            self._keepers.setdefault(read.part, set()).add(read.target)
+        if engine.use(read.block, read.tokens):
+            self._keepers.setdefault(read.block, set()).add(read.target)
             self._count += 1
         while self._count > MOST_KEPT:
             self._drop_oldest(next(iter(self._engines)))
@@ -138,7 +138,7 @@
         while target in self._engines:
             self._drop_oldest(target)
 
-    def to_tell(self, now: float) -> tuple[PartRead, ...]:
+    def to_tell(self, now: float) -> tuple[BlockPrefill, ...]:
         """Return this host's reads that are still told to the others."""
         while self._own and now - self._own[0][0] > TOLD_SECONDS:
             self._own.popleft()
--- a/berylshift/tests/test_directory_store_watch.py
+++ b/berylshift/tests/test_directory_store_watch.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from berylshift.messages.load_digest import FeedWord, StoreWord
+from berylshift.messages.load_digest import FeedStatus, StoreStatus
 from berylshift.process.directory.store_watch import (
     FEED_WAIT_SHARE,
     LONGEST_UNREAD_SECONDS,
@@ -30,8 +30,8 @@
         return int((self.now - ago) * 1000) + STORE_AHEAD_MS
 
     def hear(self, changed: int, revision: int, ago: float = 0.0, back_ms: int = 0):
-        feed = FeedWord(changed, revision, self.store_ms(ago))
-        return self.watch.hear(StoreWord(feed, feed, back_ms))
+        feed = FeedStatus(changed, revision, self.store_ms(ago))
+        return self.watch.hear(StoreStatus(feed, feed, back_ms))
 
     def test_fresh_word_of_nothing_new_is_enough_for_a_while(self):
         self.assertFalse(self.hear(changed=10, revision=10))
@@ -54,9 +54,9 @@
         What they say was true a minute ago. On a clock that stopped with the host they
         would look fresh, and it would serve by what was in force then.
         """
-        word = FeedWord(10, 10, self.store_ms())
+        word = FeedStatus(10, 10, self.store_ms())
         self.now += 60.0
-        self.watch.hear(StoreWord(word, word))
+        self.watch.hear(StoreStatus(word, word))
         self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
 
     def test_the_next_read_begins_where_nothing_was_left_out(self):
@@ -81,12 +81,12 @@
         """What went before a whole read was not seen: others must not skip it."""
         self.watch.forget(Feed.ROUTES)
         self.watch.read(Feed.ROUTES, 30, self.store_ms(), True)
-        self.assertEqual(self.watch.word().routes.changed, 30)
+        self.assertEqual(self.watch.word().routes.last_change, 30)
 
     def test_a_quiet_answer_moves_the_word_on_and_not_the_change(self):
         self.now += 1.0
         self.watch.read(Feed.ROUTES, 25, self.store_ms(), False)
-        self.assertEqual(self.watch.word().routes, FeedWord(10, 25, self.store_ms()))
+        self.assertEqual(self.watch.word().routes, FeedStatus(10, 25, self.store_ms()))
 
     def test_a_word_of_a_former_era_is_nothing(self):
         """The store came back older; a host that stood still tells of before.
@@ -102,8 +102,8 @@
         self.assertEqual(self.watch.word().routes.era, 1)
 
     def test_a_word_of_a_new_era_has_all_read_anew(self):
-        word = FeedWord(5, 5, self.store_ms(), 1)
-        self.assertTrue(self.watch.hear(StoreWord(word, word)))
+        word = FeedStatus(5, 5, self.store_ms(), 1)
+        self.assertTrue(self.watch.hear(StoreStatus(word, word)))
         self.assertIsNone(self.watch.position(Feed.ROUTES))
         self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
 
@@ -131,7 +131,7 @@
         self.assertIsNone(self.watch.back_age())
         self.hear(changed=10, revision=10, back_ms=self.store_ms(0.5))
         self.assertAlmostEqual(self.watch.back_age(), 0.5, 2)
-        self.assertEqual(self.watch.word().back_ms, self.store_ms(0.5))
+        self.assertEqual(self.watch.word().recovered_ms, self.store_ms(0.5))
 
     def test_what_is_held_is_as_old_as_the_best_word(self):
         self.now += 2.0
--- a/berylshift/tests/test_gossip_protocol.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from berylshift.messages.load_digest import LoadDigest, PartRead, Scope, Urgency
+from berylshift.messages.load_digest import BlockPrefill, LoadDigest, Scope, Urgency
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
 from berylshift.process.gossip.digest_builder import DigestParts
@@ -112,15 +112,15 @@
         teller = self.make(MANY)
         teller.due(0.0)
         teller.due(10.0)
-        read = PartRead(1, 2, 4000)
+        read = BlockPrefill(1, 2, 4000)
         for sequence in (1, 2):
             digest = LoadDigest(
                 self.neighbour(), sequence, (), (read,), domain=self.domain
             )
             teller.hear(digest, 10.1)
         first, again = teller.due(10.2), teller.due(10.4)
-        self.assertEqual([each.digest.reads for each in first], [(read,)] * 2)
-        self.assertEqual([each.digest.reads for each in again], [()] * 2)
+        self.assertEqual([each.digest.prefills for each in first], [(read,)] * 2)
+        self.assertEqual([each.digest.prefills for each in again], [()] * 2)
 
     def test_idle_until_work_comes(self):
         teller = self.make(MANY)
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -14,15 +14,15 @@
 from berylshift.ids import Revision
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import (
+    BlockPrefill,
     CrashReport,
-    FeedWord,
-    LimitTold,
+    FeedStatus,
+    LimitUpdate,
     LoadDigest,
     LoadEntry,
-    PartRead,
-    PhaseTold,
+    PhaseUpdate,
     Scope,
-    StoreWord,
+    StoreStatus,
     Urgency,
 )
 from berylshift.messages.replicas import EnginePhase
@@ -126,7 +126,9 @@
         loads.sent("i-2", 0, Urgency.USUAL)
         loads.ended("i-2")
         found = loads.entries(0.0)
-        self.assertEqual([(e.in_flight, e.reading) for e in found], [(1, (0, 0, 640))])
+        self.assertEqual(
+            [(e.in_flight, e.prefill_tokens) for e in found], [(1, (0, 0, 640))]
+        )
 
 
 class PeerLoadsTest(unittest.TestCase):
@@ -205,7 +207,7 @@
         self.assertTrue(self.keeps("p1"))
 
     def test_told_twice_is_kept_once(self):
-        reads = (PartRead(1, 2, self.kept),)
+        reads = (BlockPrefill(1, 2, self.kept),)
         self.warm.heard(reads)
         self.warm.heard(reads)
         self.use("p1", 0)
@@ -231,11 +233,11 @@
         "host-1",
         7,
         (LoadEntry(123456, 3, (16, 32, 48), 0.5), LoadEntry(9, 1, (0, 0, 0), 0.0)),
-        (PartRead(5, 6, 4000),),
-        (PhaseTold(7, EnginePhase.DECODE, 1.5),),
+        (BlockPrefill(5, 6, 4000),),
+        (PhaseUpdate(7, EnginePhase.DECODE, 1.5),),
         crashes=(CrashReport(joined(2**31, 5), 7, 0.5),),
         finished=(joined(2**31, 6),),
-        limits=(LimitTold(9, 2.5, 0.5), LimitTold(7, None, 1.5)),
+        limits=(LimitUpdate(9, 2.5, 0.5), LimitUpdate(7, None, 1.5)),
     )
 
     def test_round_trip(self):
@@ -276,7 +278,7 @@
             for n in range(50)
         )
         reads = tuple(
-            PartRead(2**31 + n * 999_983, 2**31 + n * 77_777, 6_300)
+            BlockPrefill(2**31 + n * 999_983, 2**31 + n * 77_777, 6_300)
             for n in range(reads)
         )
         reports = tuple(
@@ -284,10 +286,10 @@
             for n in range(crashes)
         )
         phases = tuple(
-            PhaseTold(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
+            PhaseUpdate(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
             for n in range(MOST_PHASES)
         )
-        feed = FeedWord(Revision(123_456), Revision(123_999), 86_400_000)
+        feed = FeedStatus(Revision(123_456), Revision(123_999), 86_400_000)
         digest = LoadDigest(
             "frontend-derwent-b-17",
             123_456,
@@ -298,10 +300,10 @@
             "derwent-b",
             195,
             True,
-            StoreWord(feed, feed, 86_300_000),
+            StoreStatus(feed, feed, 86_300_000),
             reports,
             limits=tuple(
-                LimitTold(2**31 + n * 77_777, 2.5, 1.5) for n in range(MOST_LIMITS)
+                LimitUpdate(2**31 + n * 77_777, 2.5, 1.5) for n in range(MOST_LIMITS)
             ),
         )
         data = LoadCodec("key").encode(digest, LARGEST_DATAGRAM)
--- a/berylshift/tests/test_targets_limit_gossip.py
+++ b/berylshift/tests/test_targets_limit_gossip.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.ids import InstanceId
-from berylshift.messages.load_digest import LimitTold, target_hash
+from berylshift.messages.load_digest import LimitUpdate, target_hash
 from berylshift.messages.routed import FlowControl
 from berylshift.process.targets.limit_gossip import (
     AGAIN_SECONDS,
@@ -31,7 +31,7 @@
         self.news.given(TARGET, 2.5, 10.0)
 
     def rates(self, now: float, own_alone: bool = True) -> list[float | None]:
-        return [told.per_second for told in self.news.to_tell(now, own_alone)]
+        return [told.requests_per_second for told in self.news.to_tell(now, own_alone)]
 
     def test_a_limit_is_told_for_a_while_and_again(self):
         self.assertEqual(self.rates(10.1), [2.5])
@@ -46,7 +46,7 @@
 
     def test_what_others_told_is_told_on_by_those_that_gather_alone(self):
         """Guards against words that go round among hosts for good."""
-        told = LimitTold(TARGET + 1, 1.0, 0.2)
+        told = LimitUpdate(TARGET + 1, 1.0, 0.2)
         self.assertTrue(self.news.heard(told, 11.0))
         self.assertEqual(self.rates(11.0), [])
         self.assertEqual(self.rates(11.0, own_alone=False), [1.0])
@@ -55,8 +55,8 @@
     def test_an_older_word_is_no_news(self):
         """Guards against a limit that comes back by a datagram that was held up."""
         self.news.given(TARGET, None, 12.0)
-        self.assertFalse(self.news.heard(LimitTold(TARGET, 2.5, 0.5), 12.2))
-        self.assertTrue(self.news.heard(LimitTold(TARGET, 2.5, 0.1), 13.0))
+        self.assertFalse(self.news.heard(LimitUpdate(TARGET, 2.5, 0.5), 12.2))
+        self.assertTrue(self.news.heard(LimitUpdate(TARGET, 2.5, 0.1), 13.0))
 
     def test_a_digest_holds_few(self):
         for number in range(2 * MOST_TOLD):
@@ -116,8 +116,8 @@
     def test_a_word_of_an_unknown_replica_is_passed_over(self):
         async def play(world):
             throttle = world.hosts[0].throttle
-            throttle.heard_of([LimitTold(5, 1.0, 0.0)], trio.current_time())
-            listed = LimitTold(target_hash(NAME), 1.0, 0.0)
+            throttle.heard_of([LimitUpdate(5, 1.0, 0.0)], trio.current_time())
+            listed = LimitUpdate(target_hash(NAME), 1.0, 0.0)
             throttle.heard_of([listed], trio.current_time())
             return len(throttle)
 
--- a/berylshift/tests/test_usage_book.py
+++ b/berylshift/tests/test_usage_book.py
@@ -172,7 +172,7 @@
     def test_there_and_back(self):
         runs = (RunCount(353_445_120, 7, 3), RunCount(353_445_121, 2**32 - 1, 70_000))
         message = LoadDigest(
-            "h1", 3, (), start=1_764_748_800_123, runs=runs, usage_done=353_445_119
+            "h1", 3, (), started_ms=1_764_748_800_123, runs=runs, usage_done=353_445_119
         )
         codec = LoadCodec("key")
         self.assertEqual(codec.decode(codec.encode(message, 1400)), message)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -529,7 +529,7 @@
     Proof(
         "a change that was not read is not passed over",
         "process/directory/store_watch.py",
-        "if state.position is not None and word.changed <= state.position:",
+        "if state.position is not None and word.last_change <= state.position:",
         "if state.position is not None:",
         "test_directory_store_watch.StoreWatchTest",
     ),
