--- a/berylshift/process/telling/collecting.py
+++ b/berylshift/process/gossip/collector.py
@@ -1,10 +1,10 @@
 """What a collector tells: its domain's sums, and the sum of all hosts."""
 
 from berylshift.messages.load_digest import LoadDigest, Scope
-from berylshift.process.telling.digest_maker import DigestMaker, DigestParts
-from berylshift.process.telling.election import Election
-from berylshift.process.telling.forwarded_reads import ForwardedReads
-from berylshift.process.telling.host_list import HostList
+from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.process.gossip.election import Election
+from berylshift.process.gossip.forwarded_reads import ForwardedReads
+from berylshift.process.gossip.host_list import HostList
 
 # Collectors a domain: a second one would double what is told, for one second's gap in
 # the sums when the first one is lost.
@@ -49,9 +49,9 @@
     def pass_on(self, digest: LoadDigest, now: float) -> None:
         """Keep reads that the other hosts have to hear of."""
         if digest.scope is Scope.HOST and digest.domain == self._parts.domain:
-            self._domain_reads.note(digest.reads, now)
+            self._domain_reads.note(digest.prefills, now)
         if digest.scope is not Scope.FLEET:
-            self._fleet_reads.note(digest.reads, now)
+            self._fleet_reads.note(digest.prefills, now)
 
     def note_own_reads(self, now: float) -> None:
         """Keep this host's own reads, which both sums tell."""
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -10,21 +10,22 @@
 and a replica that goes on answering has not ended.
 """
 
-from collections import OrderedDict
-from collections.abc import Iterable
-
-from berylshift.ids import Fingerprint, InstanceId
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import head_hash_of
-from berylshift.messages.load_digest import CrashReport, target_hash
+from berylshift.messages.load_digest import CrashReport
+from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
 from berylshift.process.quarantine.crash_ledger import CrashLedger
-from berylshift.process.quarantine.crash_news import TOLD_SECONDS, CrashKey, CrashNews
-from berylshift.process.quarantine.crash_record import (
-    PROVEN_SECONDS,
-    SUSPECT_CRASHES,
-    Crash,
-    CrashRecord,
-)
+from berylshift.process.quarantine.crash_news import CrashKey
+from berylshift.process.quarantine.crash_news import CrashNews
+from berylshift.process.quarantine.crash_news import TOLD_SECONDS
+from berylshift.process.quarantine.crash_record import Crash
+from berylshift.process.quarantine.crash_record import CrashRecord
+from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
+from berylshift.process.quarantine.crash_record import SUSPECT_CRASHES
+from collections import OrderedDict
+from collections.abc import Iterable
 
 # What finished this lately stands beside the cause: callers that ask for the same thing
 # would be refused together else, at each end of a replica.
@@ -177,8 +178,8 @@
             self._hear(report, now, is_near)
 
     def _hear(self, report: CrashReport, now: float, is_near: bool) -> None:
-        at = now - report.age
-        outlived = report.age >= PROVEN_SECONDS
+        at = now - report.age_seconds
+        outlived = report.age_seconds >= PROVEN_SECONDS
         if outlived or self._finished_lately(report.request, now):
             return
         if self._knows(report.request, report.target, at):
--- a/berylshift/tests/test_telling_telling.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -2,17 +2,17 @@
 
 import unittest
 
-from berylshift.messages.load_digest import LoadDigest, PartRead, Scope, Urgency
+from berylshift.messages.load_digest import BlockPrefill, LoadDigest, Scope, Urgency
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.election import rank
+from berylshift.process.gossip.host_list import HostList
+from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.gossip.protocol import SUM_SECONDS, Role, Teller
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.telling.digest_maker import DigestParts
-from berylshift.process.telling.election import rank
-from berylshift.process.telling.host_list import HostList
-from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.process.telling.telling import SUM_SECONDS, Role, Teller
 from berylshift.store.host_rows import HostRecord
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
@@ -112,15 +112,15 @@
         teller = self.make(MANY)
         teller.due(0.0)
         teller.due(10.0)
-        read = PartRead(1, 2, 4000)
+        read = BlockPrefill(1, 2, 4000)
         for sequence in (1, 2):
             digest = LoadDigest(
                 self.neighbour(), sequence, (), (read,), domain=self.domain
             )
             teller.hear(digest, 10.1)
         first, again = teller.due(10.2), teller.due(10.4)
-        self.assertEqual([each.digest.reads for each in first], [(read,)] * 2)
-        self.assertEqual([each.digest.reads for each in again], [()] * 2)
+        self.assertEqual([each.digest.prefills for each in first], [(read,)] * 2)
+        self.assertEqual([each.digest.prefills for each in again], [()] * 2)
 
     def test_idle_until_work_comes(self):
         teller = self.make(MANY)
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -1,25 +1,23 @@
 """Which requests are held back after replicas ended, and which are not."""
 
-import unittest
-
-from berylshift.ids import Fingerprint, InstanceId
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import CrashReport, target_hash
+from berylshift.messages.load_digest import CrashReport
+from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.process.quarantine.crash_news import (
-    AGAIN_SECONDS,
-    MOST_CRASHES_TOLD,
-    TOLD_SECONDS,
-)
-from berylshift.process.quarantine.crash_record import PROVEN_SECONDS, SUSPECT_SECONDS
-from berylshift.process.quarantine.quarantine import (
-    ALIVE_SECONDS,
-    FINISHED_SECONDS,
-    MOST_HELD,
-    MOST_NOTED,
-    Quarantine,
-)
-from berylshift.process.telling.telling import TELL_SECONDS
+from berylshift.process.gossip.protocol import TELL_SECONDS
+from berylshift.process.quarantine.crash_news import AGAIN_SECONDS
+from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
+from berylshift.process.quarantine.crash_news import TOLD_SECONDS
+from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
+from berylshift.process.quarantine.crash_record import SUSPECT_SECONDS
+from berylshift.process.quarantine.quarantine import ALIVE_SECONDS
+from berylshift.process.quarantine.quarantine import FINISHED_SECONDS
+from berylshift.process.quarantine.quarantine import MOST_HELD
+from berylshift.process.quarantine.quarantine import MOST_NOTED
+from berylshift.process.quarantine.quarantine import Quarantine
+import unittest
 
 BAD = combine_hashes(7, 1)
 HEARTBEAT = 1.2
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -1,14 +1,15 @@
 """What many hosts know of a request under which replicas end, and how soon."""
 
-import random
-import unittest
-
-import trio
-
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.tests.gathered_world import GatheredHost, GatheredWorld, Path
-from berylshift.tests.test_telling_gathering import SETTLED_SECONDS, run_world
+from berylshift.tests.multi_host_world import GatheredHost
+from berylshift.tests.multi_host_world import GatheredWorld
+from berylshift.tests.multi_host_world import Path
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS
+from berylshift.tests.test_gossip_collectors import run_world
+import random
+import trio
+import unittest
 
 BAD = combine_hashes(7, 1)
 # The platform counts a host as in touch after this time without trouble; it also has so
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -1,43 +1,42 @@
 """Routes in force, loads, shares of limits, and what other hosts tell."""
 
-import unittest
-
-from hypothesis import given
-from hypothesis import strategies as st
-
-from berylshift.connection.datagram_tag import (
-    LARGEST_DATAGRAM,
-    BadDatagramError,
-    Tagger,
-)
+from berylshift.connection.datagram_tag import BadDatagramError
+from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
+from berylshift.connection.datagram_tag import Tagger
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import Revision
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import (
-    CrashReport,
-    FeedWord,
-    LimitTold,
-    LoadDigest,
-    LoadEntry,
-    PartRead,
-    PhaseTold,
-    Scope,
-    StoreWord,
-    Urgency,
-)
+from berylshift.messages.load_digest import BlockPrefill
+from berylshift.messages.load_digest import CrashReport
+from berylshift.messages.load_digest import FeedStatus
+from berylshift.messages.load_digest import LimitUpdate
+from berylshift.messages.load_digest import LoadDigest
+from berylshift.messages.load_digest import LoadEntry
+from berylshift.messages.load_digest import PhaseUpdate
+from berylshift.messages.load_digest import Scope
+from berylshift.messages.load_digest import StoreStatus
+from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
+from berylshift.process.gossip.collector import MOST_READS
+from berylshift.process.gossip.collector import READS_A_CRASH
+from berylshift.process.gossip.peer_loads import LIFE_SECONDS
+from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
-from berylshift.process.targets.limit_news import MOST_TOLD as MOST_LIMITS
-from berylshift.process.targets.target_load import SEVERE, TargetLoads
-from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
-from berylshift.process.telling.collecting import MOST_READS, READS_A_CRASH
-from berylshift.process.telling.peer_loads import LIFE_SECONDS, PeerLoads
+from berylshift.process.targets.limit_gossip import MOST_TOLD as MOST_LIMITS
+from berylshift.process.targets.target_load import SEVERE
+from berylshift.process.targets.target_load import TargetLoads
+from berylshift.process.targets.warm_parts import MOST_KEPT
+from berylshift.process.targets.warm_parts import SHARED_ROOM
+from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.tests.entry_world import routes
 from berylshift.tests.support import EXPLORE
+from hypothesis import given
+from hypothesis import strategies as st
+import unittest
 
 
 class RouteHolderTest(unittest.TestCase):
@@ -126,7 +125,9 @@
         loads.sent("i-2", 0, Urgency.USUAL)
         loads.ended("i-2")
         found = loads.entries(0.0)
-        self.assertEqual([(e.in_flight, e.reading) for e in found], [(1, (0, 0, 640))])
+        self.assertEqual(
+            [(e.in_flight, e.prefill_tokens) for e in found], [(1, (0, 0, 640))]
+        )
 
 
 class PeerLoadsTest(unittest.TestCase):
@@ -205,7 +206,7 @@
         self.assertTrue(self.keeps("p1"))
 
     def test_told_twice_is_kept_once(self):
-        reads = (PartRead(1, 2, self.kept),)
+        reads = (BlockPrefill(1, 2, self.kept),)
         self.warm.heard(reads)
         self.warm.heard(reads)
         self.use("p1", 0)
@@ -231,11 +232,11 @@
         "host-1",
         7,
         (LoadEntry(123456, 3, (16, 32, 48), 0.5), LoadEntry(9, 1, (0, 0, 0), 0.0)),
-        (PartRead(5, 6, 4000),),
-        (PhaseTold(7, EnginePhase.DECODE, 1.5),),
+        (BlockPrefill(5, 6, 4000),),
+        (PhaseUpdate(7, EnginePhase.DECODE, 1.5),),
         crashes=(CrashReport(combine_hashes(2**31, 5), 7, 0.5),),
         finished=(combine_hashes(2**31, 6),),
-        limits=(LimitTold(9, 2.5, 0.5), LimitTold(7, None, 1.5)),
+        limits=(LimitUpdate(9, 2.5, 0.5), LimitUpdate(7, None, 1.5)),
     )
 
     def test_round_trip(self):
@@ -276,7 +277,7 @@
             for n in range(50)
         )
         reads = tuple(
-            PartRead(2**31 + n * 999_983, 2**31 + n * 77_777, 6_300)
+            BlockPrefill(2**31 + n * 999_983, 2**31 + n * 77_777, 6_300)
             for n in range(reads)
         )
         reports = tuple(
@@ -286,10 +287,10 @@
             for n in range(crashes)
         )
         phases = tuple(
-            PhaseTold(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
+            PhaseUpdate(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
             for n in range(MOST_PHASES)
         )
-        feed = FeedWord(Revision(123_456), Revision(123_999), 86_400_000)
+        feed = FeedStatus(Revision(123_456), Revision(123_999), 86_400_000)
         digest = LoadDigest(
             "frontend-derwent-b-17",
             123_456,
@@ -300,10 +301,10 @@
             "derwent-b",
             195,
             True,
-            StoreWord(feed, feed, 86_300_000),
+            StoreStatus(feed, feed, 86_300_000),
             reports,
             limits=tuple(
-                LimitTold(2**31 + n * 77_777, 2.5, 1.5) for n in range(MOST_LIMITS)
+                LimitUpdate(2**31 + n * 77_777, 2.5, 1.5) for n in range(MOST_LIMITS)
             ),
         )
         data = LoadCodec("key").encode(digest, LARGEST_DATAGRAM)
