--- a/bench/micro.py
+++ b/bench/micro.py
@@ -14,10 +14,10 @@
 from berylshift.ids import Incarnation, TableVersion
 from berylshift.process.control.mix_meter import MixMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.knowledge.cost import CostModel
-from berylshift.process.knowledge.health import Health
-from berylshift.process.knowledge.load import LoadView
-from berylshift.process.knowledge.prefixes import PrefixIndex, prefix_hashes
+from berylshift.process.engine_state.cost_model import CostModel
+from berylshift.process.engine_state.health import Health
+from berylshift.process.engine_state.load_view import LoadView
+from berylshift.process.engine_state.prefix_index import PrefixIndex, prefix_hashes
 from berylshift.request.choice import Knowledge, LeastLateness, WorkItem
 from berylshift.settings import PolicySettings
 from berylshift.stand_ins.text import make_prompt
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -15,8 +15,8 @@
 from berylshift.connection.http_server import HttpServer
 from berylshift.connection.peer_codec import PeerCodec
 from berylshift.ids import ChangeId, HostName, Incarnation, TableVersion
-from berylshift.process.knowledge.load import LoadView, Share
-from berylshift.process.knowledge.prefixes import PrefixIndex
+from berylshift.process.engine_state.load_view import LoadView, Share
+from berylshift.process.engine_state.prefix_index import PrefixIndex
 from berylshift.process.membership.digest import Digest, Echo
 from berylshift.process.membership.members import Membership, make_incarnation
 from berylshift.targets import LoadReport, Role
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -13,12 +13,12 @@
 from berylshift.process.control.mix_meter import MixMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.control.pool_loop import ORDER_SECONDS, PoolLoop, PoolParts
-from berylshift.process.knowledge.cost import CostModel
-from berylshift.process.knowledge.health import Health
-from berylshift.process.knowledge.lengths import OutputLengths
-from berylshift.process.knowledge.load import LoadView
-from berylshift.process.knowledge.prefixes import PrefixIndex
-from berylshift.process.knowledge.report_poller import PollerParts, ReportPoller
+from berylshift.process.engine_state.cost_model import CostModel
+from berylshift.process.engine_state.health import Health
+from berylshift.process.engine_state.load_view import LoadView
+from berylshift.process.engine_state.output_lengths import OutputLengths
+from berylshift.process.engine_state.prefix_index import PrefixIndex
+from berylshift.process.engine_state.report_poller import PollerParts, ReportPoller
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import StoreBudget
--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -18,7 +18,7 @@
     TargetName,
 )
 from berylshift.messages.load_digest import CrashReport
-from berylshift.process.knowledge.load import Share
+from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
 from berylshift.process.membership.digest import Digest, Echo, Mix
 
--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -13,8 +13,8 @@
 from berylshift.process.directory.store_eras import StoreEras
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
-from berylshift.process.usage.true_time import TrueTime
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.filtered_clock import TrueTime
+from berylshift.process.usage.usage_counts import UsageBook
 from berylshift.process.usage.usage_loop import UsageLoop
 from berylshift.process.usage.windows import UsageTerms, UsageWindows
 from berylshift.settings import Settings
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -29,7 +29,7 @@
 )
 from berylshift.process.control.plans import PlanRow, Plans, plan_key
 from berylshift.process.control.roles import make_planner
-from berylshift.process.knowledge.load import LoadView
+from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.store_budget import Priority
 from berylshift.process.membership.members import Membership, host_of
 from berylshift.process.table.follower import TableHolder
--- a/berylshift/process/knowledge/cost.py
+++ b/berylshift/process/engine_state/cost_model.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from dataclasses import dataclass
 
-from berylshift.process.knowledge.load import Estimate
+from berylshift.process.engine_state.load_view import Estimate
 from berylshift.settings import PolicySettings
 from berylshift.targets import Role
 
--- a/berylshift/process/knowledge/report_poller.py
+++ b/berylshift/process/engine_state/report_poller.py
@@ -7,8 +7,8 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import TargetName
-from berylshift.process.knowledge.load import LoadView
-from berylshift.process.knowledge.prefixes import PrefixIndex
+from berylshift.process.engine_state.load_view import LoadView
+from berylshift.process.engine_state.prefix_index import PrefixIndex
 from berylshift.process.table.follower import TableHolder
 from berylshift.targets import EngineClient, TargetError
 
--- a/berylshift/process/membership/digest.py
+++ b/berylshift/process/membership/digest.py
@@ -4,7 +4,7 @@
 
 from berylshift.ids import Fingerprint, HostName, Incarnation, PoolName
 from berylshift.messages.load_digest import CrashReport
-from berylshift.process.knowledge.load import Share
+from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
 
 NO_STORE_AGE = 3_600.0
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -10,7 +10,7 @@
 from berylshift.clock import Clock
 from berylshift.process.control.mix_meter import MixMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.knowledge.load import LoadView
+from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.membership.digest import NO_STORE_AGE, Digest
 from berylshift.process.membership.members import Membership
--- a/berylshift/process/quarantine/crash_ledger.py
+++ b/berylshift/process/quarantine/crash_row_queue.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from berylshift.process.quarantine.crash_news import CrashKey
+from berylshift.process.quarantine.crash_gossip import CrashKey
 
 # Rows of one transaction, of which the store takes a hundred.
 MOST_IN_ONE = 40
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -17,14 +17,14 @@
 from berylshift.messages.fingerprint import head_in
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.process.quarantine.crash_ledger import CrashLedger
-from berylshift.process.quarantine.crash_news import TOLD_SECONDS, CrashKey, CrashNews
+from berylshift.process.quarantine.crash_gossip import TOLD_SECONDS, CrashKey, CrashNews
 from berylshift.process.quarantine.crash_record import (
     PROVEN_SECONDS,
     SUSPECT_CRASHES,
     Crash,
     CrashRecord,
 )
+from berylshift.process.quarantine.crash_row_queue import CrashLedger
 
 # What finished this lately stands beside the cause: callers that ask for the same thing
 # would be refused together else, at each end of a replica.
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -7,9 +7,9 @@
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.directory.store_watch import StoreClock
-from berylshift.process.quarantine.crash_ledger import RowsDue
-from berylshift.process.quarantine.crash_news import CrashKey
+from berylshift.process.quarantine.crash_gossip import CrashKey
 from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
+from berylshift.process.quarantine.crash_row_queue import RowsDue
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.store.crash_rows import CrashRow, CrashRows
 from berylshift.store.interfaces import PlatformError
--- a/berylshift/process/telling/digest_maker.py
+++ b/berylshift/process/telling/digest_maker.py
@@ -11,7 +11,7 @@
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.usage_counts import UsageBook
 
 
 @dataclass
--- a/berylshift/process/usage/usage_book.py
+++ b/berylshift/process/usage/usage_counts.py
@@ -14,7 +14,7 @@
     UsageReport,
     customer_hash,
 )
-from berylshift.process.usage.count_telling import CountTelling
+from berylshift.process.usage.counter_gossip import CountTelling
 from berylshift.process.usage.windows import UsageWindows
 
 # For how long a host tells that it has reported a window, in seconds.
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -15,8 +15,8 @@
 from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
 from berylshift.process.directory.store_eras import StoreEras
 from berylshift.process.duties.duty_lease import DutyLease, Grant, Refused
-from berylshift.process.usage.true_time import SAMPLE_SECONDS, TrueTime
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.filtered_clock import SAMPLE_SECONDS, TrueTime
+from berylshift.process.usage.usage_counts import UsageBook
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.store.interfaces import PlatformError
 
--- a/berylshift/request/baselines.py
+++ b/berylshift/request/baselines.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Result, Success
 
 from berylshift.ids import TargetName
-from berylshift.process.knowledge.cost import Prediction
+from berylshift.process.engine_state.cost_model import Prediction
 from berylshift.request.choice import Knowledge, Plan, Refusal, WorkItem, no_target
 from berylshift.request.pool import Pool
 from berylshift.targets import Role
--- a/berylshift/request/call_watching.py
+++ b/berylshift/request/call_watching.py
@@ -4,7 +4,7 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import InstanceId, TargetName
-from berylshift.process.knowledge.load import LoadView
+from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.request.crash_watch import CrashWatch
 from berylshift.request.fingerprint import Fingerprints
--- a/berylshift/request/choice.py
+++ b/berylshift/request/choice.py
@@ -17,10 +17,10 @@
 )
 from berylshift.process.control.mix_meter import MixMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.knowledge.cost import CostModel, Prediction
-from berylshift.process.knowledge.health import Health
-from berylshift.process.knowledge.load import Estimate, LoadView
-from berylshift.process.knowledge.prefixes import Prefixes, PrefixIndex
+from berylshift.process.engine_state.cost_model import CostModel, Prediction
+from berylshift.process.engine_state.health import Health
+from berylshift.process.engine_state.load_view import Estimate, LoadView
+from berylshift.process.engine_state.prefix_index import Prefixes, PrefixIndex
 from berylshift.request.messages import Reason, Weighed
 from berylshift.request.pool import Picker, Pool, Pools
 from berylshift.targets import Role
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -4,7 +4,7 @@
 from returns.result import Failure, Result, Success
 
 from berylshift.ids import AttemptId, PoolName, TargetName
-from berylshift.process.knowledge.prefixes import Prefixes, prefix_hashes
+from berylshift.process.engine_state.prefix_index import Prefixes, prefix_hashes
 from berylshift.request.assembly import AnswerAssembler, Verdict
 from berylshift.request.attempts import (
     ATTEMPT_BOUNDS,
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -10,7 +10,7 @@
 from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
 from berylshift.ids import PoolName, TargetName
 from berylshift.process.control.mix_meter import MixMeter
-from berylshift.process.knowledge.lengths import OutputLengths
+from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
 from berylshift.request.call_watching import CallWatching
--- a/berylshift/request/pool.py
+++ b/berylshift/request/pool.py
@@ -11,7 +11,7 @@
 from uhashring import HashRing
 
 from berylshift.ids import FleetName, TargetName, WorkName
-from berylshift.process.knowledge.load import LoadView
+from berylshift.process.engine_state.load_view import LoadView
 from berylshift.targets import Role
 from berylshift.version.rows import RowKind
 from berylshift.version.table import Candidate, Table
--- a/berylshift/tests/duty_world.py
+++ b/berylshift/tests/duty_world.py
@@ -11,8 +11,8 @@
 from berylshift.messages.usage import UsageReport
 from berylshift.process.directory.store_eras import EraSource, StoreEras
 from berylshift.process.duties.duty_lease import DutyLease
-from berylshift.process.usage.true_time import TrueTime
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.filtered_clock import TrueTime
+from berylshift.process.usage.usage_counts import UsageBook
 from berylshift.process.usage.usage_loop import UsageLoop
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -6,7 +6,7 @@
 
 from berylshift.ids import TargetName
 from berylshift.messages.retry_after import seconds_of
-from berylshift.process.knowledge.health import Health
+from berylshift.process.engine_state.health import Health
 from berylshift.request.messages import Outcome
 from berylshift.tests.world import call_service, plain_call, run_world, small_rows
 
--- a/berylshift/tests/test_process_load.py
+++ b/berylshift/tests/test_process_load.py
@@ -4,8 +4,8 @@
 import unittest
 
 from berylshift.ids import Incarnation
-from berylshift.process.knowledge.health import FAILURES_ALLOWED, Health
-from berylshift.process.knowledge.load import LoadView, Share
+from berylshift.process.engine_state.health import FAILURES_ALLOWED, Health
+from berylshift.process.engine_state.load_view import LoadView, Share
 from berylshift.process.limits.customer_limits import CustomerLimits, Demand
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import Priority, StoreBudget
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -8,7 +8,7 @@
 from berylshift.ids import DomainName, HostName
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import CrashReport
-from berylshift.process.knowledge.load import Share
+from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
 from berylshift.process.membership.digest import Digest, Echo, Mix
 from berylshift.process.membership.members import Membership, host_of, make_incarnation
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.process.quarantine.crash_news import (
+from berylshift.process.quarantine.crash_gossip import (
     AGAIN_SECONDS,
     MOST_CRASHES_TOLD,
     TOLD_SECONDS,
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -8,12 +8,12 @@
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import joined
 from berylshift.process.directory.store_watch import StoreClock
-from berylshift.process.quarantine.crash_ledger import (
+from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
+from berylshift.process.quarantine.crash_row_queue import (
     MOST_IN_ONE,
     MOST_WAITING,
     CrashLedger,
 )
-from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import (
     RETRY_SECONDS,
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -30,7 +30,7 @@
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.limits.arrival_budget import ArrivalBudget
-from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
+from berylshift.process.quarantine.crash_gossip import MOST_CRASHES_TOLD
 from berylshift.process.targets.limit_news import MOST_TOLD as MOST_LIMITS
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
 from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
--- a/berylshift/tests/test_usage_book.py
+++ b/berylshift/tests/test_usage_book.py
@@ -10,8 +10,8 @@
 from berylshift.ids import CustomerName
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.messages.usage import CustomerCount, RunCount, customer_hash
-from berylshift.process.usage.count_telling import MOST_TOLD, REPEAT_SECONDS
-from berylshift.process.usage.usage_book import WINDOWS_KEPT, UsageBook
+from berylshift.process.usage.counter_gossip import MOST_TOLD, REPEAT_SECONDS
+from berylshift.process.usage.usage_counts import WINDOWS_KEPT, UsageBook
 from berylshift.tests.support import EXPLORE
 from berylshift.tests.usage_support import book, no_usage
 
--- a/berylshift/tests/test_usage_windows.py
+++ b/berylshift/tests/test_usage_windows.py
@@ -3,7 +3,7 @@
 import unittest
 from datetime import UTC, datetime, timedelta
 
-from berylshift.process.usage.true_time import SAMPLES_KEPT, TrueTime
+from berylshift.process.usage.filtered_clock import SAMPLES_KEPT, TrueTime
 from berylshift.process.usage.windows import MOST_PLACES, UsageTerms, UsageWindows
 
 WINDOW = 100
--- a/berylshift/tests/usage_support.py
+++ b/berylshift/tests/usage_support.py
@@ -1,6 +1,6 @@
 """Usage books for tests."""
 
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.usage_counts import UsageBook
 from berylshift.process.usage.windows import UsageTerms, UsageWindows
 
 TERMS = UsageTerms(seconds=5.0, delay=10.0)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -105,7 +105,7 @@
     ),
     Proof(
         "counts are told again until their window is done",
-        "process/usage/count_telling.py",
+        "process/usage/counter_gossip.py",
         "            if now >= told.told_at + REPEAT_SECONDS\n",
         "            if told.told_at == NEVER\n",
         "test_usage_book.UsageBookTest",
@@ -742,7 +742,7 @@
     ),
     Proof(
         "what is held back is told again",
-        "process/quarantine/crash_news.py",
+        "process/quarantine/crash_gossip.py",
         "if now - self._told_again_at >= AGAIN_SECONDS:",
         "if False:",
         "test_quarantine_spread.SpreadTest.test_a_host_that_starts_again_hears_of_it",
