--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -147,7 +147,7 @@
         self.quarantine_loop = QuarantineLoop(
             self.quarantine, ports.crashes, self.watch.clock, ports.clock
         )
-        self.watch.eras.tell(self.quarantine.ledger.write_again)
+        self.watch.eras.tell(self.quarantine.row_queue.rewrite_all)
         parts = RelayParts(
             clock=ports.clock,
             language=ports.language,
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -61,8 +61,8 @@
     def _tell(self) -> None:
         now = self._queue.monotonic()
         entries, reads = self.loads.entries(now), self.warm.to_tell(now)
-        crashes = self.quarantine.reports(now)
-        finished = self.quarantine.finishes(now)
+        crashes = self.quarantine.take_reports(now)
+        finished = self.quarantine.pending_completions(now)
         due = now - self._last_at >= REPEAT_SECONDS
         if entries != self._last or reads or crashes or finished or due:
             self._last, self._last_at = entries, now
@@ -84,4 +84,4 @@
         now = self._queue.monotonic()
         self.peers.take(digest, now)
         self.warm.heard(digest.reads)
-        self.quarantine.heard(digest.crashes, digest.finished, now, is_near=False)
+        self.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=False)
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -68,7 +68,7 @@
         """Return whether the host holds the prompt back; refuse it then."""
         if not self._fleet.holds_back:
             return False
-        wait = self._host.quarantine.wait(self._arrival.fingerprint, now)
+        wait = self._host.quarantine.remaining_seconds(self._arrival.fingerprint, now)
         if wait <= 0:
             return False
         self._fleet.note_held(self._arrival)
@@ -205,9 +205,9 @@
         now, request = self._queue.monotonic(), self._arrival.fingerprint
         quarantine = self._host.quarantine
         if good:
-            quarantine.finished(request, now)
+            quarantine.record_completion(request, now)
         elif not self._fleet.lives(target):
-            quarantine.broke_off(request, target.instance, now)
+            quarantine.record_crash(request, target.instance, now)
 
     def _end(self, good: bool) -> None:
         """End the prompt; a caller whose answer broke off comes back."""
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -76,7 +76,7 @@
         parts.limits.peer_demand(digest.host, digest.demands, now)
         parts.meter.peer_mixes(digest.host, digest.mixes, now)
         # Each host tells few others: what is news here is told on.
-        parts.quarantine.heard(digest.crashes, digest.finished, now, is_near=True)
+        parts.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
         peer = parts.members.peers[digest.host]
         if peer.entry is None:
             return
@@ -140,8 +140,8 @@
             demands=parts.limits.demands(now),
             plan_version=parts.plans.total,
             mixes=parts.meter.own(now),
-            crashes=list(parts.quarantine.reports(now)),
-            finished=list(parts.quarantine.finishes(now)),
+            crashes=list(parts.quarantine.take_reports(now)),
+            finished=list(parts.quarantine.pending_completions(now)),
         )
         parts.members.note_sent(entry.host, sequence, now)
         await parts.link.send(entry.peer_address, digest)
--- a/berylshift/process/quarantine/__init__.py
+++ b/berylshift/process/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests under which replicas ended, and how long they are held back."""
+"""Quarantine of requests that crash replicas."""
--- a/berylshift/process/quarantine/crash_gossip.py
+++ b/berylshift/process/quarantine/crash_gossip.py
@@ -1,4 +1,4 @@
-"""What of a quarantine is to be told to the other hosts, and for how long."""
+"""Selects which crashes and completions are gossiped to other hosts, and how long."""
 
 from collections import OrderedDict
 from collections.abc import Callable
@@ -7,98 +7,114 @@
 
 from berylshift.ids import Fingerprint
 
-# News are told for this long: in two sums of a collector, or six digests of a host that
-# tells all others itself; one or two of them may be lost.
-TOLD_SECONDS = 0.5
-# How often requests that are held back are told again, for hosts that have started,
-# stood still or were cut off since.
-AGAIN_SECONDS = 2.0
-# Replicas that broke off told in one digest: a sixth of a datagram.
-MOST_CRASHES_TOLD = 16
-MOST_FINISHES_TOLD = 8
-# News that wait to be told; of more, the oldest are dropped.
-MOST_WAITING = 512
+# How long an update is sent: it is in two sums of a collector, or in six digests of a
+# host that sends to all others itself, so that one or two of them may be lost.
+GOSSIP_SECONDS = 0.5
+# How often crashes of quarantined requests are sent again, for hosts that have started,
+# were paused or were partitioned in the meantime.
+RESEND_SECONDS = 2.0
+# Crashes in one digest; they take up a sixth of a datagram.
+MAX_CRASHES_PER_DIGEST = 16
+MAX_COMPLETIONS_PER_DIGEST = 8
+# Updates that wait to be sent; beyond that the oldest are dropped.
+MAX_PENDING_UPDATES = 512
 
 CrashKey = tuple[Fingerprint, int]
 Key = TypeVar("Key")
 
 
 @dataclass
-class _News:
-    """Since when something is told, and how often it was.
+class _Update:
+    """An update, since when it is being sent, and how many times it was.
 
-    ``is_near``: a host of this domain saw it.
+    ``is_own_domain``: it was observed by a host of this host's failure domain.
     """
 
     since: float
-    is_near: bool
-    told: int = 0
+    is_own_domain: bool
+    sent_count: int = 0
 
 
-class CrashNews:
-    """Times in seconds; replicas by the hashes of their names."""
+class CrashGossip:
+    """Pending updates; times in seconds, replicas by the hashes of their names."""
 
-    def __init__(self, held: Callable[[], list[CrashKey]], told_seconds: float):
-        """Tell news for ``told_seconds``, and again of what ``held`` returns.
+    def __init__(
+        self, quarantined: Callable[[], list[CrashKey]], gossip_seconds: float
+    ):
+        """Send each update for ``gossip_seconds``, and resend ``quarantined``.
 
-        What ``held`` returns begins with the most important.
+        ``quarantined`` returns the crashes of quarantined requests, the most important
+        first.
         """
-        self._held = held
-        self._told_seconds = told_seconds
-        self._crashes: OrderedDict[CrashKey, _News] = OrderedDict()
-        self._finishes: OrderedDict[Fingerprint, _News] = OrderedDict()
-        self._told_again_at = float("-inf")
-
-    def crashed(
-        self, request: Fingerprint, target: int, now: float, is_near: bool
+        self._quarantined = quarantined
+        self._gossip_seconds = gossip_seconds
+        self._crashes: OrderedDict[CrashKey, _Update] = OrderedDict()
+        self._completions: OrderedDict[Fingerprint, _Update] = OrderedDict()
+        self._resent_at = float("-inf")
+
+    def add_crash(
+        self, request: Fingerprint, target: int, now: float, is_own_domain: bool
     ) -> None:
-        """Have it told that a replica broke off under a request."""
-        _add(self._crashes, (request, target), _News(now, is_near))
-
-    def finished(self, request: Fingerprint, now: float, is_near: bool) -> None:
-        """Have it told that a suspect ran to its end."""
-        _add(self._finishes, request, _News(now, is_near))
-
-    def crashes_due(self, now: float, near_alone: bool) -> int:
-        """Return how many replicas that broke off are to be told of now."""
-        if now - self._told_again_at >= AGAIN_SECONDS:
-            self._told_again_at = now
-            for key in reversed(self._held()[:MOST_CRASHES_TOLD]):
-                _add(self._crashes, key, _News(now, True))
-        return min(MOST_CRASHES_TOLD, len(self._due(self._crashes, now, near_alone)))
-
-    def take_crashes(self, now: float, near_alone: bool) -> list[CrashKey]:
-        """Return what is told in this digest: what was told least often goes first.
-
-        Each request that ran on a replica may be the cause of its end, and a digest may
-        hold only a part of them.
+        """Add the crash of a replica that was running a request."""
+        _add(self._crashes, (request, target), _Update(now, is_own_domain))
+
+    def add_completion(
+        self, request: Fingerprint, now: float, is_own_domain: bool
+    ) -> None:
+        """Add the completion of a suspect request."""
+        _add(self._completions, request, _Update(now, is_own_domain))
+
+    def count_pending_crashes(self, now: float, own_domain_only: bool) -> int:
+        """Return how many crashes the next digest holds."""
+        if now - self._resent_at >= RESEND_SECONDS:
+            self._resent_at = now
+            for key in reversed(self._quarantined()[:MAX_CRASHES_PER_DIGEST]):
+                _add(self._crashes, key, _Update(now, True))
+        return min(
+            MAX_CRASHES_PER_DIGEST,
+            len(self._pending(self._crashes, now, own_domain_only)),
+        )
+
+    def take_crashes(self, now: float, own_domain_only: bool) -> list[CrashKey]:
+        """Return the crashes for this digest, those sent least often first.
+
+        Each request that was running on a crashed replica may be the cause, and a
+        digest may hold only some of them.
         """
-        count = self.crashes_due(now, near_alone)
-        due = self._due(self._crashes, now, near_alone)
-        taken = sorted(due, key=lambda key: self._crashes[key].told)[:count]
+        count = self.count_pending_crashes(now, own_domain_only)
+        pending = self._pending(self._crashes, now, own_domain_only)
+        taken = sorted(pending, key=lambda key: self._crashes[key].sent_count)[:count]
         for key in taken:
-            self._crashes[key].told += 1
+            self._crashes[key].sent_count += 1
         return taken
 
-    def finishes_due(self, now: float, near_alone: bool) -> tuple[Fingerprint, ...]:
-        """Return the suspects that ran to their end, the newest first."""
-        return tuple(self._due(self._finishes, now, near_alone)[:MOST_FINISHES_TOLD])
-
-    def _due(
-        self, waiting: OrderedDict[Key, _News], now: float, near_alone: bool
+    def pending_completions(
+        self, now: float, own_domain_only: bool
+    ) -> tuple[Fingerprint, ...]:
+        """Return the suspect requests that completed, the newest first."""
+        return tuple(
+            self._pending(self._completions, now, own_domain_only)[
+                :MAX_COMPLETIONS_PER_DIGEST
+            ]
+        )
+
+    def _pending(
+        self, updates: OrderedDict[Key, _Update], now: float, own_domain_only: bool
     ) -> list[Key]:
-        """Drop what was told for long enough; return the rest, the newest first."""
-        while waiting:
-            key, news = next(iter(waiting.items()))
-            if now - news.since < self._told_seconds:
+        """Drop updates that were sent long enough; return the rest, the newest first."""
+        while updates:
+            key, update = next(iter(updates.items()))
+            if now - update.since < self._gossip_seconds:
                 break
-            del waiting[key]
-        newest = reversed(waiting.items())
-        return [key for key, news in newest if news.is_near or not near_alone]
-
-
-def _add(waiting: OrderedDict[Key, _News], key: Key, news: _News) -> None:
-    waiting[key] = news
-    waiting.move_to_end(key)
-    if len(waiting) > MOST_WAITING:
-        waiting.popitem(last=False)
+            del updates[key]
+        newest = reversed(updates.items())
+        return [
+            key for key, update in newest if update.is_own_domain or not own_domain_only
+        ]
+
+
+def _add(updates: OrderedDict[Key, _Update], key: Key, update: _Update) -> None:
+    updates[key] = update
+    updates.move_to_end(key)
+    if len(updates) > MAX_PENDING_UPDATES:
+        updates.popitem(last=False)
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -1,13 +1,15 @@
-"""Requests under which replicas end, kept from ending more of them.
-
-A request that crashes whatever runs it (a query of death) comes again, at any host: its
-caller retries. A host that forgets it with its try sends it to the next replica, which
-ends with all that runs there. So each host keeps which replicas broke off under which
-request, tells the others, and holds back a request under which two have ended.
-
-All that ran on a replica that ended is suspect, and one of it did it. What tells them
-apart: most of it never runs on two that end; what finishes anywhere crashes nothing;
-and a replica that goes on answering has not ended.
+"""Quarantine of requests that crash the replicas that run them.
+
+A request that crashes any replica (a query of death) is retried by its caller, at any
+host. A host that forgets it after each attempt sends it to the next replica, which
+crashes along with everything that runs there. So each host records which replicas
+crashed while they ran a request, shares that with the other hosts, and quarantines a
+request during which two replicas have crashed.
+
+Every request that ran on a crashed replica is suspect, and one of them is the cause.
+Three observations tell them apart: most requests never run on two replicas that crash;
+a request that completes anywhere crashes nothing; and a replica that keeps responding
+has not crashed.
 """
 
 from collections import OrderedDict
@@ -17,286 +19,308 @@
 from berylshift.messages.fingerprint import head_in
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.process.quarantine.crash_gossip import TOLD_SECONDS, CrashKey, CrashNews
+from berylshift.process.quarantine.crash_gossip import (
+    GOSSIP_SECONDS,
+    CrashGossip,
+    CrashKey,
+)
 from berylshift.process.quarantine.crash_record import (
-    PROVEN_SECONDS,
-    SUSPECT_CRASHES,
+    MIN_SUSPECT_CRASHES,
+    PROVEN_QUARANTINE_SECONDS,
     Crash,
     CrashRecord,
 )
-from berylshift.process.quarantine.crash_row_queue import CrashLedger
-
-# What finished this lately stands beside the cause: callers that ask for the same thing
-# would be refused together else, at each end of a replica.
-FINISHED_SECONDS = 60.0
-# A replica that answers a request sent this soon after it broke off has not ended: it
-# takes seconds to start again.
-ALIVE_SECONDS = 1.5
-# A replica has ended once it broke off under so many requests: one alone may be a
-# connection that was reset.
-ENDED_REQUESTS = 2
-# For how many heartbeats that is believed: by then its entry has lapsed, or it is there
-# again under its name.
-ENDED_HEARTBEATS = 3
-# Bounds on this process's memory; of more, the oldest are forgotten. Requests that are
-# held back are kept apart, so that many harmless ones can't push them out.
-MOST_NOTED = 4096
-MOST_HELD = 1024
-MOST_FINISHED = 4096
+from berylshift.process.quarantine.crash_row_queue import CrashRowQueue
+
+# A request that completed this recently is not the cause of a crash. Otherwise all
+# callers that ask for the same resource would be refused at each replica crash.
+COMPLETED_EXEMPT_SECONDS = 60.0
+# A replica that responds to a request sent this soon after its connection broke has not
+# crashed: a restart takes seconds.
+SURVIVED_SECONDS = 1.5
+# A replica counts as crashed once connections broke under this many requests. A single
+# one may be a connection reset.
+MIN_BROKEN_REQUESTS = 2
+# For how many heartbeats a replica counts as crashed: by then its entry has expired, or
+# it is up again under its name.
+CRASHED_HEARTBEATS = 3
+# Memory bounds; beyond them the oldest records are dropped. Quarantined requests are
+# stored separately, so that many harmless ones can't evict them.
+MAX_OBSERVED = 4096
+MAX_QUARANTINED = 1024
+MAX_COMPLETED = 4096
 
 
 class Quarantine:
-    """What this host knows; times in seconds on the monotonic clock."""
+    """Crash records of one host; times in seconds on the monotonic clock."""
 
-    def __init__(self, heartbeat: float, told_seconds: float = TOLD_SECONDS) -> None:
-        """Start knowing nothing; replicas tell that they live each ``heartbeat``.
+    def __init__(
+        self, heartbeat: float, gossip_seconds: float = GOSSIP_SECONDS
+    ) -> None:
+        """Start without records; replicas send heartbeats every ``heartbeat`` seconds.
 
-        News is told for ``told_seconds``.
+        Updates are sent to other hosts for ``gossip_seconds``.
         """
-        self._lapse_seconds = LAPSE_HEARTBEATS * heartbeat
-        self._ended_seconds = ENDED_HEARTBEATS * heartbeat
-        self._noted: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
-        self._held: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
-        self._finished: OrderedDict[Fingerprint, float] = OrderedDict()
-        self._under: dict[int, set[Fingerprint]] = {}
-        self._news = CrashNews(self._held_reports, told_seconds)
-        self.ledger = CrashLedger()
+        self._expiry_seconds = LAPSE_HEARTBEATS * heartbeat
+        self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat
+        self._observed: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
+        self._quarantined: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
+        self._completed: OrderedDict[Fingerprint, float] = OrderedDict()
+        self._requests_by_target: dict[int, set[Fingerprint]] = {}
+        self._gossip = CrashGossip(self._quarantined_keys, gossip_seconds)
+        self.row_queue = CrashRowQueue()
 
     def __len__(self) -> int:
-        """Return how many requests two replicas or more ended under."""
-        return len(self._held)
+        """Return how many requests have crashed two replicas or more."""
+        return len(self._quarantined)
 
-    # What this host sees
+    # Events at this host
 
-    def broke_off(self, request: Fingerprint, instance: InstanceId, now: float) -> int:
-        """Note that a replica broke off while it had a request.
+    def record_crash(
+        self, request: Fingerprint, instance: InstanceId, now: float
+    ) -> int:
+        """Record that the connection to a replica broke while it ran a request.
 
-        Return how many replicas ended under the request by now.
+        Return how many replicas have crashed during the request so far.
         """
-        if self._finished_lately(request, now):
+        if self._completed_recently(request, now):
             return 0
         target = target_hash(instance)
-        self._note(request, target, now)
-        self._news.crashed(request, target, now, is_near=True)
-        self._have_written(request)
-        return self.crashes(request)
+        self._add_crash(request, target, now)
+        self._gossip.add_crash(request, target, now, is_own_domain=True)
+        self._queue_rows(request)
+        return self.crash_count(request)
 
-    def finished(self, request: Fingerprint, now: float) -> None:
-        """Note that a request ran to its end: it crashes nothing."""
-        self._clear(request, now, is_near=True)
+    def record_completion(self, request: Fingerprint, now: float) -> None:
+        """Record that a request completed, which shows that it crashes nothing."""
+        self._clear(request, now, is_own_domain=True)
 
-    def lives(self, instance: InstanceId, now: float) -> None:
-        """Note that a replica took a connection after it had broken off."""
-        self.answered(instance, now, None)
+    def record_reconnect(self, instance: InstanceId, now: float) -> None:
+        """Record that a replica accepted a connection after another one broke."""
+        self.record_response(instance, now, None)
 
-    def answered(
+    def record_response(
         self, instance: InstanceId, sent_at: float, listed_at: float | None
     ) -> None:
-        """Note that a replica answered what was sent to it at ``sent_at``.
+        """Record that a replica responded to a request that was sent at ``sent_at``.
 
-        ``listed_at``: as of when the store is known to list it, by this very start. An
-        answer seconds after a replica broke off may be of its next start.
+        ``listed_at``: the time as of which the store is known to list this very start
+        of the replica. A response seconds after a crash may come from its next start.
         """
         target = target_hash(instance)
-        for request in list(self._under.get(target, ())):
+        for request in list(self._requests_by_target.get(target, ())):
             crash = self._record(request).crashes[target]
-            if self._outlived(crash, sent_at, listed_at):
-                crash.void = True
-                self.ledger.drop((request, target))
-                self._sort(request)
+            if self._survived(crash, sent_at, listed_at):
+                crash.is_retracted = True
+                self.row_queue.drop((request, target))
+                self._reclassify(request)
 
-    def _outlived(self, crash: Crash, sent_at: float, listed_at: float | None) -> bool:
-        """Return whether a replica that answered did not end when it broke off."""
+    def _survived(self, crash: Crash, sent_at: float, listed_at: float | None) -> bool:
+        """Return whether a response shows that the replica did not crash."""
         if sent_at <= crash.at:
             return False
-        if sent_at <= crash.at + ALIVE_SECONDS:
+        if sent_at <= crash.at + SURVIVED_SECONDS:
             return True
-        return listed_at is not None and listed_at > crash.at + self._lapse_seconds
+        return listed_at is not None and listed_at > crash.at + self._expiry_seconds
 
-    # What is decided
+    # Queries
 
-    def wait(self, request: Fingerprint, now: float, begun: bool = False) -> float:
-        """Return for how many seconds a request is held back; 0: it may go out.
+    def remaining_seconds(
+        self, request: Fingerprint, now: float, response_started: bool = False
+    ) -> float:
+        """Return how long a request stays quarantined; 0: it may be sent.
 
-        One whose answer has ``begun`` is not held back while it is only suspect.
+        A request whose response has started is let through while it is only suspect.
         """
-        record = self._held.get(request)
-        if record is None or (begun and not record.is_proven):
+        record = self._quarantined.get(request)
+        if record is None or (response_started and not record.is_proven):
             return 0.0
-        return max(0.0, record.held_until - now)
+        return max(0.0, record.quarantined_until - now)
 
     @property
     def has_suspects(self) -> bool:
-        """Return whether a replica broke off under any request."""
-        return bool(self._under)
+        """Return whether a crash is recorded for any request."""
+        return bool(self._requests_by_target)
 
-    def has_ended(self, instance: InstanceId, now: float) -> bool:
-        """Return whether a replica is known to have ended, though it may be listed."""
+    def has_crashed(self, instance: InstanceId, now: float) -> bool:
+        """Return whether a replica is known to have crashed, even if still listed."""
         target, found = target_hash(instance), 0
-        for request in self._under.get(target, ()):
+        for request in self._requests_by_target.get(target, ()):
             record = self._record(request)
-            if record is None or not record.has_ended(target):
+            if record is None or not record.has_crashed(target):
                 continue
-            found += now - record.crashes[target].at < self._ended_seconds
-            if found >= ENDED_REQUESTS:
+            found += now - record.crashes[target].at < self._crashed_seconds
+            if found >= MIN_BROKEN_REQUESTS:
                 return True
         return False
 
-    def crashes(self, request: Fingerprint) -> int:
-        """Return how many replicas ended under a request."""
+    def crash_count(self, request: Fingerprint) -> int:
+        """Return how many replicas have crashed during a request."""
         record = self._record(request)
-        return 0 if record is None else record.count
+        return 0 if record is None else record.crash_count
 
-    def age_of(self, key: CrashKey, now: float) -> float:
-        """Return how long ago a replica ended under a request; 0 if not known."""
+    def crash_age(self, key: CrashKey, now: float) -> float:
+        """Return the seconds since a replica crashed during a request; 0: unknown."""
         request, target = key
         record = self._record(request)
         crash = None if record is None else record.crashes.get(target)
         return 0.0 if crash is None else now - crash.at
 
-    def may_hold(self, head: int) -> bool:
-        """Return whether a request is held back that begins with such a head."""
-        return any(head_in(request) == head for request in self._held)
+    def may_be_quarantined(self, head: int) -> bool:
+        """Return whether any quarantined request has this hash of its head."""
+        return any(head_in(request) == head for request in self._quarantined)
 
-    # What hosts tell each other
+    # Exchange with other hosts
 
-    def heard(
+    def merge(
         self,
         crashes: Iterable[CrashReport],
-        finished: Iterable[Fingerprint],
+        completed: Iterable[Fingerprint],
         now: float,
-        is_near: bool,
+        is_own_domain: bool,
     ) -> None:
-        """Take over what another host tells; ``is_near``: of its own domain's hosts.
+        """Merge what another host has sent.
 
-        Only what is news here is told on, so that it goes round once.
+        ``is_own_domain``: it comes from a host of this failure domain. Only what is new
+        here is passed on, so that each update makes a single round.
         """
-        for request in finished:
-            self._clear(request, now, is_near)
+        for request in completed:
+            self._clear(request, now, is_own_domain)
         for report in crashes:
-            self._hear(report, now, is_near)
+            self._merge_report(report, now, is_own_domain)
 
-    def _hear(self, report: CrashReport, now: float, is_near: bool) -> None:
+    def _merge_report(
+        self, report: CrashReport, now: float, is_own_domain: bool
+    ) -> None:
         at = now - report.age
-        outlived = report.age >= PROVEN_SECONDS
-        if outlived or self._finished_lately(report.request, now):
+        is_expired = report.age >= PROVEN_QUARANTINE_SECONDS
+        if is_expired or self._completed_recently(report.request, now):
             return
-        if self._knows(report.request, report.target, at):
+        if self._is_known(report.request, report.target, at):
             return
-        self._note(report.request, report.target, at)
-        self._news.crashed(report.request, report.target, now, is_near)
+        self._add_crash(report.request, report.target, at)
+        self._gossip.add_crash(report.request, report.target, now, is_own_domain)
 
-    def _knows(self, request: Fingerprint, target: int, at: float) -> bool:
-        """Return whether that a replica broke off at a time is no news.
+    def _is_known(self, request: Fingerprint, target: int, at: float) -> bool:
+        """Return whether a crash at a given time is already recorded.
 
-        One that turned out to live may end later.
+        A replica whose crash was retracted may crash later.
         """
         record = self._record(request)
         crash = None if record is None else record.crashes.get(target)
         if crash is None:
             return False
-        return not crash.void or at <= crash.at + ALIVE_SECONDS
-
-    def reports(self, now: float, near_alone: bool = False) -> tuple[CrashReport, ...]:
-        """Return what the next digest tells of replicas that broke off."""
-        self._forget_old(now)
-        due = self._news.take_crashes(now, near_alone)
+        return not crash.is_retracted or at <= crash.at + SURVIVED_SECONDS
+
+    def take_reports(
+        self, now: float, own_domain_only: bool = False
+    ) -> tuple[CrashReport, ...]:
+        """Return the crash reports for the next digest."""
+        self._expire(now)
+        due = self._gossip.take_crashes(now, own_domain_only)
         found = [(request, target, self._record(request)) for request, target in due]
         return tuple(
             CrashReport(request, target, now - record.crashes[target].at)
             for request, target, record in found
-            if record is not None and record.has_ended(target)
+            if record is not None and record.has_crashed(target)
         )
 
-    def reports_due(self, now: float, near_alone: bool = False) -> int:
-        """Return how many reports the next digest has, at the most."""
-        return self._news.crashes_due(now, near_alone)
+    def count_pending_reports(self, now: float, own_domain_only: bool = False) -> int:
+        """Return the maximum number of crash reports in the next digest."""
+        return self._gossip.count_pending_crashes(now, own_domain_only)
 
-    def has_news(self, now: float) -> bool:
-        """Return whether the other hosts are to be told of anything."""
-        return bool(self.reports_due(now) or self.finishes(now))
+    def has_updates(self, now: float) -> bool:
+        """Return whether there is anything to send to the other hosts."""
+        return bool(self.count_pending_reports(now) or self.pending_completions(now))
 
-    def finishes(self, now: float, near_alone: bool = False) -> tuple[Fingerprint, ...]:
-        """Return the suspects that ran to their end, for the other hosts."""
-        return self._news.finishes_due(now, near_alone)
+    def pending_completions(
+        self, now: float, own_domain_only: bool = False
+    ) -> tuple[Fingerprint, ...]:
+        """Return the suspect requests that completed, for the other hosts."""
+        return self._gossip.pending_completions(now, own_domain_only)
 
-    def _held_reports(self) -> list[tuple[Fingerprint, int]]:
-        """Return what hosts that missed it have to hear again, the newest first."""
+    def _quarantined_keys(self) -> list[tuple[Fingerprint, int]]:
+        """Return the crashes to resend to hosts that missed them, the newest first."""
         return [
             (request, target)
-            for request, record in reversed(self._held.items())
+            for request, record in reversed(self._quarantined.items())
             for target in record.crashes
-            if record.has_ended(target)
+            if record.has_crashed(target)
         ]
 
     # Records
 
-    def _clear(self, request: Fingerprint, now: float, is_near: bool) -> None:
-        """Forget what was held against a request, and believe no older word of it.
+    def _clear(self, request: Fingerprint, now: float, is_own_domain: bool) -> None:
+        """Remove the record of a completed request and reject older reports of it.
 
-        Hosts that have not heard yet go on telling that it is held back.
+        Hosts that haven't received the completion keep sending that it is quarantined.
         """
-        self._finished[request] = now
-        self._finished.move_to_end(request)
-        if len(self._finished) > MOST_FINISHED:
-            self._finished.popitem(last=False)
-        if self._drop(request):
-            self._news.finished(request, now, is_near)
+        self._completed[request] = now
+        self._completed.move_to_end(request)
+        if len(self._completed) > MAX_COMPLETED:
+            self._completed.popitem(last=False)
+        if self._remove(request):
+            self._gossip.add_completion(request, now, is_own_domain)
 
     def _record(self, request: Fingerprint) -> CrashRecord | None:
-        return self._held.get(request) or self._noted.get(request)
+        return self._quarantined.get(request) or self._observed.get(request)
 
-    def _note(self, request: Fingerprint, target: int, at: float) -> None:
+    def _add_crash(self, request: Fingerprint, target: int, at: float) -> None:
         record = self._record(request)
         if record is None:
-            record = self._noted[request] = CrashRecord()
+            record = self._observed[request] = CrashRecord()
         record.crashes[target] = Crash(at)
-        self._under.setdefault(target, set()).add(request)
-        self._sort(request)
-        for records, most in ((self._noted, MOST_NOTED), (self._held, MOST_HELD)):
-            if len(records) > most:
-                self._drop(next(iter(records)))
-
-    def _sort(self, request: Fingerprint) -> None:
-        """Keep a record among those of its kind, as the newest."""
-        record = self._noted.pop(request, None) or self._held.pop(request)
-        is_held = record.count >= SUSPECT_CRASHES
-        (self._held if is_held else self._noted)[request] = record
-
-    def _drop(self, request: Fingerprint) -> bool:
-        """Forget a record; return whether there was one."""
-        record = self._noted.pop(request, None) or self._held.pop(request, None)
+        self._requests_by_target.setdefault(target, set()).add(request)
+        self._reclassify(request)
+        for records, max_records in (
+            (self._observed, MAX_OBSERVED),
+            (self._quarantined, MAX_QUARANTINED),
+        ):
+            if len(records) > max_records:
+                self._remove(next(iter(records)))
+
+    def _reclassify(self, request: Fingerprint) -> None:
+        """Move a record to the observed or the quarantined ones, as the newest."""
+        record = self._observed.pop(request, None) or self._quarantined.pop(request)
+        is_quarantined = record.crash_count >= MIN_SUSPECT_CRASHES
+        (self._quarantined if is_quarantined else self._observed)[request] = record
+
+    def _remove(self, request: Fingerprint) -> bool:
+        """Remove a record; return whether there was one."""
+        record = self._observed.pop(request, None) or self._quarantined.pop(
+            request, None
+        )
         if record is None:
             return False
         for target in record.crashes:
-            self.ledger.drop((request, target))
-            self._under[target].discard(request)
-            if not self._under[target]:
-                del self._under[target]
+            self.row_queue.drop((request, target))
+            self._requests_by_target[target].discard(request)
+            if not self._requests_by_target[target]:
+                del self._requests_by_target[target]
         return True
 
-    def _have_written(self, request: Fingerprint) -> None:
-        """Keep a request that is held back in the store.
+    def _queue_rows(self, request: Fingerprint) -> None:
+        """Queue the rows of a quarantined request for the store.
 
-        The host that sees the replica end writes what all hosts have seen: of one end
-        many hosts hear, and few see it.
+        The host that observes a crash writes the crashes that all hosts observed: many
+        hosts receive the report of a crash, but few observe it themselves.
         """
-        record = self._held.get(request)
+        record = self._quarantined.get(request)
         if record is None:
             return
         for target in record.crashes:
-            if record.has_ended(target):
-                self.ledger.put((request, target))
+            if record.has_crashed(target):
+                self.row_queue.put((request, target))
 
-    def _finished_lately(self, request: Fingerprint, now: float) -> bool:
-        at = self._finished.get(request)
-        return at is not None and now - at < FINISHED_SECONDS
+    def _completed_recently(self, request: Fingerprint, now: float) -> bool:
+        at = self._completed.get(request)
+        return at is not None and now - at < COMPLETED_EXEMPT_SECONDS
 
-    def _forget_old(self, now: float) -> None:
-        """Drop records, the oldest of each kind first, that say nothing any more."""
-        for records in (self._noted, self._held):
+    def _expire(self, now: float) -> None:
+        """Remove records that have expired, the oldest of each kind first."""
+        for records in (self._observed, self._quarantined):
             while records:
                 request, record = next(iter(records.items()))
-                if now - record.last_at < PROVEN_SECONDS:
+                if now - record.last_crash_at < PROVEN_QUARANTINE_SECONDS:
                     break
-                self._drop(request)
+                self._remove(request)
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -1,4 +1,4 @@
-"""Keeps in the store what no host may forget of requests that end replicas."""
+"""Persists crash records in the store, so that they survive a restart of all hosts."""
 
 import logging
 
@@ -8,17 +8,18 @@
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.directory.store_watch import StoreClock
 from berylshift.process.quarantine.crash_gossip import CrashKey
-from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
-from berylshift.process.quarantine.crash_row_queue import RowsDue
+from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
+from berylshift.process.quarantine.crash_row_queue import RowBatch
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.store.crash_rows import CrashRow, CrashRows
 from berylshift.store.interfaces import PlatformError
 
 logger = logging.getLogger(__name__)
 
-# How soon a row is written: the hosts tell each other sooner, it is for their end.
+# The write interval. Hosts gossip faster than this; the rows only matter once the hosts
+# themselves have stopped.
 WRITE_SECONDS = 0.25
-# The pause after a call that failed.
+# The pause after a failed call.
 RETRY_SECONDS = 1.0
 
 
@@ -32,7 +33,7 @@
         store_clock: StoreClock,
         clock: Clock,
     ):
-        """Keep ``quarantine`` in ``rows``, whose times are by ``store_clock``."""
+        """Persist ``quarantine`` in ``rows``, whose times are by ``store_clock``."""
         self._quarantine = quarantine
         self._rows = rows
         self._store_clock = store_clock
@@ -48,7 +49,7 @@
                 await trio.sleep(RETRY_SECONDS)
 
     async def _read(self) -> bool:
-        """Take over what hosts before this one have written."""
+        """Load the rows of earlier processes; return whether the read succeeded."""
         try:
             found = await self._rows.read()
         except PlatformError as exc:
@@ -56,40 +57,41 @@
             return False
         now = self._clock.monotonic()
         reports = [_report(row, found.store_ms) for row in found.rows]
-        self._quarantine.heard(reports, (), now, is_near=False)
+        self._quarantine.merge(reports, (), now, is_own_domain=False)
         for row, report in zip(found.rows, reports, strict=True):
-            if report.age >= PROVEN_SECONDS:
-                self._quarantine.ledger.drop_foreign((row.request, row.target))
+            if report.age >= PROVEN_QUARANTINE_SECONDS:
+                self._quarantine.row_queue.drop_foreign((row.request, row.target))
         if found.rows:
             logger.info("quarantine read", extra={"rows": len(found.rows)})
         return True
 
     async def _write(self) -> bool:
-        """Write and remove what is due; return whether the store was well."""
-        due = self._quarantine.ledger.due()
+        """Write and remove what is queued; return whether the store call succeeded."""
+        batch = self._quarantine.row_queue.next_batch()
         now_ms = self._store_clock.now_ms()
-        if due.empty or now_ms is None:
+        if batch.is_empty or now_ms is None:
             return True
         try:
-            await self._rows.change(*self._changes(due, now_ms))
+            await self._rows.change(*self._changes(batch, now_ms))
         except PlatformError as exc:
             logger.info("quarantine not written", extra={"reason": str(exc)})
             return False
-        self._quarantine.ledger.done(due)
+        self._quarantine.row_queue.mark_committed(batch)
         logger.info(
-            "quarantine written", extra={"put": len(due.put), "removed": len(due.drop)}
+            "quarantine written",
+            extra={"put": len(batch.put), "removed": len(batch.drop)},
         )
         return True
 
     def _changes(
-        self, due: RowsDue, now_ms: int
+        self, batch: RowBatch, now_ms: int
     ) -> tuple[list[CrashRow], list[CrashRow]]:
-        put = [self._row(key, now_ms) for key in due.put]
-        drop = [CrashRow(request, target, 0) for request, target in due.drop]
+        put = [self._row(key, now_ms) for key in batch.put]
+        drop = [CrashRow(request, target, 0) for request, target in batch.drop]
         return put, drop
 
     def _row(self, key: CrashKey, now_ms: int) -> CrashRow:
-        age = self._quarantine.age_of(key, self._clock.monotonic())
+        age = self._quarantine.crash_age(key, self._clock.monotonic())
         return CrashRow(*key, now_ms - int(age * 1000))
 
 
--- a/berylshift/process/telling/collecting.py
+++ b/berylshift/process/telling/collecting.py
@@ -82,7 +82,7 @@
         )
 
     def _room_for_reads(self, now: float, near_alone: bool = False) -> int:
-        crashes = self._parts.quarantine.reports_due(now, near_alone)
+        crashes = self._parts.quarantine.count_pending_reports(now, near_alone)
         return max(0, MOST_READS - READS_A_CRASH * crashes)
 
     def other_collectors(self, now: float) -> list[str]:
--- a/berylshift/process/telling/telling.py
+++ b/berylshift/process/telling/telling.py
@@ -92,7 +92,7 @@
         parts = self._parts
         if self._collectors.holds or parts.watch.follows or self._last:
             return False
-        if parts.quarantine.has_news(now) or parts.usage.has_news(now):
+        if parts.quarantine.has_updates(now) or parts.usage.has_news(now):
             return False
         if parts.throttle.to_tell(now, own_alone=True):
             return False
@@ -123,7 +123,7 @@
         parts.peers.take(digest, now)
         parts.warm.heard(digest.reads)
         parts.phases.heard(digest.phases, now)
-        parts.quarantine.heard(
+        parts.quarantine.merge(
             digest.crashes, digest.finished, now, self._is_near(digest)
         )
         parts.throttle.heard_of(digest.limits, now)
@@ -211,7 +211,7 @@
         phases = parts.phases.to_tell(now)
         word = parts.watch.word() if parts.watch.follows else None
         changed = entries != self._last or bool(reads) or self._is_news(word)
-        changed = changed or parts.quarantine.has_news(now)
+        changed = changed or parts.quarantine.has_updates(now)
         changed = changed or parts.usage.has_news(now)
         changed = changed or bool(parts.throttle.to_tell(now, own_alone=True))
         if not changed and now - self._last_at < REPEAT_SECONDS:
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -47,9 +47,9 @@
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.wait(self.fingerprint, now, begun)
+        wait = self._quarantine.remaining_seconds(self.fingerprint, now, begun)
         if wait > 0:
-            crashes = self._quarantine.crashes(self.fingerprint)
+            crashes = self._quarantine.crash_count(self.fingerprint)
             raise QuarantinedError(crashes, wait)
 
     async def broke_off(
@@ -64,11 +64,11 @@
         request = self.fingerprint
         if request is None:
             return
-        self._quarantine.broke_off(request, instance, self._clock.monotonic())
+        self._quarantine.record_crash(request, instance, self._clock.monotonic())
         lives = await takes_connections()
         now = self._clock.monotonic()
         if lives:
-            self._quarantine.lives(instance, now)
+            self._quarantine.record_reconnect(instance, now)
         logger.info(
             "replica broke off",
             extra={
@@ -76,8 +76,8 @@
                 "same": shown(request),
                 "instance": instance,
                 "lives": lives,
-                "crashes": self._quarantine.crashes(request),
-                "held_for": round(self._quarantine.wait(request, now), 1),
+                "crashes": self._quarantine.crash_count(request),
+                "held_for": round(self._quarantine.remaining_seconds(request, now), 1),
             },
         )
 
@@ -88,9 +88,11 @@
 
         ``listed_at``: as of when it is known to be listed by this very start.
         """
-        self._quarantine.answered(instance, sent_at, listed_at)
+        self._quarantine.record_response(instance, sent_at, listed_at)
 
     def finished(self) -> None:
         """Note that the request ran to its end."""
         if self.fingerprint is not None:
-            self._quarantine.finished(self.fingerprint, self._clock.monotonic())
+            self._quarantine.record_completion(
+                self.fingerprint, self._clock.monotonic()
+            )
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_watch.py
@@ -41,7 +41,7 @@
         quarantine = self._parts.quarantine
         if self.fingerprint is not None or not len(quarantine):
             return
-        if quarantine.may_hold(self._parts.fingerprints.head_of(self._req)):
+        if quarantine.may_be_quarantined(self._parts.fingerprints.head_of(self._req)):
             await self._req.body.wait_for_start(BODY_BYTES)
 
     def check(self) -> None:
@@ -63,11 +63,11 @@
             return list(tried)
         now = self._parts.clock.monotonic()
         listed = [rep.instance for rep in pool.replicas]
-        ended = [name for name in listed if quarantine.has_ended(name, now)]
+        ended = [name for name in listed if quarantine.has_crashed(name, now)]
         found = [*tried, *ended]
         crashes = 0
         if self.fingerprint is not None:
-            crashes = quarantine.crashes(self.fingerprint)
+            crashes = quarantine.crash_count(self.fingerprint)
         if not crashes:
             return found
         left = left_of(pool.answerers, found)
--- a/berylshift/tests/crash_play.py
+++ b/berylshift/tests/crash_scenario.py
@@ -1,4 +1,4 @@
-"""A caller whose request ends each replica that runs it, among many other callers."""
+"""A caller whose request crashes each replica that runs it, among other callers."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -8,19 +8,19 @@
 from berylshift.stand_ins.entry_replica import EntryReplica
 from berylshift.tests.entry_world import EntryWorld, Reply, prompt_headers
 
-# A replica that ended is back after this long; its entry lapses a little later.
-BACK_SECONDS = 3.0
-LAPSE_SECONDS = 3.3
-# The platform's bound on what hosts in touch may take to know of a crash.
+# A crashed replica restarts after this long; its old entry expires a little later.
+RESTART_SECONDS = 3.0
+ENTRY_EXPIRY_SECONDS = 3.3
+# The platform's limit on how long connected hosts may take to learn of a crash.
 STABLE_SECONDS = 3.0
-# Crashes after which a request may not go out any more, but for so many sends.
-MOST_CRASHES = 3
-MOST_SENDS_AFTER = 3
+# After so many crashes a request may only be sent so many times more.
+MAX_CRASHES = 3
+MAX_SENDS_AFTER = 3
 
 
 @dataclass
-class CrashPlay:
-    """What a play came to; times in seconds of the virtual clock."""
+class CrashScenario:
+    """The events of one run; times in seconds of the virtual clock."""
 
     world: EntryWorld
     path: str
@@ -31,7 +31,7 @@
     replies: list[Reply] = field(default_factory=list)
 
     async def bad_caller(self, pause: float, seconds: float, hosts: int) -> None:
-        """Send the request that crashes replicas again and again, at each host."""
+        """Send the crashing request repeatedly, to each host in turn."""
         end = trio.current_time() + seconds
         for number in itertools.count():
             if trio.current_time() >= end:
@@ -47,7 +47,7 @@
             await trio.sleep(pause)
 
     async def other_callers(self, path: str, pause: float, seconds: float) -> None:
-        """Have other callers come, each with a request of its own."""
+        """Start other callers, each with a request of its own."""
         async with trio.open_nursery() as nursery:
             for number in range(int(seconds / pause)):
                 nursery.start_soon(self._other_caller, path, number)
@@ -62,7 +62,7 @@
         self.replies.append(reply)
 
     async def watch_sends(self) -> None:
-        """Note when the bad request reaches a replica, until cancelled."""
+        """Record when the crashing request reaches a replica, until cancelled."""
         seen: dict[EntryReplica, int] = {}
         while True:
             for replica in self.world.replicas.values():
@@ -74,13 +74,13 @@
 
     @property
     def crashes(self) -> int:
-        """Return how many replicas ended under the request."""
+        """Return how many replicas crashed during the request."""
         return len(self.world.kept.crashes)
 
     @property
     def sends_after(self) -> int:
-        """Return the sends that hosts should have held back."""
-        if self.crashes < MOST_CRASHES:
+        """Return the sends that hosts should have prevented."""
+        if self.crashes < MAX_CRASHES:
             return 0
-        known_at = self.world.kept.crashes[MOST_CRASHES - 1].at + STABLE_SECONDS
-        return sum(at > known_at for at in self.sends)
+        quarantined_at = self.world.kept.crashes[MAX_CRASHES - 1].at + STABLE_SECONDS
+        return sum(at > quarantined_at for at in self.sends)
--- a/berylshift/tests/test_entry_crashing_requests.py
+++ b/berylshift/tests/test_entry_crashing_requests.py
@@ -1,71 +1,74 @@
-"""Requests that end each replica that runs them."""
+"""Tests requests that crash each replica that runs them."""
 
 import unittest
 
 import trio
 
 from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.crash_play import (
-    BACK_SECONDS,
-    LAPSE_SECONDS,
-    MOST_CRASHES,
-    MOST_SENDS_AFTER,
-    CrashPlay,
+from berylshift.tests.crash_scenario import (
+    ENTRY_EXPIRY_SECONDS,
+    MAX_CRASHES,
+    MAX_SENDS_AFTER,
+    RESTART_SECONDS,
+    CrashScenario,
 )
 from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
 
-PLAY_SECONDS = 20.0
+RUN_SECONDS = 20.0
 
 
-async def play_stream(world, path: str, pause: float = 0.5) -> CrashPlay:
-    """Play a stream that crashes engines, among other streams."""
-    play = CrashPlay(world, path, headers=prompt_headers(part="bad"))
+async def run_stream(world, path: str, pause: float = 0.5) -> CrashScenario:
+    """Run a stream that crashes engines, among other streams."""
+    scenario = CrashScenario(world, path, headers=prompt_headers(part="bad"))
     world.kept.crashing.add(path)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(play.watch_sends)
-        nursery.start_soon(world.restart_crashed, BACK_SECONDS, LAPSE_SECONDS)
+        nursery.start_soon(scenario.watch_sends)
+        nursery.start_soon(world.restart_crashed, RESTART_SECONDS, ENTRY_EXPIRY_SECONDS)
         async with trio.open_nursery() as callers:
-            callers.start_soon(play.bad_caller, pause, PLAY_SECONDS, len(world.hosts))
-            callers.start_soon(play.other_callers, "/note/", 0.1, PLAY_SECONDS)
+            callers.start_soon(
+                scenario.bad_caller, pause, RUN_SECONDS, len(world.hosts)
+            )
+            callers.start_soon(scenario.other_callers, "/note/", 0.1, RUN_SECONDS)
         nursery.cancel_scope.cancel()
-    return play
+    return scenario
 
 
 class CrashingStreamTest(unittest.TestCase):
-    """Three hosts, seven engines, of which three answer.
-
-    Callers of all streams are cut or get 502 for as long as one caller comes again.
-    An engine ends 50 ms after it begins to run that caller's request; the hosts held
-    that against the engine and forgot the request with its try. It came again, at
-    another host, was read and sent to the next engine; ten ended one after the other,
-    each with all that ran there. Evidence: prompts of the same size were under way, at
-    seven hosts, under each of ten ends, and no host held one back.
+    """Three hosts and seven engines, three of which decode.
+
+    Guards against one caller that crashes engine after engine. An engine crashes 50 ms
+    after it starts to run that caller's request, and everything that runs there fails.
+    Hosts that blame the engine only, and forget the request after the attempt, send it
+    to the next engine when the caller retries at another host: ten engines crashed one
+    after the other, while prompts of the same size were in flight at seven hosts, and
+    callers of all streams were cut off or got 502.
     """
 
-    def test_it_is_not_sent_out_for_ever(self):
+    def test_it_is_not_sent_forever(self):
         async def task(world):
-            return await play_stream(world, "/note/bad")
+            return await run_stream(world, "/note/bad")
 
-        play = run_entry(task, hosts=3, engines="ppppddd")
-        self.assertGreater(play.crashes, 0)
-        self.assertLessEqual(play.sends_after, MOST_SENDS_AFTER)
+        scenario = run_entry(task, hosts=3, engines="ppppddd")
+        self.assertGreater(scenario.crashes, 0)
+        self.assertLessEqual(scenario.sends_after, MAX_SENDS_AFTER)
 
-    def test_it_ends_no_more_than_three_engines(self):
+    def test_it_crashes_no_more_than_three_engines(self):
         async def task(world):
-            return await play_stream(world, "/brief/bad")
+            return await run_stream(world, "/brief/bad")
 
-        play = run_entry(task, hosts=3, engines="ppppddd")
-        self.assertLessEqual(play.crashes, MOST_CRASHES)
+        scenario = run_entry(task, hosts=3, engines="ppppddd")
+        self.assertLessEqual(scenario.crashes, MAX_CRASHES)
 
 
-class ReadingTest(unittest.TestCase):
-    """Prompts take 0.4 s to be read; what hosts know changes meanwhile."""
+class PrefillTest(unittest.TestCase):
+    """Prefill takes 0.4 s, and the request may be quarantined in the meantime."""
 
-    def test_it_is_held_back_after_it_was_read(self):
-        """A caller comes four times within a second, at two hosts.
+    def test_it_is_quarantined_after_its_prefill(self):
+        """Guards against checking the quarantine only when a request arrives.
 
-        Each try is read before the first one ends an engine. The third and the fourth
-        must not be sent on, although nothing was known when they came.
+        A caller sends four attempts within a second, to two hosts. Each is prefilled
+        before the first one crashes an engine. The third and the fourth must not be
+        sent on, although no crash was known when they arrived.
         """
 
         async def task(world):
@@ -90,14 +93,15 @@
         self.assertEqual((crashes, replies), (2, [502, 502, 503, 503]))
 
 
-class InnocentTest(unittest.TestCase):
-    """Requests that only seem to end replicas."""
+class FalseSuspicionTest(unittest.TestCase):
+    """Requests that only seem to crash replicas."""
 
     def test_a_caller_whose_connections_are_reset_is_served(self):
-        """Replicas reset one connection after the other, and live.
+        """Guards against quarantining a request for connection resets.
 
-        They take new ones at once. Held back for it, the caller would be refused for a
-        minute, although the next engine would answer.
+        Replicas reset one connection after another and accept new ones at once. A
+        quarantine would refuse the caller for a minute, although the next engine would
+        respond.
         """
 
         async def task(world):
@@ -113,8 +117,8 @@
 
         self.assertEqual(run_entry(task, engines="ppdd"), 200)
 
-    def test_what_breaks_with_a_replica_that_leaves_is_not_suspect(self):
-        """Two replicas leave on purpose, each with the same caller's stream open."""
+    def test_a_stream_on_a_leaving_replica_is_not_suspect(self):
+        """Two replicas shut down on purpose, each with a stream of the same caller."""
 
         async def task(world):
             for number in range(2):
@@ -133,10 +137,11 @@
 
         self.assertEqual(run_entry(task, plain=0, engines="pddd"), 200)
 
-    def test_callers_of_one_page_are_served_although_replicas_end(self):
-        """Many callers ask for the same page; replicas end for another reason.
+    def test_callers_of_a_common_page_are_served_despite_crashes(self):
+        """Many callers ask for the same page; replicas crash for another reason.
 
-        Each has some of these calls under way. The page itself finishes all the time.
+        Each of them has some of these calls in flight. The page itself completes all
+        the time.
         """
 
         async def task(world):
@@ -154,30 +159,32 @@
         self.assertEqual(run_entry(task, plain=2), 200)
 
 
-class EndsAllKindsTest(unittest.TestCase):
-    """Requests without a prompt, whether or not they may be repeated."""
+class AllRouteKindsTest(unittest.TestCase):
+    """Requests without a prompt, whether or not they may be retried."""
 
-    def check(self, path: str, method: str) -> CrashPlay:
+    def check(self, path: str, method: str) -> CrashScenario:
         async def task(world):
-            play = CrashPlay(world, path, method)
+            scenario = CrashScenario(world, path, method)
             world.kept.crashing.add(path)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(play.watch_sends)
-                nursery.start_soon(world.restart_crashed, BACK_SECONDS, LAPSE_SECONDS)
-                await play.bad_caller(0.3, PLAY_SECONDS, len(world.hosts))
+                nursery.start_soon(scenario.watch_sends)
+                nursery.start_soon(
+                    world.restart_crashed, RESTART_SECONDS, ENTRY_EXPIRY_SECONDS
+                )
+                await scenario.bad_caller(0.3, RUN_SECONDS, len(world.hosts))
                 nursery.cancel_scope.cancel()
-            return play
+            return scenario
 
-        play = run_entry(task, hosts=3, plain=4)
-        self.assertGreater(play.crashes, 0)
-        self.assertLessEqual(play.crashes, MOST_CRASHES)
-        self.assertLessEqual(play.sends_after, MOST_SENDS_AFTER)
-        return play
+        scenario = run_entry(task, hosts=3, plain=4)
+        self.assertGreater(scenario.crashes, 0)
+        self.assertLessEqual(scenario.crashes, MAX_CRASHES)
+        self.assertLessEqual(scenario.sends_after, MAX_SENDS_AFTER)
+        return scenario
 
-    def test_a_lookup(self):
+    def test_a_retryable_call(self):
         self.check("/look/bad", "GET")
 
-    def test_a_booking(self):
-        """Its caller comes again although it must not: each try runs once at most."""
-        play = self.check("/book/bad", "POST")
-        self.assertEqual(len(play.sends), play.crashes)
+    def test_an_at_most_once_call(self):
+        """The caller retries although it must not: each attempt runs at most once."""
+        scenario = self.check("/book/bad", "POST")
+        self.assertEqual(len(scenario.sends), scenario.crashes)
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -1,4 +1,4 @@
-"""What the store keeps of requests under which replicas ended."""
+"""Tests the crash records that are persisted in the store."""
 
 import unittest
 
@@ -8,11 +8,11 @@
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import joined
 from berylshift.process.directory.store_watch import StoreClock
-from berylshift.process.quarantine.crash_record import PROVEN_SECONDS
+from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
 from berylshift.process.quarantine.crash_row_queue import (
-    MOST_IN_ONE,
-    MOST_WAITING,
-    CrashLedger,
+    MAX_PENDING_ROWS,
+    MAX_ROWS_PER_TRANSACTION,
+    CrashRowQueue,
 )
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import (
@@ -27,12 +27,12 @@
 from berylshift.tests.support import run_virtual
 
 BAD = joined(7, 1)
-# Until a host has written what it has to, at the latest.
+# The longest time until a host has written its queued rows.
 WRITTEN_SECONDS = WRITE_SECONDS + 2 * RETRY_SECONDS
 
 
 class World:
-    """Hosts that share nothing but the store's rows."""
+    """Hosts that share only the store's rows and exchange no digests."""
 
     def __init__(self, nursery: trio.Nursery):
         """Start without hosts."""
@@ -62,36 +62,38 @@
 
 
 def crash(quarantine: Quarantine, *engines: int) -> None:
-    """Have a host see replicas end under the request."""
+    """Have a host observe replica crashes during the request."""
     for number in engines:
         now = trio.current_time()
-        quarantine.broke_off(BAD, InstanceId(f"engine-{number}"), now)
+        quarantine.record_crash(BAD, InstanceId(f"engine-{number}"), now)
 
 
-def wait(quarantine: Quarantine) -> float:
-    """Return for how many seconds the request is held back."""
-    return quarantine.wait(BAD, trio.current_time())
+def remaining_seconds(quarantine: Quarantine) -> float:
+    """Return how many seconds the request stays quarantined."""
+    return quarantine.remaining_seconds(BAD, trio.current_time())
 
 
-class QuarantineRowsTest(unittest.TestCase):
-    """Hosts that end take with them what they know of a request.
+class QuarantineLoopTest(unittest.TestCase):
+    """Crash records survive a restart of all hosts.
 
-    All hosts are killed together and start again. The caller comes again too, and what
-    it sends would end two more replicas until a host knows it once more.
+    All hosts are killed together and start again. The caller retries its request, which
+    would crash two more replicas until a host quarantines it again.
     """
 
-    def test_hosts_that_all_start_again_know_it_still(self):
+    def test_quarantine_survives_a_restart_of_all_hosts(self):
         async def task(world):
             crash(world.add_host(), 1, 2, 3)
             await trio.sleep(WRITTEN_SECONDS)
             again = world.add_host()
             await trio.sleep(0.1)
-            return wait(again)
+            return remaining_seconds(again)
 
         left = run_world(task)
-        self.assertAlmostEqual(left, PROVEN_SECONDS - WRITTEN_SECONDS - 0.1, 1)
+        self.assertAlmostEqual(
+            left, PROVEN_QUARANTINE_SECONDS - WRITTEN_SECONDS - 0.1, 1
+        )
 
-    def test_one_end_is_not_worth_a_write(self):
+    def test_a_single_crash_is_not_written(self):
         async def task(world):
             crash(world.add_host(), 1)
             await trio.sleep(WRITTEN_SECONDS)
@@ -110,11 +112,11 @@
             await trio.sleep(WRITTEN_SECONDS)
             again = world.add_host()
             await trio.sleep(0.1)
-            return wait(again) > 0
+            return remaining_seconds(again) > 0
 
         self.assertTrue(run_world(task))
 
-    def test_a_host_that_finds_the_store_down_reads_it_later(self):
+    def test_a_host_that_starts_during_an_outage_reads_later(self):
         async def task(world):
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
@@ -123,76 +125,78 @@
             await trio.sleep(5)
             world.rows.down = False
             await trio.sleep(RETRY_SECONDS + 0.1)
-            return wait(again) > 0
+            return remaining_seconds(again) > 0
 
         self.assertTrue(run_world(task))
 
-    def test_what_finishes_leaves_no_row(self):
+    def test_completed_request_leaves_no_row(self):
         async def task(world):
             host = world.add_host()
             crash(host, 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             written = len(world.rows)
-            host.finished(BAD, trio.current_time())
+            host.record_completion(BAD, trio.current_time())
             await trio.sleep(WRITTEN_SECONDS)
             return written, len(world.rows)
 
         self.assertEqual(run_world(task), (2, 0))
 
-    def test_rows_that_an_older_copy_lacks_are_written_again(self):
+    def test_rows_lost_by_a_store_restore_are_written_again(self):
         async def task(world):
             host = world.add_host()
             crash(host, 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             world.rows.lose_all()
-            host.ledger.write_again()
+            host.row_queue.rewrite_all()
             await trio.sleep(WRITTEN_SECONDS)
             return len(world.rows)
 
         self.assertEqual(run_world(task), 2)
 
-    def test_rows_of_hosts_long_gone_are_removed(self):
+    def test_expired_rows_of_stopped_hosts_are_removed(self):
         async def task(world):
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
-            await trio.sleep(PROVEN_SECONDS)
+            await trio.sleep(PROVEN_QUARANTINE_SECONDS)
             again = world.add_host()
             await trio.sleep(WRITTEN_SECONDS)
-            return wait(again), len(world.rows)
+            return remaining_seconds(again), len(world.rows)
 
         self.assertEqual(run_world(task), (0.0, 0))
 
 
-class CrashLedgerTest(unittest.TestCase):
-    """Which rows are due."""
+class CrashRowQueueTest(unittest.TestCase):
+    """Which rows are in the next batch."""
 
     def setUp(self):
-        self.ledger = CrashLedger()
+        self.queue = CrashRowQueue()
 
     def test_a_row_is_written_once(self):
-        self.ledger.put((BAD, 1))
-        due = self.ledger.due()
-        self.ledger.done(due)
-        self.ledger.put((BAD, 1))
-        self.assertEqual((due.put, self.ledger.due().empty), (((BAD, 1),), True))
-
-    def test_what_another_host_wrote_is_its_to_remove(self):
-        self.ledger.drop((BAD, 1))
-        self.assertTrue(self.ledger.due().empty)
-
-    def test_a_row_that_was_dropped_while_it_was_written_is_removed(self):
-        self.ledger.put((BAD, 1))
-        due = self.ledger.due()
-        self.ledger.drop((BAD, 1))
-        self.ledger.done(due)
-        self.assertEqual(self.ledger.due().drop, ((BAD, 1),))
-
-    def test_many_rows_go_in_several_transactions(self):
-        for target in range(2 * MOST_WAITING):
-            self.ledger.put((BAD, target))
+        self.queue.put((BAD, 1))
+        batch = self.queue.next_batch()
+        self.queue.mark_committed(batch)
+        self.queue.put((BAD, 1))
+        self.assertEqual(
+            (batch.put, self.queue.next_batch().is_empty), (((BAD, 1),), True)
+        )
+
+    def test_rows_of_other_hosts_are_not_dropped(self):
+        self.queue.drop((BAD, 1))
+        self.assertTrue(self.queue.next_batch().is_empty)
+
+    def test_a_row_dropped_while_its_write_is_in_flight_is_removed(self):
+        self.queue.put((BAD, 1))
+        batch = self.queue.next_batch()
+        self.queue.drop((BAD, 1))
+        self.queue.mark_committed(batch)
+        self.assertEqual(self.queue.next_batch().drop, ((BAD, 1),))
+
+    def test_many_rows_are_split_into_transactions(self):
+        for target in range(2 * MAX_PENDING_ROWS):
+            self.queue.put((BAD, target))
         written = 0
-        while not (due := self.ledger.due()).empty:
-            self.assertLessEqual(len(due.put), MOST_IN_ONE)
-            written += len(due.put)
-            self.ledger.done(due)
-        self.assertEqual(written, MOST_WAITING)
+        while not (batch := self.queue.next_batch()).is_empty:
+            self.assertLessEqual(len(batch.put), MAX_ROWS_PER_TRANSACTION)
+            written += len(batch.put)
+            self.queue.mark_committed(batch)
+        self.assertEqual(written, MAX_PENDING_ROWS)
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -1,4 +1,4 @@
-"""What many hosts know of a request under which replicas end, and how soon."""
+"""Tests how fast many hosts learn of a request that crashes replicas."""
 
 import random
 import unittest
@@ -11,33 +11,33 @@
 from berylshift.tests.test_telling_gathering import SETTLED_SECONDS, run_world
 
 BAD = joined(7, 1)
-# The platform counts a host as in touch after this time without trouble; it also has so
-# long to know of the third replica that ended.
+# The platform counts a host as connected after this time without faults, and allows it
+# the same time to learn of the third crash.
 STABLE_SECONDS = 3.0
-MOST_CRASHES = 3
-MOST_SENDS_AFTER = 3
+MAX_CRASHES = 3
+MAX_SENDS_AFTER = 3
 ENGINES = 100
-PLAY_SECONDS = 30.0
-TRY_SECONDS = 0.3
-# Few hosts by the usual budget of bytes, so that each tells all others.
+RUN_SECONDS = 30.0
+MEAN_RETRY_SECONDS = 0.3
+# The default byte budget; with few hosts, each of them sends to all others.
 BYTE_BUDGET = 16_384
-# Fifty were played by hand; these take some seconds.
+# These take some seconds; fifty were run by hand.
 SEEDS = range(8)
 
 
-def holds(host: GatheredHost) -> bool:
-    """Return whether a host holds the request back."""
-    return host.quarantine.wait(BAD, trio.current_time()) > 0
+def has_quarantined(host: GatheredHost) -> bool:
+    """Return whether a host has quarantined the request."""
+    return host.quarantine.remaining_seconds(BAD, trio.current_time()) > 0
 
 
 def crash(host: GatheredHost, number: int) -> None:
-    """Have a host see a replica end under the request."""
+    """Have a host observe a replica crash during the request."""
     now = trio.current_time()
-    host.quarantine.broke_off(BAD, InstanceId(f"engine-{number}"), now)
+    host.quarantine.record_crash(BAD, InstanceId(f"engine-{number}"), now)
 
 
-def two_ends(world: GatheredWorld) -> None:
-    """Have hosts of different domains, none of which collects, see one end each."""
+def crash_two_replicas(world: GatheredWorld) -> None:
+    """Have two hosts of different domains, neither a collector, observe one crash."""
     others = [host for host in world.hosts if not host.peers.collects]
     first = others[0]
     second = next(host for host in others if host.domain != first.domain)
@@ -45,143 +45,147 @@
     crash(second, 2)
 
 
-class SpreadTest(unittest.TestCase):
-    """Thirty hosts in five domains, of which one each collects."""
+class PropagationTest(unittest.TestCase):
+    """Thirty hosts in five domains, each of which has one collector."""
 
-    def test_all_hosts_know_in_half_of_the_time(self):
-        """Two hosts of different domains each see one replica end."""
+    def test_all_hosts_learn_in_half_of_the_allowed_time(self):
+        """Two hosts of different domains each observe one crash."""
 
         async def task(world):
-            two_ends(world)
+            crash_two_replicas(world)
             await trio.sleep(STABLE_SECONDS / 2)
-            return [holds(host) for host in world.hosts]
+            return [has_quarantined(host) for host in world.hosts]
 
         self.assertEqual(set(run_world(task)), {True})
 
-    def test_a_host_that_starts_again_hears_of_it(self):
+    def test_a_restarted_host_learns_of_it(self):
         async def task(world):
-            two_ends(world)
+            crash_two_replicas(world)
             await trio.sleep(10)
-            again = world.restart(world.hosts[9])
+            restarted = world.restart(world.hosts[9])
             await trio.sleep(SETTLED_SECONDS)
-            return holds(again)
+            return has_quarantined(restarted)
 
         self.assertTrue(run_world(task))
 
-    def test_a_host_that_was_cut_off_hears_of_it(self):
+    def test_a_partitioned_host_learns_of_it_afterwards(self):
         async def task(world):
-            cut = world.hosts[9]
-            world.net.paths[cut.address] = Path.CUT
+            partitioned = world.hosts[9]
+            world.net.paths[partitioned.address] = Path.CUT
             await trio.sleep(2)
-            two_ends(world)
+            crash_two_replicas(world)
             await trio.sleep(5)
-            before = holds(cut)
-            world.net.paths[cut.address] = Path.OPEN
+            before = has_quarantined(partitioned)
+            world.net.paths[partitioned.address] = Path.OPEN
             await trio.sleep(STABLE_SECONDS)
-            return before, holds(cut)
+            return before, has_quarantined(partitioned)
 
         self.assertEqual(run_world(task), (False, True))
 
-    def test_what_finishes_is_cleared_everywhere(self):
+    def test_completed_request_is_cleared_at_all_hosts(self):
         async def task(world):
-            two_ends(world)
+            crash_two_replicas(world)
             await trio.sleep(2)
-            world.hosts[12].quarantine.finished(BAD, trio.current_time())
+            world.hosts[12].quarantine.record_completion(BAD, trio.current_time())
             await trio.sleep(STABLE_SECONDS / 2)
-            return [holds(host) for host in world.hosts]
+            return [has_quarantined(host) for host in world.hosts]
 
         self.assertEqual(set(run_world(task)), {False})
 
 
-class TroubledPlay:
-    """A bad caller among hosts that are cut off, stand still and start again."""
+class FaultSchedule:
+    """A caller that retries a crashing request while hosts suffer random faults."""
 
     def __init__(self, world: GatheredWorld, seed: int):
-        """Play in ``world``."""
+        """Use ``world``, with random choices from ``seed``."""
         self.world = world
         self.rng = random.Random(seed)
         self.crashes: list[float] = []
         self.sends: list[float] = []
-        self.troubled_until: dict[str, float] = {}
+        self.faulty_until: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Play to the end."""
-        with trio.move_on_after(PLAY_SECONDS):
+        """Run for ``RUN_SECONDS``."""
+        with trio.move_on_after(RUN_SECONDS):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._trouble)
+                nursery.start_soon(self._inject_faults)
                 while True:
-                    await trio.sleep(TRY_SECONDS * self.rng.random() * 2)
-                    self._try(self.rng.choice(self.world.hosts))
+                    await trio.sleep(MEAN_RETRY_SECONDS * self.rng.random() * 2)
+                    self._send_request(self.rng.choice(self.world.hosts))
 
-    def _try(self, host: GatheredHost) -> None:
-        if holds(host):
+    def _send_request(self, host: GatheredHost) -> None:
+        if has_quarantined(host):
             return
         now = trio.current_time()
         self.crashes.append(now)
-        if now >= self.troubled_until.get(host.name, 0.0):
+        if now >= self.faulty_until.get(host.name, 0.0):
             self.sends.append(now)
         crash(host, self.rng.randrange(ENGINES))
 
-    async def _trouble(self) -> None:
-        """Trouble a host after the other, some of them at the same time."""
+    async def _inject_faults(self) -> None:
+        """Inject faults into one host after another, some of them overlapping."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self.rng.uniform(0.2, 1.5))
-                nursery.start_soon(self._trouble_one, self.rng.choice(self.world.hosts))
-
-    async def _trouble_one(self, host: GatheredHost) -> None:
-        lasts = self.rng.uniform(0.3, 4.0)
-        until = trio.current_time() + lasts + STABLE_SECONDS
-        self.troubled_until[host.name] = max(
-            until, self.troubled_until.get(host.name, 0.0)
-        )
+                nursery.start_soon(
+                    self._inject_fault, self.rng.choice(self.world.hosts)
+                )
+
+    async def _inject_fault(self, host: GatheredHost) -> None:
+        fault_seconds = self.rng.uniform(0.3, 4.0)
+        until = trio.current_time() + fault_seconds + STABLE_SECONDS
+        self.faulty_until[host.name] = max(until, self.faulty_until.get(host.name, 0.0))
         match self.rng.randrange(3):
             case 0:
                 if host in self.world.hosts:
                     self.world.restart(host)
             case 1:
-                await self._on_path(host, Path.CUT, lasts)
+                await self._set_path(host, Path.CUT, fault_seconds)
             case 2:
-                await self._on_path(host, Path.HELD, lasts)
+                await self._set_path(host, Path.HELD, fault_seconds)
 
-    async def _on_path(self, host: GatheredHost, path: Path, lasts: float) -> None:
+    async def _set_path(
+        self, host: GatheredHost, path: Path, fault_seconds: float
+    ) -> None:
         self.world.net.paths[host.address] = path
-        await trio.sleep(lasts)
+        await trio.sleep(fault_seconds)
         self.world.net.paths[host.address] = Path.OPEN
 
     @property
     def sends_after(self) -> int:
-        """Return the sends of hosts in touch that should have known."""
-        if len(self.crashes) < MOST_CRASHES:
+        """Return the sends by connected hosts that should have quarantined it."""
+        if len(self.crashes) < MAX_CRASHES:
             return 0
-        known_at = self.crashes[MOST_CRASHES - 1] + STABLE_SECONDS
-        return sum(at > known_at for at in self.sends)
+        quarantined_at = self.crashes[MAX_CRASHES - 1] + STABLE_SECONDS
+        return sum(at > quarantined_at for at in self.sends)
 
 
-def play(seed: int, hosts: int, domains: int, byte_budget: int) -> TroubledPlay:
-    """Play one seed."""
+def run_schedule(
+    seed: int, hosts: int, domains: int, byte_budget: int
+) -> FaultSchedule:
+    """Run the fault schedule of one seed."""
 
     async def task(world):
-        found = TroubledPlay(world, seed)
+        found = FaultSchedule(world, seed)
         await found.run()
         return found
 
     return run_world(task, hosts, domains, byte_budget)
 
 
-class TroubledHostsTest(unittest.TestCase):
-    """A caller comes again at any host, while hosts are in trouble of every kind.
+class FaultyHostsTest(unittest.TestCase):
+    """A caller retries at random hosts while the hosts suffer faults of all kinds.
 
-    A host that was cut off, stood still or has just started does not know yet, and
-    sends the request out; one that has been in touch for a while must hold it back.
+    A host that was partitioned, paused or has just started doesn't know the request yet
+    and may send it; one that has been connected for a while must quarantine it.
     """
 
     def check(self, hosts: int, domains: int, byte_budget: int) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                found = play(seed, hosts, domains, byte_budget)
+                found = run_schedule(seed, hosts, domains, byte_budget)
                 self.assertGreater(len(found.crashes), 0)
-                self.assertLessEqual(found.sends_after, MOST_SENDS_AFTER)
+                self.assertLessEqual(found.sends_after, MAX_SENDS_AFTER)
 
     def test_few_hosts(self):
         self.check(9, 4, BYTE_BUDGET)
--- a/berylshift/tests/test_request_aside.py
+++ b/berylshift/tests/test_request_aside.py
@@ -6,7 +6,7 @@
 
 from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS, Quarantine
+from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS, Quarantine
 from berylshift.request.aside import ASIDE_PART, is_last, left_of, set_aside
 from berylshift.request.routed_watch import LAST_SECONDS
 from berylshift.tests.entry_world import prompt_headers, run_entry
@@ -54,23 +54,23 @@
 
     def test_one_broken_connection_is_no_end(self):
         """Guards against a replica given up for one connection that was reset."""
-        self.quarantine.broke_off(Fingerprint(1), self.target, 1.0)
-        self.assertFalse(self.quarantine.has_ended(self.target, 1.1))
-        self.quarantine.broke_off(Fingerprint(2), self.target, 1.0)
-        self.assertTrue(self.quarantine.has_ended(self.target, 1.1))
+        self.quarantine.record_crash(Fingerprint(1), self.target, 1.0)
+        self.assertFalse(self.quarantine.has_crashed(self.target, 1.1))
+        self.quarantine.record_crash(Fingerprint(2), self.target, 1.0)
+        self.assertTrue(self.quarantine.has_crashed(self.target, 1.1))
 
     def test_a_replica_that_is_back_under_its_name_gets_work_again(self):
         """Guards against a replica that nobody asks, and so never clears itself."""
         for number in (1, 2):
-            self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
-        back_at = 1.0 + ENDED_HEARTBEATS * HEARTBEAT_SECONDS
-        self.assertFalse(self.quarantine.has_ended(self.target, back_at))
+            self.quarantine.record_crash(Fingerprint(number), self.target, 1.0)
+        back_at = 1.0 + CRASHED_HEARTBEATS * HEARTBEAT_SECONDS
+        self.assertFalse(self.quarantine.has_crashed(self.target, back_at))
 
     def test_a_replica_that_answers_has_not_ended(self):
         for number in (1, 2):
-            self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
-        self.quarantine.lives(self.target, 1.1)
-        self.assertFalse(self.quarantine.has_ended(self.target, 1.2))
+            self.quarantine.record_crash(Fingerprint(number), self.target, 1.0)
+        self.quarantine.record_reconnect(self.target, 1.1)
+        self.assertFalse(self.quarantine.has_crashed(self.target, 1.2))
 
 
 class SuspectsTest(unittest.TestCase):
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -30,7 +30,7 @@
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.limits.arrival_budget import ArrivalBudget
-from berylshift.process.quarantine.crash_gossip import MOST_CRASHES_TOLD
+from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
 from berylshift.process.targets.limit_news import MOST_TOLD as MOST_LIMITS
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
 from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
@@ -266,8 +266,8 @@
         self.check_sums_fit(MOST_READS, 0)
 
     def test_sums_fit_beside_replicas_that_broke_off(self):
-        reads = MOST_READS - READS_A_CRASH * MOST_CRASHES_TOLD
-        self.check_sums_fit(reads, MOST_CRASHES_TOLD)
+        reads = MOST_READS - READS_A_CRASH * MAX_CRASHES_PER_DIGEST
+        self.check_sums_fit(reads, MAX_CRASHES_PER_DIGEST)
 
     def check_sums_fit(self, reads: int, crashes: int) -> None:
         """Check that all entries of a usual sum are told beside the rest."""
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -714,7 +714,7 @@
         "request/relay.py",
         "        self._check_may_go()\n        if self._req.prompt is None:",
         "        if self._req.prompt is None:",
-        "test_entry_crashing_requests.EndsAllKindsTest",
+        "test_entry_crashing_requests.AllRouteKindsTest",
     ),
     Proof(
         "it is judged again between reading and answering",
@@ -727,62 +727,63 @@
     Proof(
         "two replicas are enough",
         "process/quarantine/crash_record.py",
-        "if self.count >= SUSPECT_CRASHES:",
+        "if self.crash_count >= MIN_SUSPECT_CRASHES:",
         "if False:",
-        "test_quarantine.HoldTest",
+        "test_quarantine.ThresholdTest",
     ),
     Proof(
         "hosts tell each other which replicas broke off",
         "process/telling/telling.py",
-        "        parts.quarantine.heard(\n"
+        "        parts.quarantine.merge(\n"
         "            digest.crashes, digest.finished, now, self._is_near(digest)\n"
         "        )\n",
         "",
-        "test_quarantine_spread.SpreadTest",
+        "test_quarantine_spread.PropagationTest",
     ),
     Proof(
         "what is held back is told again",
         "process/quarantine/crash_gossip.py",
-        "if now - self._told_again_at >= AGAIN_SECONDS:",
+        "if now - self._resent_at >= RESEND_SECONDS:",
         "if False:",
-        "test_quarantine_spread.SpreadTest.test_a_host_that_starts_again_hears_of_it",
+        "test_quarantine_spread.PropagationTest.test_a_restarted_host_learns_of_it",
     ),
     Proof(
         "a collector tells on what its hosts saw",
         "process/telling/telling.py",
         "return digest.domain == self._parts.domain\n\n    def _heard",
         "return False\n\n    def _heard",
-        "test_quarantine_spread.SpreadTest.test_all_hosts_know_in_half_of_the_time",
+        "test_quarantine_spread.PropagationTest.test_all_hosts_learn_in_half_of_the_allowed_time",
     ),
     Proof(
         "what finishes is cleared",
         "process/quarantine/quarantine.py",
-        "        if self._drop(request):\n"
-        "            self._news.finished(request, now, is_near)\n",
+        "        if self._remove(request):\n"
+        "            self._gossip.add_completion(request, now, is_own_domain)\n",
         "",
-        "test_quarantine.InnocentTest.test_what_finishes_is_cleared",
+        "test_quarantine.FalseSuspicionTest.test_completed_request_is_cleared",
     ),
     Proof(
         "nothing older is believed of what finished",
         "process/quarantine/quarantine.py",
-        "if outlived or self._finished_lately(report.request, now):",
-        "if outlived:",
-        "test_quarantine_spread.SpreadTest.test_what_finishes_is_cleared_everywhere",
+        "if is_expired or self._completed_recently(report.request, now):",
+        "if is_expired:",
+        "test_quarantine_spread.PropagationTest.test_completed_request_is_cleared_at_all_hosts",
     ),
     Proof(
         "what finished lately is not suspected",
         "process/quarantine/quarantine.py",
-        "        if self._finished_lately(request, now):\n            return 0\n",
+        "        if self._completed_recently(request, now):\n            return 0\n",
         "",
-        "test_quarantine.InnocentTest."
-        "test_what_finished_a_short_time_ago_is_not_suspected",
+        "test_quarantine.FalseSuspicionTest."
+        "test_recently_completed_request_is_not_suspected",
     ),
     Proof(
         "a replica that takes a new connection has not ended",
         "request/crash_watch.py",
-        "        if lives:\n            self._quarantine.lives(instance, now)\n",
+        "        if lives:\n"
+        "            self._quarantine.record_reconnect(instance, now)\n",
         "",
-        "test_entry_crashing_requests.InnocentTest."
+        "test_entry_crashing_requests.FalseSuspicionTest."
         "test_a_caller_whose_connections_are_reset_is_served",
     ),
     Proof(
@@ -790,15 +791,15 @@
         "request/routed_watch.py",
         "self.fingerprint is None or self._parts.replicas.is_leaving(replica)",
         "self.fingerprint is None",
-        "test_entry_crashing_requests.InnocentTest."
-        "test_what_breaks_with_a_replica_that_leaves_is_not_suspect",
+        "test_entry_crashing_requests.FalseSuspicionTest."
+        "test_a_stream_on_a_leaving_replica_is_not_suspect",
     ),
     Proof(
         "harmless requests push out none that is held back",
         "process/quarantine/quarantine.py",
-        "(self._held if is_held else self._noted)[request] = record",
-        "self._noted[request] = record",
-        "test_quarantine.BoundTest.test_harmless_ones_push_out_none_that_is_held_back",
+        "(self._quarantined if is_quarantined else self._observed)[request] = record",
+        "self._observed[request] = record",
+        "test_quarantine.MemoryBoundTest.test_harmless_requests_do_not_evict_quarantined_ones",
     ),
     Proof(
         "fingerprints are hashed under the hosts' key",
@@ -811,10 +812,10 @@
     Proof(
         "the store keeps what all hosts may forget",
         "process/quarantine/quarantine.py",
-        "        self._have_written(request)\n",
+        "        self._queue_rows(request)\n",
         "",
-        "test_quarantine_loop.QuarantineRowsTest."
-        "test_hosts_that_all_start_again_know_it_still",
+        "test_quarantine_loop.QuarantineLoopTest."
+        "test_quarantine_survives_a_restart_of_all_hosts",
     ),
     Proof(
         "a call under which targets ended is held back",
