--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -13,10 +13,10 @@
 from berylshift.process.directory.store_eras import StoreEras
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
-from berylshift.process.usage.filtered_clock import TrueTime
-from berylshift.process.usage.usage_counts import UsageBook
+from berylshift.process.usage.filtered_clock import FilteredClock
+from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.usage_loop import UsageLoop
-from berylshift.process.usage.windows import UsageTerms, UsageWindows
+from berylshift.process.usage.windows import UsageSchedule, UsageWindows
 from berylshift.settings import Settings
 from berylshift.version.routes import RouteTable, Service
 
@@ -49,22 +49,22 @@
     def __init__(self, cfg: Settings, parts: DutyParts):
         """Wire the parts; nothing runs yet."""
         self._cfg = cfg.duties
-        self._time = TrueTime(parts.clock, parts.boot_clock)
-        self._windows = UsageWindows(_usage_terms(cfg))
-        started_ms = int(self._time.now() * 1000)
+        self._filtered_clock = FilteredClock(parts.clock, parts.boot_clock)
+        self._windows = UsageWindows(_usage_schedule(cfg))
+        started_ms = int(self._filtered_clock.now() * 1000)
         host = cfg.host
-        self.usage = UsageBook(self._windows, host.name, host.domain, started_ms)
+        self.usage = UsageCounts(self._windows, host.name, host.domain, started_ms)
         self._usage_loop = UsageLoop(
             host=host.name,
             windows=self._windows,
-            book=self.usage,
-            time=self._time,
+            usage_counts=self.usage,
+            filtered_clock=self._filtered_clock,
             lease=parts.lease("usage"),
             rows=parts.usage_rows,
             reporting=parts.usage_reporting,
             eras=parts.eras,
             clock=parts.clock,
-            place=parts.place,
+            rank_for=parts.place,
         )
         self._scale_loop = ScaleLoop(
             host=host.name,
@@ -81,12 +81,12 @@
     def run_began(self, customer: CustomerName | None, ago: float) -> None:
         """Count a request that began to run ``ago`` seconds ago."""
         if customer is not None:
-            self.usage.began(customer, self._time.now() - ago)
+            self.usage.record_start(customer, self._filtered_clock.now() - ago)
 
     def on_routes(self, table: RouteTable) -> None:
         """Learn the names of the customers in force."""
         if table.customers is not None:
-            self.usage.learn_names(table.customers.names)
+            self.usage.add_names(table.customers.names)
 
     async def run(self) -> None:
         """Run the loops of the duties until cancelled."""
@@ -99,16 +99,16 @@
     @property
     def windows_reported(self) -> int:
         """Return how many windows of usage this host has reported."""
-        return self._usage_loop.sent
+        return self._usage_loop.reported_count
 
     @property
     def windows_given_up(self) -> int:
         """Return how many windows of usage this host found too late to report."""
-        return self._usage_loop.given_up
+        return self._usage_loop.given_up_count
 
 
-def _usage_terms(cfg: Settings) -> UsageTerms:
+def _usage_schedule(cfg: Settings) -> UsageSchedule:
     """Return when usage is reported, as the settings say."""
     if not cfg.duties.usage_report:
-        return UsageTerms()
-    return UsageTerms(cfg.duties.usage_window_s, cfg.duties.usage_delay_s)
+        return UsageSchedule()
+    return UsageSchedule(cfg.duties.usage_window_s, cfg.duties.usage_delay_s)
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -1,4 +1,4 @@
-"""What hosts count of customers' requests, and what is reported of them."""
+"""Counts of customers' requests, and the usage reports made from them."""
 
 import functools
 from typing import Protocol
@@ -14,10 +14,10 @@
 
 
 class RunCount(msgspec.Struct, frozen=True):
-    """How many requests of a customer began to run in a window.
+    """How many requests of a customer started to run in a window.
 
-    ``window`` is the number of a window of true time; ``customer`` is the short hash of
-    a name. A count only rises.
+    ``window`` is the number of a time window; ``customer`` is the short hash of a name.
+    A count only grows.
     """
 
     window: int
@@ -26,44 +26,44 @@
 
 
 class CustomerCount(msgspec.Struct, frozen=True):
-    """Requests of one customer."""
+    """The number of requests of one customer."""
 
     customer: CustomerName
     count: int
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """What is told of one window; customers without a request are left out."""
+    """The report of one window; customers without requests are omitted."""
 
     window: int
     counts: tuple[CustomerCount, ...]
 
 
 class SettledUsage(msgspec.Struct, frozen=True):
-    """The one report that may be sent of a window, as the store keeps it."""
+    """The only report of a window that may be sent, as stored."""
 
     report: UsageReport
     era: StoreEra = FIRST_ERA
 
 
 class UsageRows(Protocol):
-    """Keeps settled reports; all calls raise ``PlatformError``."""
+    """Stores settled reports; all calls raise ``PlatformError``."""
 
     async def read(self, window: int) -> SettledUsage | None:
-        """Return what was settled of a window."""
+        """Return the settled report of a window, ``None`` if there is none."""
 
     async def settle(self, report: UsageReport) -> SettledUsage:
-        """Settle a report, unless one was settled before; return the one that holds."""
+        """Settle a report unless the window has one; return the settled one."""
 
 
 class UsageReporting(Protocol):
-    """Tells the platform of usage."""
+    """Reports usage to the platform."""
 
     async def report_usage(self, report: UsageReport, holder: DutyHolder) -> DutyAnswer:
-        """Send a report once; an exact repeat of an earlier one changes nothing."""
+        """Send a report once; repeating an identical one has no effect."""
 
 
 @functools.lru_cache(HASHES_KEPT)
 def customer_hash(name: CustomerName) -> int:
-    """Return the 32-bit hash that stands for a customer in digests."""
+    """Return the 32-bit hash that identifies a customer in digests."""
     return xxhash.xxh32_intdigest(name.encode())
--- a/berylshift/process/quarantine/crash_gossip.py
+++ b/berylshift/process/quarantine/crash_gossip.py
@@ -101,7 +101,7 @@
     def _pending(
         self, updates: OrderedDict[Key, _Update], now: float, own_domain_only: bool
     ) -> list[Key]:
-        """Drop updates that were sent long enough; return the rest, the newest first."""
+        """Drop updates that were sent long enough; return the rest, newest first."""
         while updates:
             key, update = next(iter(updates.items()))
             if now - update.since < self._gossip_seconds:
--- a/berylshift/process/telling/digest_maker.py
+++ b/berylshift/process/telling/digest_maker.py
@@ -11,7 +11,7 @@
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
-from berylshift.process.usage.usage_counts import UsageBook
+from berylshift.process.usage.usage_counts import UsageCounts
 
 
 @dataclass
@@ -26,7 +26,7 @@
     phases: ExpectedPhases
     watch: StoreWatch
     quarantine: Quarantine
-    usage: UsageBook
+    usage: UsageCounts
     throttle: Throttle
 
 
@@ -75,7 +75,9 @@
             start=parts.usage.start if runs else 0,
             runs=runs,
             limits=parts.throttle.to_tell(now, own_alone=not gathers),
-            usage_done=parts.usage.done if gathers else parts.usage.done_told(now),
+            usage_done=parts.usage.last_done
+            if gathers
+            else parts.usage.done_to_announce(now),
         )
 
     def _runs(self, scope: Scope, now: float) -> tuple[RunCount, ...]:
@@ -85,5 +87,5 @@
         hosts: one of them may collect next.
         """
         if scope is Scope.DOMAIN:
-            return self._parts.usage.domain_told(now)
-        return self._parts.usage.own_told(now)
+            return self._parts.usage.take_domain_counts(now)
+        return self._parts.usage.take_own_counts(now)
--- a/berylshift/process/telling/telling.py
+++ b/berylshift/process/telling/telling.py
@@ -92,7 +92,7 @@
         parts = self._parts
         if self._collectors.holds or parts.watch.follows or self._last:
             return False
-        if parts.quarantine.has_updates(now) or parts.usage.has_news(now):
+        if parts.quarantine.has_updates(now) or parts.usage.has_updates(now):
             return False
         if parts.throttle.to_tell(now, own_alone=True):
             return False
@@ -138,11 +138,11 @@
 
     def _hear_usage(self, digest: LoadDigest) -> None:
         usage = self._parts.usage
-        usage.note_done(digest.usage_done)
+        usage.mark_done(digest.usage_done)
         if digest.scope is Scope.DOMAIN:
-            usage.hear_domain(digest.domain, digest.runs)
+            usage.merge_domain(digest.domain, digest.runs)
         else:
-            usage.hear_host(digest.host, digest.domain, digest.start, digest.runs)
+            usage.merge_host(digest.host, digest.domain, digest.start, digest.runs)
 
     def duty_place(self, duty: str, now: float) -> int | None:
         """Return how many hosts go before this one for a duty; ``None``: it is not to.
@@ -212,7 +212,7 @@
         word = parts.watch.word() if parts.watch.follows else None
         changed = entries != self._last or bool(reads) or self._is_news(word)
         changed = changed or parts.quarantine.has_updates(now)
-        changed = changed or parts.usage.has_news(now)
+        changed = changed or parts.usage.has_updates(now)
         changed = changed or bool(parts.throttle.to_tell(now, own_alone=True))
         if not changed and now - self._last_at < REPEAT_SECONDS:
             return None
@@ -269,7 +269,7 @@
         names = self._collectors.holders(now)[:COLLECTORS]
         if names != self._told_collectors:
             self._told_collectors = names
-            self._parts.usage.tell_all_again()
+            self._parts.usage.resend_own_counts()
         digest = self._changed_digest(now)
         if digest is None:
             return []
--- a/berylshift/process/usage/__init__.py
+++ b/berylshift/process/usage/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that began to run, by customer and window, and how they are reported."""
+"""Counts of started requests by customer and time window, and their reporting."""
--- a/berylshift/process/usage/counter_gossip.py
+++ b/berylshift/process/usage/counter_gossip.py
@@ -1,90 +1,93 @@
-"""Which counts are told now: changed ones at once, all of them again until done.
+"""Grow-only counters and which of them the next digest holds.
 
-A datagram may be lost, and who gathers may be another host by now. Counts only rise, so
-the same one may be told and heard any number of times.
+A changed counter is sent at once, and all counters are resent until their window is
+done: a datagram may be lost, and the collector may be another host by now. Counters
+only grow, so that the same value may be sent and received any number of times.
 """
 
 from dataclasses import dataclass
 
 from berylshift.messages.usage import RunCount
 
-# How often an unchanged count is told again, in seconds.
-REPEAT_SECONDS = 3.0
-# Counts that one digest has room for; the others wait for the next one.
-MOST_TOLD = 60
+# How often an unchanged counter is resent.
+RESEND_SECONDS = 3.0
+# Counters that fit in one digest; the others wait for the next one.
+MAX_COUNTS_PER_DIGEST = 60
 NEVER = float("-inf")
 
 
 @dataclass
-class _Told:
+class _Counter:
     count: int
-    told_at: float = NEVER
+    sent_at: float = NEVER
 
 
-class CountTelling:
-    """Counts by window and customer; times in seconds on the monotonic clock."""
+class CounterGossip:
+    """Counters by window and customer; times in seconds on the monotonic clock."""
 
     def __init__(self) -> None:
-        """Start without counts."""
-        self._counts: dict[tuple[int, int], _Told] = {}
+        """Start without counters."""
+        self._counters: dict[tuple[int, int], _Counter] = {}
         self._due_at = float("inf")
 
     def count(self, window: int, customer: int) -> int:
-        """Return a count."""
-        found = self._counts.get((window, customer))
+        """Return the value of a counter."""
+        found = self._counters.get((window, customer))
         return 0 if found is None else found.count
 
     def raise_to(self, window: int, customer: int, count: int) -> None:
-        """Take a count over if it is higher than the one known."""
-        found = self._counts.get((window, customer))
+        """Set a counter to ``count`` if its value is lower."""
+        found = self._counters.get((window, customer))
         if found is not None and found.count >= count:
             return
-        self._counts[window, customer] = _Told(count)
+        self._counters[window, customer] = _Counter(count)
         self._due_at = NEVER
 
-    def tell_all_again(self) -> None:
-        """Have all counts told anew: whoever gathers them is another host now."""
-        for told in self._counts.values():
-            told.told_at = NEVER
+    def resend_all(self) -> None:
+        """Make all counters due, since they now go to another collector."""
+        for counter in self._counters.values():
+            counter.sent_at = NEVER
         self._due_at = NEVER
 
-    def has_news(self, now: float) -> bool:
-        """Return whether something is to be told."""
+    def has_updates(self, now: float) -> bool:
+        """Return whether any counter is due to be sent."""
         return now >= self._due_at
 
-    def take(self, now: float) -> tuple[RunCount, ...]:
-        """Return what is told now, what was told longest ago first."""
-        if not self.has_news(now):
+    def take_due(self, now: float) -> tuple[RunCount, ...]:
+        """Return the counters to send now, the one sent longest ago first."""
+        if not self.has_updates(now):
             return ()
         due = [
-            (told.told_at, key)
-            for key, told in self._counts.items()
-            if now >= told.told_at + REPEAT_SECONDS
+            (counter.sent_at, key)
+            for key, counter in self._counters.items()
+            if now >= counter.sent_at + RESEND_SECONDS
         ]
         due.sort()
-        for _, key in due[:MOST_TOLD]:
-            self._counts[key].told_at = now
-        oldest = min((told.told_at for told in self._counts.values()), default=None)
-        self._due_at = float("inf") if oldest is None else oldest + REPEAT_SECONDS
+        for _, key in due[:MAX_COUNTS_PER_DIGEST]:
+            self._counters[key].sent_at = now
+        oldest = min(
+            (counter.sent_at for counter in self._counters.values()), default=None
+        )
+        self._due_at = float("inf") if oldest is None else oldest + RESEND_SECONDS
         return tuple(
-            RunCount(window, customer, self._counts[window, customer].count)
-            for _, (window, customer) in due[:MOST_TOLD]
+            RunCount(window, customer, self._counters[window, customer].count)
+            for _, (window, customer) in due[:MAX_COUNTS_PER_DIGEST]
         )
 
-    def of_window(self, window: int) -> dict[int, int]:
-        """Return a window's counts by customer."""
+    def counts_in(self, window: int) -> dict[int, int]:
+        """Return the counts of a window by customer."""
         return {
-            customer: told.count
-            for (found, customer), told in self._counts.items()
+            customer: counter.count
+            for (found, customer), counter in self._counters.items()
             if found == window
         }
 
     def __len__(self) -> int:
-        """Return how many counts there are."""
-        return len(self._counts)
+        """Return the number of counters."""
+        return len(self._counters)
 
-    def forget_through(self, window: int) -> None:
-        """Forget a window and all before it."""
-        self._counts = {
-            key: told for key, told in self._counts.items() if key[0] > window
+    def drop_through(self, window: int) -> None:
+        """Drop the counters of a window and of all earlier ones."""
+        self._counters = {
+            key: counter for key, counter in self._counters.items() if key[0] > window
         }
--- a/berylshift/process/usage/filtered_clock.py
+++ b/berylshift/process/usage/filtered_clock.py
@@ -1,8 +1,9 @@
-"""The calendar time that all hosts share, from a clock that may be stepped.
+"""Wall-clock time that short steps of the system clock don't affect.
 
-A host's time of day may jump by seconds and jump back. Requests counted by it in the
-meantime would fall into windows of others. The offset to a clock that never jumps is
-therefore the median of many, so that a step has to last before it counts.
+The system clock of a host may step by seconds and back again, and requests counted
+meanwhile would fall into other windows than at the other hosts. The offset to a clock
+that never steps is therefore the median of many samples, so that a step only takes
+effect once it has persisted.
 """
 
 import statistics
@@ -11,27 +12,27 @@
 
 from berylshift.clock import Clock
 
-SAMPLE_SECONDS = 1.0
-# A step counts once it has lasted for half of these samples.
-SAMPLES_KEPT = 61
+SAMPLE_INTERVAL_SECONDS = 1.0
+# A step takes effect once it has persisted for half of these samples.
+MAX_SAMPLES = 61
 
 
-class TrueTime:
+class FilteredClock:
     """Unix time in seconds."""
 
     def __init__(self, clock: Clock, boot_clock: Callable[[], float]):
-        """Go by ``boot_clock``, which counts the time that a host stands still."""
+        """Run on ``boot_clock``, which also counts the time a host is suspended."""
         self._clock = clock
         self._boot_clock = boot_clock
-        self._offsets: deque[float] = deque(maxlen=SAMPLES_KEPT)
-        self.look()
+        self._offsets: deque[float] = deque(maxlen=MAX_SAMPLES)
+        self.sample()
 
-    def look(self) -> None:
-        """Compare the two clocks."""
-        calendar = self._clock.now().timestamp()
-        self._offsets.append(calendar - self._boot_clock())
+    def sample(self) -> None:
+        """Sample the offset between the two clocks."""
+        wall_time = self._clock.now().timestamp()
+        self._offsets.append(wall_time - self._boot_clock())
         self._offset = statistics.median_low(self._offsets)
 
     def now(self) -> float:
-        """Return the time."""
+        """Return the filtered time."""
         return self._boot_clock() + self._offset
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -1,8 +1,8 @@
-"""Reports usage of each window: settled once in the store, then sent, by one host.
+"""Reports the usage of each window: one host settles it in the store, then sends it.
 
-A report is settled before it is sent, so that a host which takes over sends the very
-same one: two different ones of a window would be two truths. A window whose settled
-report may be lost with the store is not settled anew.
+A report is settled before it is sent, so that a host that takes over sends an identical
+one; two different reports of a window would contradict each other. A window whose
+settled report may have been lost with the store is not settled again.
 """
 
 import logging
@@ -15,78 +15,83 @@
 from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
 from berylshift.process.directory.store_eras import StoreEras
 from berylshift.process.duties.duty_lease import DutyLease, Grant, Refused
-from berylshift.process.usage.filtered_clock import SAMPLE_SECONDS, TrueTime
-from berylshift.process.usage.usage_counts import UsageBook
+from berylshift.process.usage.filtered_clock import (
+    SAMPLE_INTERVAL_SECONDS,
+    FilteredClock,
+)
+from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.store.interfaces import PlatformError
 
 logger = logging.getLogger(__name__)
 
 DUTY = "usage"
-LOOK_SECONDS = 0.2
+POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
-# Answers after which a window is over: sent, or refused for good.
-FINAL = frozenset({DutyAnswer.DONE, DutyAnswer.REFUSED})
+# Answers after which a window is done: it was accepted, or rejected permanently.
+FINAL_ANSWERS = frozenset({DutyAnswer.DONE, DutyAnswer.REFUSED})
 
 
 class UsageLoop:
-    """Reports usage while it is this host's turn."""
+    """Reports usage while this host holds the lease for it."""
 
     def __init__(
         self,
         host: str,
         windows: UsageWindows,
-        book: UsageBook,
-        time: TrueTime,
+        usage_counts: UsageCounts,
+        filtered_clock: FilteredClock,
         lease: DutyLease,
         rows: UsageRows,
         reporting: UsageReporting,
         eras: StoreEras,
         clock: Clock,
-        place: Callable[[str], int | None],
+        rank_for: Callable[[str], int | None],
     ):
-        """Report as ``host``; ``place``: its place in order for a duty."""
+        """Report as ``host``; ``rank_for`` returns its rank in the order for a duty."""
         self._host = host
         self._windows = windows
-        self._book = book
-        self._time = time
+        self._usage_counts = usage_counts
+        self._filtered_clock = filtered_clock
         self._lease = lease
         self._rows = rows
         self._reporting = reporting
         self._eras = eras
         self._clock = clock
-        self._place = place
+        self._rank_for = rank_for
         self._settled: dict[int, UsageReport] = {}
-        self._started = time.now()
+        self._started_at = filtered_clock.now()
         self._refused_until = float("-inf")
-        self.sent = 0
-        self.given_up = 0
+        self.reported_count = 0
+        self.given_up_count = 0
 
     async def run(self) -> None:
         """Report until cancelled."""
-        looked_at = float("-inf")
+        sampled_at = float("-inf")
         while True:
-            await trio.sleep(LOOK_SECONDS)
-            if self._clock.monotonic() - looked_at >= SAMPLE_SECONDS:
-                looked_at = self._clock.monotonic()
-                self._time.look()
-                self._book.forget_old(self._time.now())
+            await trio.sleep(POLL_SECONDS)
+            if self._clock.monotonic() - sampled_at >= SAMPLE_INTERVAL_SECONDS:
+                sampled_at = self._clock.monotonic()
+                self._filtered_clock.sample()
+                self._usage_counts.drop_old(self._filtered_clock.now())
             for window in self._due():
-                if not await self._try(window):
+                if not await self._process(window):
                     break
 
     def _due(self) -> list[int]:
-        place = self._place(DUTY)
-        if place is None or self._clock.monotonic() < self._refused_until:
+        rank = self._rank_for(DUTY)
+        if rank is None or self._clock.monotonic() < self._refused_until:
             return []
-        # Whoever reported last keeps the duty: the others would wait for its lease.
-        place = 0 if self._book.reported_last else place + 1
-        done, started = self._book.done, self._started
-        return self._windows.due(self._time.now(), done, place, started)
-
-    async def _try(self, window: int) -> bool:
-        """Report a window; return whether it is over."""
-        if self._windows.is_late(window, self._time.now()):
+        # The host that reported last goes on; others would wait for its lease to end.
+        rank = 0 if self._usage_counts.reported_last else rank + 1
+        last_done, started_at = self._usage_counts.last_done, self._started_at
+        return self._windows.due(
+            self._filtered_clock.now(), last_done, rank, started_at
+        )
+
+    async def _process(self, window: int) -> bool:
+        """Try to report a window; return whether it is done."""
+        if self._windows.is_late(window, self._filtered_clock.now()):
             return self._give_up(window, "too late")
         try:
             grant = await self._lease.acquire()
@@ -95,7 +100,9 @@
                 return False
             return await self._report(window, grant)
         except PlatformError as exc:
-            logger.info("usage not settled yet", extra=_about(window, reason=str(exc)))
+            logger.info(
+                "usage not settled yet", extra=_log_fields(window, reason=str(exc))
+            )
             await trio.sleep(RETRY_SECONDS)
             return False
 
@@ -109,29 +116,29 @@
         answer = await self._reporting.report_usage(report, holder)
         logger.info(
             "usage sent",
-            extra=_about(
+            extra=_log_fields(
                 window, answer=answer, fence=grant.fence, customers=len(report.counts)
             ),
         )
-        if answer not in FINAL:
+        if answer not in FINAL_ANSWERS:
             await trio.sleep(RETRY_SECONDS)
             return False
-        self.sent += answer is DutyAnswer.DONE
-        self._done(window)
+        self.reported_count += answer is DutyAnswer.DONE
+        self._finish(window)
         return True
 
     async def _settle(self, window: int) -> UsageReport | None:
-        """Return the one report of a window; ``None`` if it can't be known."""
+        """Return the settled report of a window; ``None`` if it can't be known."""
         known = self._settled.get(window)
         if known is not None:
             return known
         if not self._may_settle(window):
             found = await self._rows.read(window)
         else:
-            found = await self._rows.settle(self._book.report(window))
+            found = await self._rows.settle(self._usage_counts.report(window))
             logger.info(
                 "usage settled",
-                extra=_about(
+                extra=_log_fields(
                     window,
                     customers=len(found.report.counts),
                     requests=sum(item.count for item in found.report.counts),
@@ -143,24 +150,26 @@
         return found.report
 
     def _may_settle(self, window: int) -> bool:
-        """Return whether no other report of a window can have been settled and lost.
+        """Return whether no settled report of a window can have been lost.
 
-        The store may have come back older since the window's end.
+        The store may have been restored from an older copy since the window's end.
         """
         if not self._eras.changes:
             return True
-        return self._time.now() - self._eras.age() < self._windows.end(window)
+        return self._filtered_clock.now() - self._eras.age() < self._windows.end_of(
+            window
+        )
 
     def _give_up(self, window: int, reason: str) -> bool:
-        logger.warning("usage given up", extra=_about(window, reason=reason))
-        self.given_up += 1
-        self._done(window)
+        logger.warning("usage given up", extra=_log_fields(window, reason=reason))
+        self.given_up_count += 1
+        self._finish(window)
         return True
 
-    def _done(self, window: int) -> None:
+    def _finish(self, window: int) -> None:
         self._settled.pop(window, None)
-        self._book.reported(window, self._clock.monotonic())
+        self._usage_counts.mark_reported(window, self._clock.monotonic())
 
 
-def _about(window: int, **more: object) -> dict[str, object]:
-    return {"window": window, **more}
+def _log_fields(window: int, **fields: object) -> dict[str, object]:
+    return {"window": window, **fields}
--- a/berylshift/tests/duty_world.py
+++ b/berylshift/tests/duty_world.py
@@ -11,13 +11,13 @@
 from berylshift.messages.usage import UsageReport
 from berylshift.process.directory.store_eras import EraSource, StoreEras
 from berylshift.process.duties.duty_lease import DutyLease
-from berylshift.process.usage.filtered_clock import TrueTime
-from berylshift.process.usage.usage_counts import UsageBook
+from berylshift.process.usage.filtered_clock import FilteredClock
+from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.usage_loop import UsageLoop
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
 from berylshift.stand_ins.fake_duties import FakeDuties, FakeUsageRows
-from berylshift.tests.usage_support import TERMS
+from berylshift.tests.usage_support import SCHEDULE
 
 APART_SECONDS = 3.0
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
@@ -30,7 +30,7 @@
     """One host; ``cut``: it hears nobody and nobody hears it."""
 
     name: str
-    book: UsageBook
+    usage_counts: UsageCounts
     eras: StoreEras
     loop: UsageLoop
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
@@ -58,9 +58,12 @@
         """Start a host, perhaps under the name of one that has ended."""
         self.starts += 1
         clock = LoopClock(EPOCH)
-        windows, time = UsageWindows(TERMS), TrueTime(clock, trio.current_time)
-        book = UsageBook(windows, name, "z1", self.starts)
-        book.learn_names(CUSTOMERS)
+        windows, filtered_clock = (
+            UsageWindows(SCHEDULE),
+            FilteredClock(clock, trio.current_time),
+        )
+        usage_counts = UsageCounts(windows, name, "z1", self.starts)
+        usage_counts.add_names(CUSTOMERS)
         eras = StoreEras(trio.current_time)
         eras.learn(self.leases.era, EraSource.OWN_READ)
         lease = DutyLease(
@@ -76,16 +79,16 @@
         loop = UsageLoop(
             host=name,
             windows=windows,
-            book=book,
-            time=time,
+            usage_counts=usage_counts,
+            filtered_clock=filtered_clock,
             lease=lease,
             rows=self.rows,
             reporting=self.duties,
             eras=eras,
             clock=clock,
-            place=lambda duty: self._place(name),
+            rank_for=lambda duty: self._place(name),
         )
-        host = DutyHost(name, book, eras, loop)
+        host = DutyHost(name, usage_counts, eras, loop)
         self.hosts = [known for known in self.hosts if known.name != name] + [host]
         self.nursery.start_soon(self._run, host)
         return host
@@ -116,12 +119,12 @@
         while True:
             await trio.sleep(HEAR_SECONDS)
             for sender in self._in_touch():
-                told = sender.book.own_told(trio.current_time())
-                done = sender.book.done_told(trio.current_time())
+                told = sender.usage_counts.take_own_counts(trio.current_time())
+                done = sender.usage_counts.done_to_announce(trio.current_time())
                 for hearer in self._in_touch():
-                    start = sender.book.start
-                    hearer.book.hear_host(sender.name, "z1", start, told)
-                    hearer.book.note_done(done)
+                    start = sender.usage_counts.start
+                    hearer.usage_counts.merge_host(sender.name, "z1", start, told)
+                    hearer.usage_counts.mark_done(done)
 
     async def ask(self, pause: float = 0.2) -> None:
         """Have requests begin at all hosts until cancelled."""
@@ -131,8 +134,8 @@
             host = self.rng.choice([host for host in self.hosts if host.alive])
             customer = self.rng.choice(CUSTOMERS)
             at = clock.now().timestamp()
-            host.book.began(customer, at)
-            key = (UsageWindows(TERMS).at(at), customer)
+            host.usage_counts.record_start(customer, at)
+            key = (UsageWindows(SCHEDULE).window_at(at), customer)
             self.truth[key] = self.truth.get(key, 0) + 1
 
     def true_report(self, window: int) -> dict[str, int]:
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -1,4 +1,4 @@
-"""Usage reported once and truly by hosts that end, are cut off, or lose the store."""
+"""Tests that usage is reported once and correctly under faults of hosts and store."""
 
 import unittest
 
@@ -14,14 +14,14 @@
     counts_of,
 )
 from berylshift.tests.support import run_virtual
-from berylshift.tests.usage_support import TERMS
+from berylshift.tests.usage_support import SCHEDULE
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
 
 
-def play(task, seed: int = 1, hosts: int = 5) -> DutyWorld:
-    """Run ``task(world)`` while requests begin and hosts tell each other."""
+def run_world(task, seed: int = 1, hosts: int = 5) -> DutyWorld:
+    """Run ``task(world)`` while requests start and hosts exchange counts."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -35,43 +35,45 @@
     return run_virtual(main)
 
 
-def count_late(world: DutyWorld, window: int) -> None:
-    """Have each host learn of a request that began in a window, after its report."""
+def record_late_start(world: DutyWorld, window: int) -> None:
+    """Have each host count a request of a window that has been reported."""
     for host in world.hosts:
-        host.book.began(CUSTOMERS[0], UsageWindows(TERMS).start(window) + 1)
+        host.usage_counts.record_start(
+            CUSTOMERS[0], UsageWindows(SCHEDULE).start_of(window) + 1
+        )
 
 
 def windows_reported(world: DutyWorld) -> list[int]:
-    """Return the windows reported, each once."""
+    """Return the reported windows, without repeats."""
     return sorted({call.report.window for call in world.duties.usage})
 
 
 class UsageLoopTest(unittest.TestCase):
     """Single faults."""
 
-    def assert_true(self, world: DutyWorld, least: int) -> None:
-        """Check that all windows but the first were reported, in time and truly."""
+    def assert_reported(self, world: DutyWorld, min_windows: int) -> None:
+        """Check that windows after the first are reported in time and correctly."""
         self.assertEqual(broken_rules(world), [])
         found = windows_reported(world)
-        self.assertGreaterEqual(len(found), least)
+        self.assertGreaterEqual(len(found), min_windows)
         self.assertEqual(found, list(range(found[0], found[-1] + 1)))
-        windows, start = UsageWindows(TERMS), EPOCH.timestamp()
+        windows, start = UsageWindows(SCHEDULE), EPOCH.timestamp()
         for call in world.duties.usage:
-            self.assertLess(start + call.at, windows.end(call.report.window) + 10)
-            wanted = world.true_report(call.report.window)
-            self.assertEqual(counts_of(call.report), wanted)
+            self.assertLess(start + call.at, windows.end_of(call.report.window) + 10)
+            expected = world.true_report(call.report.window)
+            self.assertEqual(counts_of(call.report), expected)
 
-    def test_each_window_is_reported_once_and_truly(self):
+    def test_each_window_is_reported_once_and_correctly(self):
         async def task(world):
             await trio.sleep(60)
 
-        world = play(task)
-        self.assert_true(world, 9)
+        world = run_world(task)
+        self.assert_reported(world, 9)
         self.assertEqual(len(world.duties.usage), len(windows_reported(world)))
         self.assertEqual(len({call.holder.host for call in world.duties.usage}), 1)
 
-    def test_another_host_goes_on_when_the_reporter_ends(self):
-        """Guards against windows that nobody reports once their holder is killed."""
+    def test_another_host_takes_over_when_the_reporter_is_killed(self):
+        """Guards against windows without a report once the lease holder is killed."""
 
         async def task(world):
             await trio.sleep(21)
@@ -79,26 +81,26 @@
             world.kill(next(host for host in world.hosts if host.name == holder))
             await trio.sleep(40)
 
-        self.assert_true(play(task), 9)
+        self.assert_reported(run_world(task), 9)
 
-    def test_a_lost_answer_is_followed_by_the_very_same_report(self):
-        """Guards against two truths of one window."""
+    def test_a_lost_answer_is_followed_by_the_same_report(self):
+        """Guards against two different reports of one window."""
 
         async def task(world):
             await trio.sleep(17)
             world.duties.answers = [DutyAnswer.UNKNOWN, DutyAnswer.UNKNOWN]
             await trio.sleep(20)
 
-        world = play(task)
-        self.assert_true(world, 5)
+        world = run_world(task)
+        self.assert_reported(world, 5)
         repeats = len(world.duties.usage) - len(windows_reported(world))
         self.assertEqual(repeats, 2)
 
-    def test_what_was_settled_is_sent_by_a_successor_as_it_is(self):
-        """Guards against a successor that knows more and tells it.
+    def test_a_successor_sends_the_settled_report_unchanged(self):
+        """Guards against a successor that reports counts that arrived later.
 
-        The holder settles a window and ends before it has sent it. Another host's
-        counts have come late; the settled report goes out all the same.
+        The lease holder settles a window and is killed before it sends the report.
+        Counts of another host arrive late; the settled report is sent nevertheless.
         """
 
         async def task(world):
@@ -107,20 +109,20 @@
             while len(world.duties.answers) == 3:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
-            holder = next(h for h in world.hosts if h.book.reported_last)
+            holder = next(h for h in world.hosts if h.usage_counts.reported_last)
             world.kill(holder)
             world.duties.answers = []
             world.late = world.rows._rows[settled]
-            count_late(world, settled)
+            record_late_start(world, settled)
             await trio.sleep(20)
 
-        world = play(task)
+        world = run_world(task)
         self.assertEqual(broken_rules(world), [])
         sent = [call.report for call in world.duties.usage]
         self.assertIn(world.late, sent)
 
-    def test_a_window_that_may_have_been_settled_is_not_settled_anew(self):
-        """Guards against a second report after the store has lost the first one."""
+    def test_a_window_that_may_have_been_settled_is_not_settled_again(self):
+        """Guards against a different report once the store lost the settled one."""
 
         async def task(world):
             await trio.sleep(17)
@@ -128,18 +130,18 @@
             while len(world.duties.answers) == 10:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
-            holder = next(h for h in world.hosts if h.book.reported_last)
+            holder = next(h for h in world.hosts if h.usage_counts.reported_last)
             world.kill(holder)
             world.restore(30)
             for host in world.hosts:
                 host.eras.learn(world.rows.era, "own read")
-            count_late(world, settled)
+            record_late_start(world, settled)
             world.duties.answers = []
             await trio.sleep(30)
 
-        self.assertEqual(broken_rules(play(task)), [])
+        self.assertEqual(broken_rules(run_world(task)), [])
 
-    def test_a_store_that_is_away_for_a_while_costs_no_window(self):
+    def test_a_store_outage_loses_no_window(self):
         async def task(world):
             await trio.sleep(16)
             world.leases.down = world.rows.down = True
@@ -147,31 +149,31 @@
             world.leases.down = world.rows.down = False
             await trio.sleep(30)
 
-        self.assert_true(play(task), 8)
+        self.assert_reported(run_world(task), 8)
 
 
 class ScheduleTest(unittest.TestCase):
-    """Faults of all kinds, drawn by seed, in series and overlapping."""
+    """Random faults of all kinds, one after another and overlapping."""
 
-    def test_never_two_reports_of_a_window_or_two_holders(self):
-        """Guards against all that the platform can't take back."""
+    def test_no_window_has_two_reports_or_two_holders(self):
+        """Guards against reports that the platform can't undo."""
         reported = 0
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                world = play(self.faults, seed)
+                world = run_world(self.faults, seed)
                 self.assertEqual(broken_rules(world), [])
                 reported += len(windows_reported(world))
         self.assertGreater(reported, 5 * len(SEEDS))
 
     async def faults(self, world: DutyWorld) -> None:
-        """Play a minute of faults."""
+        """Inject faults for a minute."""
         rng = world.rng
         for _ in range(14):
             await trio.sleep(rng.uniform(0.5, 7))
             world.nursery.start_soon(self.fault, world, rng.choice(FAULTS))
 
     async def fault(self, world: DutyWorld, kind: str) -> None:
-        """Play one fault."""
+        """Inject one fault."""
         rng = world.rng
         seconds = rng.uniform(1, 8)
         alive = [host for host in world.hosts if host.alive]
--- a/berylshift/tests/test_usage_windows.py
+++ b/berylshift/tests/test_usage_windows.py
@@ -1,10 +1,10 @@
-"""When a window's usage is due, and the time that windows go by."""
+"""Tests when a window's report is due, and the clock that windows are based on."""
 
 import unittest
 from datetime import UTC, datetime, timedelta
 
-from berylshift.process.usage.filtered_clock import SAMPLES_KEPT, TrueTime
-from berylshift.process.usage.windows import MOST_PLACES, UsageTerms, UsageWindows
+from berylshift.process.usage.filtered_clock import MAX_SAMPLES, FilteredClock
+from berylshift.process.usage.windows import MAX_RANK, UsageSchedule, UsageWindows
 
 WINDOW = 100
 END = 505.0
@@ -12,51 +12,51 @@
 
 
 class UsageWindowsTest(unittest.TestCase):
-    """Windows of five seconds, due ten seconds after their end."""
+    """Windows of five seconds whose reports are due within ten seconds."""
 
     def setUp(self):
-        self.windows = UsageWindows(UsageTerms(5.0, 10.0))
+        self.windows = UsageWindows(UsageSchedule(5.0, 10.0))
 
-    def due(self, after, done=WINDOW - 1, place=0, started=EARLY):
-        return self.windows.due(END + after, done, place, started)
+    def due(self, after, last_done=WINDOW - 1, rank=0, started_at=EARLY):
+        return self.windows.due(END + after, last_done, rank, started_at)
 
     def test_windows_by_number(self):
-        self.assertEqual(self.windows.at(500.0), WINDOW)
-        self.assertEqual(self.windows.at(504.999), WINDOW)
+        self.assertEqual(self.windows.window_at(500.0), WINDOW)
+        self.assertEqual(self.windows.window_at(504.999), WINDOW)
         self.assertEqual(
-            (self.windows.start(WINDOW), self.windows.end(WINDOW)), (500, END)
+            (self.windows.start_of(WINDOW), self.windows.end_of(WINDOW)), (500, END)
         )
 
     def test_a_window_is_settled_some_time_after_its_end(self):
-        """Guards against a report without the last counts, which are on their way."""
+        """Guards against a report without the last counts, still in transit."""
         self.assertEqual(self.due(1.9), [])
         self.assertEqual(self.due(2.1), [WINDOW])
 
-    def test_the_first_in_order_goes_first_and_all_are_in_time(self):
+    def test_lower_ranks_go_first_and_all_are_in_time(self):
         waits = []
-        for place in range(MOST_PLACES + 1):
-            wait = next(t / 10 for t in range(200) if self.due(t / 10, place=place))
+        for rank in range(MAX_RANK + 1):
+            wait = next(t / 10 for t in range(200) if self.due(t / 10, rank=rank))
             waits.append(wait)
         self.assertEqual(waits, sorted(set(waits)))
         self.assertLess(waits[-1], 9.0)
-        self.assertEqual(self.due(9.0, place=MOST_PLACES + 1), [])
+        self.assertEqual(self.due(9.0, rank=MAX_RANK + 1), [])
 
-    def test_what_is_done_is_not_due_and_what_was_missed_is(self):
-        self.assertEqual(self.due(3.1, done=WINDOW), [])
-        self.assertEqual(self.due(3.1, done=WINDOW - 2), [WINDOW - 1, WINDOW])
+    def test_done_windows_are_not_due_and_missed_ones_are(self):
+        self.assertEqual(self.due(3.1, last_done=WINDOW), [])
+        self.assertEqual(self.due(3.1, last_done=WINDOW - 2), [WINDOW - 1, WINDOW])
 
     def test_a_host_that_started_within_a_window_leaves_it_to_others(self):
-        """Guards against a report that lacks what began before its host did."""
-        self.assertEqual(self.due(3.1, started=501.0), [])
-        self.assertEqual(self.due(8.1, started=501.0), [WINDOW + 1])
+        """Guards against a report without the requests that started before its host."""
+        self.assertEqual(self.due(3.1, started_at=501.0), [])
+        self.assertEqual(self.due(8.1, started_at=501.0), [WINDOW + 1])
 
-    def test_late_is_before_the_platform_says_so(self):
+    def test_reports_are_late_before_the_platform_rejects_them(self):
         self.assertFalse(self.windows.is_late(WINDOW, END + 9.7))
         self.assertTrue(self.windows.is_late(WINDOW, END + 9.9))
 
 
 class SteppedClock:
-    """A calendar that is stepped, beside a clock that runs evenly."""
+    """A wall clock that can be stepped, next to a steady clock."""
 
     def __init__(self):
         self.time = 1000.0
@@ -67,25 +67,25 @@
             seconds=self.time + self.step
         )
 
-    def run(self, true_time, seconds):
+    def run(self, filtered_clock, seconds):
         for _ in range(seconds):
             self.time += 1.0
-            true_time.look()
+            filtered_clock.sample()
 
 
-class TrueTimeTest(unittest.TestCase):
-    """The calendar time, whatever the host's own does."""
+class FilteredClockTest(unittest.TestCase):
+    """The filtered time under steps of the host's wall clock."""
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.found = TrueTime(self.clock, lambda: self.clock.time)
+        self.found = FilteredClock(self.clock, lambda: self.clock.time)
 
     def error(self) -> float:
-        true = datetime(2026, 1, 1, tzinfo=UTC).timestamp() + self.clock.time
-        return self.found.now() - true
+        actual = datetime(2026, 1, 1, tzinfo=UTC).timestamp() + self.clock.time
+        return self.found.now() - actual
 
-    def test_a_step_and_its_return_change_nothing(self):
-        """Guards against requests counted in windows of seconds before or after."""
+    def test_a_short_step_has_no_effect(self):
+        """Guards against counting requests in earlier or later windows."""
         self.clock.run(self.found, 20)
         self.clock.step = 2.0
         self.clock.run(self.found, 10)
@@ -94,9 +94,9 @@
         self.clock.run(self.found, 20)
         self.assertAlmostEqual(self.error(), 0.0, places=3)
 
-    def test_a_clock_that_is_set_right_is_believed_in_the_end(self):
+    def test_a_persistent_step_takes_effect(self):
         self.clock.step = 2.0
-        self.clock.run(self.found, SAMPLES_KEPT)
+        self.clock.run(self.found, MAX_SAMPLES)
         self.assertAlmostEqual(self.error(), 2.0, places=3)
 
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -86,7 +86,7 @@
         "usage is settled before it is sent",
         "process/usage/usage_loop.py",
         "        return found.report\n",
-        "        return self._book.report(window)\n",
+        "        return self._usage_counts.report(window)\n",
         f"{USAGE}.UsageLoopTest",
     ),
     Proof(
@@ -106,9 +106,9 @@
     Proof(
         "counts are told again until their window is done",
         "process/usage/counter_gossip.py",
-        "            if now >= told.told_at + REPEAT_SECONDS\n",
-        "            if told.told_at == NEVER\n",
-        "test_usage_book.UsageBookTest",
+        "            if now >= counter.sent_at + RESEND_SECONDS\n",
+        "            if counter.sent_at == NEVER\n",
+        "test_usage_counts.UsageCountsTest",
     ),
     Proof(
         "a domain's loss leaves the replicas that are needed",
