--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -112,9 +112,9 @@
     for number in range(1, HOSTS):
         name = HostName(f"host-{number}")
         digest = Digest(name, make_incarnation(name, 1, 1), 1, 5)
-        members.received(digest, 1.0)
+        members.receive(digest, 1.0)
         for sequence in range(64):
-            members.note_sent(name, sequence, 1.0)
+            members.record_send(name, sequence, 1.0)
     return members
 
 
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -24,7 +24,7 @@
 from berylshift.process.limits.store_budget import StoreBudget
 from berylshift.process.membership.host_list_loop import HostListLoop
 from berylshift.process.membership.members import Membership, make_incarnation
-from berylshift.process.membership.peer_loop import PeerLink, PeerLoop, PeerParts
+from berylshift.process.membership.peer_loop import PeerDependencies, PeerLink, PeerLoop
 from berylshift.process.membership.readiness import Phase, Readiness
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.records.pending_loop import PendingLoop
@@ -236,7 +236,7 @@
             limits=self.limits,
             decisions=self.decisions,
             metrics=ports.metrics,
-            closed=self.readiness.closed,
+            closed=self.readiness.refusal_reason,
             ready=self.readiness.is_ready,
             rng=ports.rng,
         )
@@ -268,7 +268,7 @@
             timeout=cfg.targets.report_timeout,
         )
         self.poller = ReportPoller(poller)
-        peers = PeerParts(
+        peers = PeerDependencies(
             cfg=cfg.peers,
             members=self.members,
             link=ports.link,
@@ -349,7 +349,7 @@
             nursery.start_soon(self.poller.run)
             nursery.start_soon(self.host_loop.run)
             nursery.start_soon(self.peer_loop.run)
-            nursery.start_soon(self.ports.link.receive, self.peer_loop.take)
+            nursery.start_soon(self.ports.link.receive, self.peer_loop.on_digest)
             nursery.start_soon(self.pending_loop.run)
             nursery.start_soon(self.pool_loop.run)
             nursery.start_soon(self.sweep_loop.run)
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -62,10 +62,10 @@
         table_version=app.holder.table.version,
         store_age=round(min(app.fresh.store_age(now), 1e6), 3),
         in_flight=app.front.in_flight,
-        peers_in_sight=len(app.members.live(now)) - 1,
-        hosts_listed=app.members.size(),
+        peers_in_sight=len(app.members.live_hosts(now)) - 1,
+        hosts_listed=app.members.host_count(),
         pending_records=len(app.pending),
-        datagrams_dropped=app.members.dropped,
+        datagrams_dropped=app.members.dropped_count,
         targets=_targets(app, now),
         customers=_customers(app),
     )
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -161,7 +161,7 @@
 
     def _is_gone(self, incarnation: Incarnation) -> bool:
         """Return whether a process is known to be over."""
-        return self._parts.members.gone(host_of(incarnation), incarnation)
+        return self._parts.members.is_replaced(host_of(incarnation), incarnation)
 
     async def _tick(
         self, pool: PoolName, rows: list[Row], rank: int, nursery: trio.Nursery
--- a/berylshift/process/membership/__init__.py
+++ b/berylshift/process/membership/__init__.py
@@ -1,1 +1,1 @@
-"""The hosts: who lives, what they tell each other, whether this one is ready."""
+"""Membership of hosts: which are live, their digests, and this host's readiness."""
--- a/berylshift/process/membership/digest.py
+++ b/berylshift/process/membership/digest.py
@@ -1,4 +1,4 @@
-"""What one entry host tells another in a datagram."""
+"""The datagram that hosts with the native API exchange."""
 
 import msgspec
 
@@ -7,11 +7,11 @@
 from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
 
-NO_STORE_AGE = 3_600.0
+MAX_STORE_AGE_SECONDS = 3_600.0
 
 
 class Echo(msgspec.Struct, frozen=True):
-    """The last datagram that the sender had from a peer."""
+    """The last datagram that the sender received from a peer."""
 
     host: HostName
     incarnation: Incarnation
@@ -27,16 +27,16 @@
 
 
 class Digest(msgspec.Struct, frozen=True):
-    """One datagram; ``store_age`` in seconds since the store confirmed the table.
+    """One datagram; ``store_age``: seconds since the store confirmed the table version.
 
-    ``finished`` are calls that ran to their end after a target broke off under them.
+    ``finished`` are calls that completed after a target crashed while it ran them.
     """
 
     host: HostName
     incarnation: Incarnation
     sequence: int
     table_version: int
-    store_age: float = NO_STORE_AGE
+    store_age: float = MAX_STORE_AGE_SECONDS
     leaving: bool = False
     is_reply: bool = False
     echoes: list[Echo] = []
--- a/berylshift/process/membership/host_list_loop.py
+++ b/berylshift/process/membership/host_list_loop.py
@@ -25,13 +25,13 @@
     async def run(self) -> None:
         """Announce and read until cancelled."""
         while True:
-            await self.once()
+            await self.run_once()
             await trio.sleep(self._interval)
 
-    async def once(self) -> None:
-        """Announce and read once; a platform that is down changes nothing."""
+    async def run_once(self) -> None:
+        """Announce and read once; if the platform is down, nothing changes."""
         try:
             await self._hosts.announce(self.entry)
-            self._members.listed(await self._hosts.hosts())
+            self._members.update_host_list(await self._hosts.hosts())
         except PlatformError as exc:
             logger.warning("host list not read", extra={"why": str(exc)})
--- a/berylshift/process/membership/members.py
+++ b/berylshift/process/membership/members.py
@@ -1,4 +1,4 @@
-"""Membership: which peers live, what they last said, and whom to tell next."""
+"""Membership: which peers are live, their last digests, and whom to send to next."""
 
 import random
 from collections import deque
@@ -11,106 +11,118 @@
 from berylshift.store.interfaces import HostEntry, HostState
 from berylshift.version.freshness import PeerWord
 
-SENT_KEPT = 64
-FORMER_KEPT = 8
+MAX_SENT_TIMES = 64
+MAX_PAST_INCARNATIONS = 8
 
 
 @dataclass
 class Peer:
-    """What is known of a peer; times in monotonic seconds."""
+    """State of a peer; times in monotonic seconds.
+
+    ``sent_at`` holds the send times of recent datagrams to it, by sequence number.
+    """
 
     entry: HostEntry | None = None
     incarnation: Incarnation = Incarnation("")
     sequence: int = 0
-    heard_at: float = float("-inf")
+    received_at: float = float("-inf")
     digest: Digest | None = None
-    sent: dict[int, float] = field(default_factory=dict)
-    former: deque[Incarnation] = field(
-        default_factory=lambda: deque(maxlen=FORMER_KEPT)
+    sent_at: dict[int, float] = field(default_factory=dict)
+    past_incarnations: deque[Incarnation] = field(
+        default_factory=lambda: deque(maxlen=MAX_PAST_INCARNATIONS)
     )
 
 
 @dataclass
 class Membership:
-    """Peers of this process; sync, fed with datagrams and host lists."""
+    """Peers of this process; synchronous, fed with datagrams and host lists.
+
+    A peer counts as live until ``silent_after`` seconds after its last datagram.
+    """
 
     host: HostName
     incarnation: Incarnation
     silent_after: float
     rng: random.Random
     peers: dict[HostName, Peer] = field(default_factory=dict)
-    dropped: int = 0
+    dropped_count: int = 0
     sequence: int = 0
     _round: list[HostName] = field(default_factory=list)
 
-    def listed(self, entries: list[HostEntry]) -> None:
-        """Take the platform's list; it lags, so it only adds and renames."""
-        named = {entry.host for entry in entries}
+    def update_host_list(self, entries: list[HostEntry]) -> None:
+        """Apply the platform's host list.
+
+        Entries are added and replaced, and listed peers that are no longer on the list
+        are removed. A peer that was never listed stays, since the list lags behind.
+        """
+        listed = {entry.host for entry in entries}
         for entry in entries:
             if entry.host == self.host:
                 continue
             peer = self.peers.setdefault(entry.host, Peer())
             peer.entry = entry
-        for host in [host for host in self.peers if host not in named]:
+        for host in [host for host in self.peers if host not in listed]:
             if self.peers[host].entry is not None:
                 del self.peers[host]
 
-    def received(self, digest: Digest, now: float) -> PeerWord | None:
-        """Take a datagram; return its word on the table, if it is a new one.
+    def receive(self, digest: Digest, now: float) -> PeerWord | None:
+        """Apply a datagram; return the peer's table version if it echoes a request.
 
-        A late datagram, or one of a process that was replaced, would bring back
-        what is over: acks, loads, versions. Both are dropped.
+        A late datagram, or one of a replaced process, would restore outdated
+        acknowledgements, loads and versions. Both are dropped.
         """
-        if not self.is_news(digest):
-            self.dropped += 1
+        if not self.is_new(digest):
+            self.dropped_count += 1
             return None
         peer = self.peers.setdefault(digest.host, Peer())
         if peer.incarnation != digest.incarnation:
-            self._follow(peer, digest.incarnation)
+            self._replace_incarnation(peer, digest.incarnation)
         peer.sequence = digest.sequence
         peer.digest = digest
-        peer.heard_at = now
-        return self._word(peer, digest)
+        peer.received_at = now
+        return self._confirmation_in(peer, digest)
 
-    def is_news(self, digest: Digest) -> bool:
-        """Return whether a datagram is later than all that its host said."""
+    def is_new(self, digest: Digest) -> bool:
+        """Return whether a datagram is later than all known ones of its host."""
         if digest.host == self.host:
             return False
         peer = self.peers.get(digest.host)
         return peer is None or self._is_newer(peer, digest)
 
     def _is_newer(self, peer: Peer, digest: Digest) -> bool:
-        """Return whether a datagram follows all that its host is known to have said.
+        """Return whether a datagram is later than all known ones of a peer.
 
-        The host list lags, and calendars may be stepped back, so neither alone
-        tells which of two incarnations is the later one. One that was followed by
-        another is never taken again.
+        The host list lags, and wall clocks may be stepped back, so neither alone tells
+        which of two incarnations is the later one. An incarnation that another one has
+        replaced is never accepted again.
         """
         incarnation = digest.incarnation
         if incarnation == peer.incarnation:
             return digest.sequence > peer.sequence
-        if incarnation in peer.former:
+        if incarnation in peer.past_incarnations:
             return False
         if peer.entry is not None and peer.entry.incarnation == incarnation:
             return True
         known = peer.incarnation
         if not known and peer.entry is not None:
             known = peer.entry.incarnation
-        return not known or _started(incarnation) > _started(known)
+        return not known or _start_ms(incarnation) > _start_ms(known)
 
-    def _follow(self, peer: Peer, incarnation: Incarnation) -> None:
-        """Note which incarnations a new one puts an end to."""
-        former = [peer.incarnation]
+    def _replace_incarnation(self, peer: Peer, incarnation: Incarnation) -> None:
+        """Set a peer's incarnation and record those that it replaces."""
+        replaced = [peer.incarnation]
         if peer.entry is not None:
-            former.append(peer.entry.incarnation)
-        peer.former.extend(item for item in former if item and item != incarnation)
+            replaced.append(peer.entry.incarnation)
+        peer.past_incarnations.extend(
+            item for item in replaced if item and item != incarnation
+        )
         peer.incarnation = incarnation
 
-    def _word(self, peer: Peer, digest: Digest) -> PeerWord | None:
+    def _confirmation_in(self, peer: Peer, digest: Digest) -> PeerWord | None:
         for echo in digest.echoes:
             if echo.host != self.host or echo.incarnation != self.incarnation:
                 continue
-            asked_at = peer.sent.get(echo.sequence)
+            asked_at = peer.sent_at.get(echo.sequence)
             if asked_at is not None:
                 return PeerWord(
                     peer=digest.host,
@@ -122,30 +134,30 @@
         return None
 
     def entries(self) -> list[HostEntry]:
-        """Return the peers as the platform's list named them last."""
+        """Return the peers' entries in the latest host list."""
         return [peer.entry for peer in self.peers.values() if peer.entry is not None]
 
     def next_sequence(self) -> int:
-        """Return the number of the next datagram."""
+        """Return the sequence number of the next datagram."""
         self.sequence += 1
         return self.sequence
 
-    def note_sent(self, host: HostName, sequence: int, now: float) -> None:
-        """Note when a datagram went to a peer; its echo dates the answer."""
-        sent = self.peers[host].sent
-        sent[sequence] = now
-        while len(sent) > SENT_KEPT:
-            del sent[next(iter(sent))]
+    def record_send(self, host: HostName, sequence: int, now: float) -> None:
+        """Record when a datagram was sent to a peer, for when it is echoed."""
+        sent_at = self.peers[host].sent_at
+        sent_at[sequence] = now
+        while len(sent_at) > MAX_SENT_TIMES:
+            del sent_at[next(iter(sent_at))]
 
-    def echo(self, host: HostName) -> list[Echo]:
-        """Return the echo of a peer's last datagram."""
+    def echoes_for(self, host: HostName) -> list[Echo]:
+        """Return the echo of a peer's last datagram, if there was one."""
         peer = self.peers[host]
         if not peer.incarnation:
             return []
         return [Echo(host, peer.incarnation, peer.sequence)]
 
-    def pick(self, fanout: int) -> list[HostEntry]:
-        """Return the peers to tell now: all in turn, each round in a new order."""
+    def next_peers(self, fanout: int) -> list[HostEntry]:
+        """Return the peers to send to now: all in turn, each round reshuffled."""
         known = {
             host: peer.entry
             for host, peer in self.peers.items()
@@ -160,42 +172,42 @@
                 picked.append(known[host])
         return picked
 
-    def live(self, now: float) -> list[HostName]:
-        """Return the peers heard of lately, and this host."""
-        heard = [
+    def live_hosts(self, now: float) -> list[HostName]:
+        """Return this host and the peers that have sent a datagram recently."""
+        live_peers = [
             host
             for host, peer in self.peers.items()
-            if now - peer.heard_at <= self.silent_after
+            if now - peer.received_at <= self.silent_after
         ]
-        return [self.host, *heard]
+        return [self.host, *live_peers]
 
     def rank(self, name: str) -> int:
-        """Return this host's place for some duty among the live ones.
+        """Return this host's rank among the live hosts for a named task, 0 first.
 
-        By rendezvous hash: each duty has its own order, and a host that goes
-        changes only its own places.
+        By rendezvous hashing: each task has its own order, and a host that is removed
+        only changes the ranks of the hosts behind it.
         """
-        mine = _score(name, self.host)
+        own_score = _rendezvous_score(name, self.host)
         live = [
             host
             for host, peer in self.peers.items()
             if peer.entry is not None and peer.entry.state is HostState.LIVE
         ]
-        return sum(_score(name, host) > mine for host in live)
+        return sum(_rendezvous_score(name, host) > own_score for host in live)
 
-    def size(self) -> int:
-        """Return how many hosts there are, by the list, leaving ones not counted."""
+    def host_count(self) -> int:
+        """Return the number of hosts on the list that aren't leaving, and this one."""
         listed = sum(
             peer.entry is not None and peer.entry.state is HostState.LIVE
             for peer in self.peers.values()
         )
         return 1 + listed
 
-    def gone(self, host: HostName, incarnation: Incarnation) -> bool:
-        """Return whether an incarnation is known to be over.
+    def is_replaced(self, host: HostName, incarnation: Incarnation) -> bool:
+        """Return whether an incarnation is known to have been replaced.
 
-        It is over when the host list names another one for its host, or this
-        process has heard another, later one itself. Silence proves nothing: the
+        It is replaced when the host list has a later one for its host, or when this
+        process has received datagrams of a later one. Silence proves nothing, since the
         process may be paused.
         """
         if host == self.host:
@@ -203,28 +215,30 @@
         peer = self.peers.get(host)
         if peer is None:
             return False
-        later = _started(peer.incarnation) > _started(incarnation)
+        is_later = _start_ms(peer.incarnation) > _start_ms(incarnation)
         listed = peer.entry is not None and peer.entry.incarnation != incarnation
-        heard = bool(peer.incarnation) and peer.incarnation != incarnation and later
-        return heard or (
-            listed and _started(peer.entry.incarnation) > _started(incarnation)
+        received = (
+            bool(peer.incarnation) and peer.incarnation != incarnation and is_later
+        )
+        return received or (
+            listed and _start_ms(peer.entry.incarnation) > _start_ms(incarnation)
         )
 
 
 def make_incarnation(host: HostName, started_ms: int, salt: int) -> Incarnation:
-    """Return a name for this process that no other process ever had."""
+    """Return a unique name for this process."""
     return Incarnation(f"{host}/{started_ms:015d}/{salt:08x}")
 
 
 def host_of(incarnation: Incarnation) -> HostName:
-    """Return the host that an incarnation ran on."""
+    """Return the host of an incarnation."""
     return HostName(incarnation.rpartition("/")[0].rpartition("/")[0])
 
 
-def _score(name: str, host: HostName) -> int:
+def _rendezvous_score(name: str, host: HostName) -> int:
     return xxhash.xxh64_intdigest(f"{name}|{host}".encode())
 
 
-def _started(incarnation: Incarnation) -> int:
+def _start_ms(incarnation: Incarnation) -> int:
     parts = incarnation.split("/")
     return int(parts[1]) if len(parts) == 3 and parts[1].isdigit() else 0
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -1,4 +1,4 @@
-"""The loop that tells peers of this process and takes in what they say."""
+"""The loop that exchanges digests with peers."""
 
 from collections import deque
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from berylshift.process.control.plans import Plans
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.customer_limits import CustomerLimits
-from berylshift.process.membership.digest import NO_STORE_AGE, Digest
+from berylshift.process.membership.digest import MAX_STORE_AGE_SECONDS, Digest
 from berylshift.process.membership.members import Membership
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.table.follower import TableFollower, TableHolder
@@ -20,8 +20,8 @@
 from berylshift.store.interfaces import HostEntry
 from berylshift.version.freshness import Freshness
 
-REPLIES_KEPT = 64
-Receive = Callable[[Digest], None]
+MAX_QUEUED_REPLIES = 64
+DigestHandler = Callable[[Digest], None]
 
 
 class PeerLink(Protocol):
@@ -30,13 +30,13 @@
     async def send(self, address: str, digest: Digest) -> None:
         """Send a digest."""
 
-    async def receive(self, take: Receive) -> None:
-        """Give each digest that comes to ``take``."""
+    async def receive(self, take: DigestHandler) -> None:
+        """Call ``take`` with each digest that arrives."""
 
 
 @dataclass
-class PeerParts:
-    """What the peers' loop works with."""
+class PeerDependencies:
+    """What the peer loop works with."""
 
     cfg: PeerSettings
     members: Membership
@@ -53,34 +53,34 @@
 
 
 class PeerLoop:
-    """Tells peers of this process and takes in what they say."""
+    """Sends digests to peers and applies those that they send."""
 
-    def __init__(self, parts: PeerParts):
-        """Work with ``parts``."""
-        self._parts = parts
+    def __init__(self, deps: PeerDependencies):
+        """Work with ``deps``."""
+        self._deps = deps
         self.leaving = False
-        self._replies: deque[HostEntry] = deque(maxlen=REPLIES_KEPT)
+        self._replies: deque[HostEntry] = deque(maxlen=MAX_QUEUED_REPLIES)
         self._wake = trio.Event()
 
-    def take(self, digest: Digest) -> None:
-        """Take a peer's digest."""
-        parts = self._parts
-        now = parts.clock.monotonic()
-        if not parts.members.is_news(digest):
-            parts.members.dropped += 1
+    def on_digest(self, digest: Digest) -> None:
+        """Apply a peer's digest and queue the reply to it."""
+        deps = self._deps
+        now = deps.clock.monotonic()
+        if not deps.members.is_new(digest):
+            deps.members.dropped_count += 1
             return
-        word = parts.members.received(digest, now)
-        if word is not None:
-            parts.fresh.peer_confirmed(word)
-        parts.load.peer_shares(digest.host, digest.shares, now)
-        parts.limits.peer_demand(digest.host, digest.demands, now)
-        parts.meter.peer_mixes(digest.host, digest.mixes, now)
-        # Each host tells few others: what is news here is told on.
-        parts.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
-        peer = parts.members.peers[digest.host]
+        confirmation = deps.members.receive(digest, now)
+        if confirmation is not None:
+            deps.fresh.peer_confirmed(confirmation)
+        deps.load.peer_shares(digest.host, digest.shares, now)
+        deps.limits.peer_demand(digest.host, digest.demands, now)
+        deps.meter.peer_mixes(digest.host, digest.mixes, now)
+        # Each host sends to few others, so whatever is new here is passed on.
+        deps.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
+        peer = deps.members.peers[digest.host]
         if peer.entry is None:
             return
-        parts.follower.peer_has(
+        deps.follower.peer_has(
             peer.entry.admin_address, digest.table_version, digest.plan_version
         )
         if not digest.is_reply:
@@ -88,60 +88,60 @@
             self._wake.set()
 
     async def run(self) -> None:
-        """Tell some peers each interval, and answer the others, until cancelled."""
+        """Send to some peers each interval, and reply to others, until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._answer)
-            await self._tell_in_turn()
-
-    def _count_hosts(self, now: float) -> None:
-        """Tell the parts how many hosts there are, and how many of them speak."""
-        parts = self._parts
-        size = parts.members.size()
-        in_sight = len(parts.members.live(now)) - 1
-        asked = parts.cfg.fanout * parts.cfg.silent_after / parts.cfg.interval
-        connected = in_sight + 1 > min(size, asked) / 2
-        parts.fresh.hosts = size
-        parts.limits.set_hosts(size, connected, in_sight)
-        parts.meter.set_hosts(size, in_sight)
-
-    async def _answer(self) -> None:
+            nursery.start_soon(self._send_replies)
+            await self._send_in_turn()
+
+    def _update_host_counts(self, now: float) -> None:
+        """Pass on how many hosts there are, and how many of them are live."""
+        deps = self._deps
+        host_count = deps.members.host_count()
+        live_peers = len(deps.members.live_hosts(now)) - 1
+        asked = deps.cfg.fanout * deps.cfg.silent_after / deps.cfg.interval
+        connected = live_peers + 1 > min(host_count, asked) / 2
+        deps.fresh.hosts = host_count
+        deps.limits.set_hosts(host_count, connected, live_peers)
+        deps.meter.set_hosts(host_count, live_peers)
+
+    async def _send_replies(self) -> None:
         while True:
             await self._wake.wait()
             self._wake = trio.Event()
             while self._replies:
-                await self._tell(self._replies.popleft(), is_reply=True)
+                await self._send(self._replies.popleft(), is_reply=True)
 
-    async def _tell_in_turn(self) -> None:
-        parts = self._parts
+    async def _send_in_turn(self) -> None:
+        deps = self._deps
         while True:
-            now = parts.clock.monotonic()
-            self._count_hosts(now)
-            for entry in parts.members.pick(parts.cfg.fanout):
-                parts.fresh.peer_asked(entry.host, now)
-                await self._tell(entry, is_reply=False)
-            await trio.sleep(parts.cfg.interval)
-
-    async def _tell(self, entry: HostEntry, is_reply: bool) -> None:
-        parts = self._parts
-        now = parts.clock.monotonic()
-        if entry.host not in parts.members.peers:
+            now = deps.clock.monotonic()
+            self._update_host_counts(now)
+            for entry in deps.members.next_peers(deps.cfg.fanout):
+                deps.fresh.peer_asked(entry.host, now)
+                await self._send(entry, is_reply=False)
+            await trio.sleep(deps.cfg.interval)
+
+    async def _send(self, entry: HostEntry, is_reply: bool) -> None:
+        deps = self._deps
+        now = deps.clock.monotonic()
+        if entry.host not in deps.members.peers:
             return
-        sequence = parts.members.next_sequence()
+        sequence = deps.members.next_sequence()
         digest = Digest(
-            host=parts.members.host,
-            incarnation=parts.members.incarnation,
+            host=deps.members.host,
+            incarnation=deps.members.incarnation,
             sequence=sequence,
-            table_version=parts.holder.table.version,
-            store_age=min(NO_STORE_AGE, parts.fresh.store_age(now)),
+            table_version=deps.holder.table.version,
+            store_age=min(MAX_STORE_AGE_SECONDS, deps.fresh.store_age(now)),
             leaving=self.leaving,
             is_reply=is_reply,
-            echoes=parts.members.echo(entry.host),
-            shares=parts.load.shares(),
-            demands=parts.limits.demands(now),
-            plan_version=parts.plans.total,
-            mixes=parts.meter.own(now),
-            crashes=list(parts.quarantine.take_reports(now)),
-            finished=list(parts.quarantine.pending_completions(now)),
+            echoes=deps.members.echoes_for(entry.host),
+            shares=deps.load.shares(),
+            demands=deps.limits.demands(now),
+            plan_version=deps.plans.total,
+            mixes=deps.meter.own(now),
+            crashes=list(deps.quarantine.take_reports(now)),
+            finished=list(deps.quarantine.pending_completions(now)),
         )
-        parts.members.note_sent(entry.host, sequence, now)
-        await parts.link.send(entry.peer_address, digest)
+        deps.members.record_send(entry.host, sequence, now)
+        await deps.link.send(entry.peer_address, digest)
--- a/berylshift/process/membership/readiness.py
+++ b/berylshift/process/membership/readiness.py
@@ -1,4 +1,4 @@
-"""Whether this process takes new requests, and what the balancer is told."""
+"""Whether this process accepts new requests, and its readiness for load balancers."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -10,11 +10,12 @@
 from berylshift.version.freshness import Freshness, View
 from berylshift.version.rows import RowState
 
-HOST_NOTICE_SECONDS = 5.0
+# How long a draining host serves new requests while load balancers take it out.
+DRAIN_NOTICE_SECONDS = 5.0
 
 
 class Phase(Enum):
-    """Where the process stands in its life."""
+    """The phases of the process's lifecycle."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -23,48 +24,48 @@
 
 @dataclass
 class Readiness:
-    """Combines the process's phase, the host's mark and the table's freshness."""
+    """Combines the process's phase, the host's state and the table's freshness."""
 
     host: HostName
     holder: TableHolder
     fresh: Freshness
     clock: Clock
     phase: Phase = Phase.SERVING
-    _marked_at: float | None = field(default=None)
+    _inactive_since: float | None = field(default=None)
 
     def may_route(self) -> bool:
-        """Return whether work may go to targets by the table held here."""
+        """Return whether requests may be routed by the current table."""
         return self.fresh.view(self.clock.monotonic()) is View.FRESH
 
     def is_ready(self) -> bool:
-        """Return what the balancer is told."""
-        if self.phase is not Phase.SERVING or self._mark() is not RowState.ACTIVE:
+        """Return whether load balancers should send requests to this process."""
+        if self.phase is not Phase.SERVING or self._host_state() is not RowState.ACTIVE:
             return False
         return self.may_route()
 
-    def closed(self) -> Reason | None:
-        """Return why a new request is refused, or ``None``.
+    def refusal_reason(self) -> Reason | None:
+        """Return why a new request is refused; ``None``: it is accepted.
 
-        A leaving host serves on while the balancer learns of it: refusing at once
-        would fail requests that a graceful shutdown has time for.
+        A leaving host goes on serving while load balancers take it out: refusing at
+        once would fail requests that there is time for in a graceful shutdown.
         """
-        if self.phase is Phase.CLOSED or self._notice_is_over():
+        if self.phase is Phase.CLOSED or self._is_notice_over():
             return Reason.DRAINING
         if not self.may_route():
             return Reason.STALE_VIEW
         return None
 
-    def _mark(self) -> RowState:
+    def _host_state(self) -> RowState:
         return self.holder.table.host_state(self.host)
 
-    def _notice_is_over(self) -> bool:
-        mark = self._mark()
-        if mark is RowState.ACTIVE:
-            self._marked_at = None
+    def _is_notice_over(self) -> bool:
+        state = self._host_state()
+        if state is RowState.ACTIVE:
+            self._inactive_since = None
             return False
         now = self.clock.monotonic()
-        if self._marked_at is None:
-            self._marked_at = now
-        if mark is RowState.WITHDRAWN:
+        if self._inactive_since is None:
+            self._inactive_since = now
+        if state is RowState.WITHDRAWN:
             return True
-        return now - self._marked_at > HOST_NOTICE_SECONDS
+        return now - self._inactive_since > DRAIN_NOTICE_SECONDS
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -127,7 +127,7 @@
             if view is None:
                 continue
             if starting and not self._parts.members.peers:
-                self._parts.members.listed(view.hosts)
+                self._parts.members.update_host_list(view.hosts)
             self._offer(Table(view.version, view.rows))
             for pool, plan in view.plans.items():
                 self._parts.plans.offer(pool, plan, self._parts.clock.monotonic())
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.ids import ChangeId
-from berylshift.process.membership.readiness import HOST_NOTICE_SECONDS
+from berylshift.process.membership.readiness import DRAIN_NOTICE_SECONDS
 from berylshift.replay.trace import EventKind, TraceEvent
 from berylshift.replay.virtual import VirtualFleet
 from berylshift.request.messages import Outcome, Reason
@@ -165,7 +165,7 @@
             await trio.sleep(2)
             ready = host.app.readiness.is_ready()
             during, _ = await complete(host, model_call(1))
-            await trio.sleep(HOST_NOTICE_SECONDS + 1)
+            await trio.sleep(DRAIN_NOTICE_SECONDS + 1)
             after, _ = await complete(host, model_call(2))
             return ready, during, after
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -704,7 +704,7 @@
     Proof(
         "a sender that is gone is known to be gone",
         "process/control/pool_loop.py",
-        "return self._parts.members.gone(host_of(incarnation), incarnation)",
+        "return self._parts.members.is_replaced(host_of(incarnation), incarnation)",
         "return False",
         "test_shutdown.HolderTest."
         "test_an_order_of_a_killed_host_is_accounted_for_by_its_successor",
