--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -15,8 +15,8 @@
 from berylshift.connection.http_server import HttpServer
 from berylshift.connection.peer_codec import PeerCodec
 from berylshift.ids import ChangeId, HostName, Incarnation, TableVersion
-from berylshift.process.knowledge.load import LoadView, Share
-from berylshift.process.knowledge.prefixes import PrefixIndex
+from berylshift.process.engine_state.load_view import LoadView, Share
+from berylshift.process.engine_state.prefix_index import PrefixIndex
 from berylshift.process.membership.digest import Digest, Echo
 from berylshift.process.membership.members import Membership, make_incarnation
 from berylshift.targets import LoadReport, Role
@@ -112,9 +112,9 @@
     for number in range(1, HOSTS):
         name = HostName(f"host-{number}")
         digest = Digest(name, make_incarnation(name, 1, 1), 1, 5)
-        members.received(digest, 1.0)
+        members.receive(digest, 1.0)
         for sequence in range(64):
-            members.note_sent(name, sequence, 1.0)
+            members.record_send(name, sequence, 1.0)
     return members
 
 
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -11,22 +11,22 @@
 from berylshift.process.control.pool_loop import ORDER_SECONDS
 from berylshift.process.control.pool_loop import PoolLoop
 from berylshift.process.control.pool_loop import PoolParts
-from berylshift.process.knowledge.cost import CostModel
-from berylshift.process.knowledge.health import Health
-from berylshift.process.knowledge.lengths import OutputLengths
-from berylshift.process.knowledge.load import LoadView
-from berylshift.process.knowledge.prefixes import PrefixIndex
-from berylshift.process.knowledge.report_poller import PollerParts
-from berylshift.process.knowledge.report_poller import ReportPoller
+from berylshift.process.engine_state.cost_model import CostModel
+from berylshift.process.engine_state.health import Health
+from berylshift.process.engine_state.load_view import LoadView
+from berylshift.process.engine_state.output_lengths import OutputLengths
+from berylshift.process.engine_state.prefix_index import PrefixIndex
+from berylshift.process.engine_state.report_poller import PollerParts
+from berylshift.process.engine_state.report_poller import ReportPoller
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import StoreBudget
 from berylshift.process.membership.host_list_loop import HostListLoop
 from berylshift.process.membership.members import Membership
 from berylshift.process.membership.members import make_incarnation
+from berylshift.process.membership.peer_loop import PeerDependencies
 from berylshift.process.membership.peer_loop import PeerLink
 from berylshift.process.membership.peer_loop import PeerLoop
-from berylshift.process.membership.peer_loop import PeerParts
 from berylshift.process.membership.readiness import Phase
 from berylshift.process.membership.readiness import Readiness
 from berylshift.process.quarantine.quarantine import Quarantine
@@ -238,7 +238,7 @@
             limits=self.limits,
             decisions=self.decisions,
             metrics=ports.metrics,
-            closed=self.readiness.closed,
+            closed=self.readiness.refusal_reason,
             ready=self.readiness.is_ready,
             rng=ports.rng,
         )
@@ -270,7 +270,7 @@
             timeout=cfg.targets.report_timeout,
         )
         self.poller = ReportPoller(poller)
-        peers = PeerParts(
+        peers = PeerDependencies(
             cfg=cfg.peers,
             members=self.members,
             link=ports.link,
@@ -351,7 +351,7 @@
             nursery.start_soon(self.poller.run)
             nursery.start_soon(self.host_loop.run)
             nursery.start_soon(self.peer_loop.run)
-            nursery.start_soon(self.ports.link.receive, self.peer_loop.take)
+            nursery.start_soon(self.ports.link.receive, self.peer_loop.on_digest)
             nursery.start_soon(self.pending_loop.run)
             nursery.start_soon(self.pool_loop.run)
             nursery.start_soon(self.sweep_loop.run)
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -1,9 +1,8 @@
 """What an entry host says of itself to operators."""
 
-import msgspec
-
 from berylshift.application import Application
 from berylshift.version.rows import RowKind
+import msgspec
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
@@ -62,10 +61,10 @@
         table_version=app.holder.table.version,
         store_age=round(min(app.fresh.store_age(now), 1e6), 3),
         in_flight=app.handler.in_flight,
-        peers_in_sight=len(app.members.live(now)) - 1,
-        hosts_listed=app.members.size(),
+        peers_in_sight=len(app.members.live_hosts(now)) - 1,
+        hosts_listed=app.members.host_count(),
         pending_records=len(app.pending),
-        datagrams_dropped=app.members.dropped,
+        datagrams_dropped=app.members.dropped_count,
         targets=_targets(app, now),
         customers=_customers(app),
     )
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -1,7 +1,9 @@
 """What a collector tells: its domain's sums, and the sum of all hosts."""
 
-from berylshift.messages.load_digest import LoadDigest, Scope
-from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.messages.load_digest import LoadDigest
+from berylshift.messages.load_digest import Scope
+from berylshift.process.gossip.digest_builder import DigestMaker
+from berylshift.process.gossip.digest_builder import DigestParts
 from berylshift.process.gossip.election import Election
 from berylshift.process.gossip.forwarded_reads import ForwardedReads
 from berylshift.process.gossip.host_list import HostList
@@ -82,7 +84,7 @@
         )
 
     def _room_for_reads(self, now: float, near_alone: bool = False) -> int:
-        crashes = self._parts.quarantine.reports_due(now, near_alone)
+        crashes = self._parts.quarantine.count_pending_reports(now, near_alone)
         return max(0, MOST_READS - READS_A_CRASH * crashes)
 
     def other_collectors(self, now: float) -> list[str]:
--- a/berylshift/process/gossip/digest_builder.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -1,8 +1,9 @@
 """Makes this host's digests: what it knows, and what it knows of the store."""
 
-from dataclasses import dataclass
-
-from berylshift.messages.load_digest import BlockPrefill, LoadDigest, LoadEntry, Scope
+from berylshift.messages.load_digest import BlockPrefill
+from berylshift.messages.load_digest import LoadDigest
+from berylshift.messages.load_digest import LoadEntry
+from berylshift.messages.load_digest import Scope
 from berylshift.messages.usage import RunCount
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
@@ -11,7 +12,8 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.process.usage.usage_book import UsageBook
+from berylshift.process.usage.usage_counts import UsageCounts
+from dataclasses import dataclass
 
 
 @dataclass
@@ -26,7 +28,7 @@
     phases: ExpectedPhases
     watch: StoreWatch
     quarantine: Quarantine
-    usage: UsageBook
+    usage: UsageCounts
     throttle: Throttle
 
 
@@ -70,12 +72,14 @@
             hosts=hosts,
             reads_feeds=follows,
             store_status=parts.watch.word() if tells_word else None,
-            crashes=parts.quarantine.reports(now, near),
-            finished=parts.quarantine.finishes(now, near),
+            crashes=parts.quarantine.take_reports(now, near),
+            finished=parts.quarantine.pending_completions(now, near),
             started_ms=parts.usage.start if runs else 0,
             runs=runs,
             limits=parts.throttle.to_tell(now, own_alone=not gathers),
-            usage_done=parts.usage.done if gathers else parts.usage.done_told(now),
+            usage_done=parts.usage.last_done
+            if gathers
+            else parts.usage.done_to_announce(now),
         )
 
     def _runs(self, scope: Scope, now: float) -> tuple[RunCount, ...]:
@@ -85,5 +89,5 @@
         hosts: one of them may collect next.
         """
         if scope is Scope.DOMAIN:
-            return self._parts.usage.domain_told(now)
-        return self._parts.usage.own_told(now)
+            return self._parts.usage.take_domain_counts(now)
+        return self._parts.usage.take_own_counts(now)
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -6,16 +6,21 @@
 collectors tell each other their domains' sums, and each tells its hosts the sum of all.
 """
 
+from berylshift.messages.load_digest import LoadDigest
+from berylshift.messages.load_digest import LoadEntry
+from berylshift.messages.load_digest import Scope
+from berylshift.messages.load_digest import StoreStatus
+from berylshift.process.gossip.collector import COLLECTORS
+from berylshift.process.gossip.collector import Collecting
+from berylshift.process.gossip.digest_builder import DigestMaker
+from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.election import Election
+from berylshift.process.gossip.election import rank
+from berylshift.process.gossip.host_list import HostList
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
 
-from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreStatus
-from berylshift.process.gossip.collector import COLLECTORS, Collecting
-from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
-from berylshift.process.gossip.election import Election, rank
-from berylshift.process.gossip.host_list import HostList
-
 # Shorter than the time in which a usual prompt is read: a queue is seen as it grows.
 TELL_SECONDS = 0.08
 # A digest of a dozen engines on the wire, with its headers, in bytes.
@@ -92,7 +97,7 @@
         parts = self._parts
         if self._collectors.holds or parts.watch.follows or self._last:
             return False
-        if parts.quarantine.has_news(now) or parts.usage.has_news(now):
+        if parts.quarantine.has_updates(now) or parts.usage.has_updates(now):
             return False
         if parts.throttle.to_tell(now, own_alone=True):
             return False
@@ -123,7 +128,7 @@
         parts.peers.take(digest, now)
         parts.warm.heard(digest.prefills)
         parts.phases.heard(digest.phases, now)
-        parts.quarantine.heard(
+        parts.quarantine.merge(
             digest.crashes, digest.finished, now, self._is_near(digest)
         )
         parts.throttle.heard_of(digest.limits, now)
@@ -138,11 +143,11 @@
 
     def _hear_usage(self, digest: LoadDigest) -> None:
         usage = self._parts.usage
-        usage.note_done(digest.usage_done)
+        usage.mark_done(digest.usage_done)
         if digest.scope is Scope.DOMAIN:
-            usage.hear_domain(digest.domain, digest.runs)
+            usage.merge_domain(digest.domain, digest.runs)
         else:
-            usage.hear_host(digest.host, digest.domain, digest.started_ms, digest.runs)
+            usage.merge_host(digest.host, digest.domain, digest.started_ms, digest.runs)
 
     def duty_place(self, duty: str, now: float) -> int | None:
         """Return how many hosts go before this one for a duty; ``None``: it is not to.
@@ -211,8 +216,8 @@
         phases = parts.phases.to_tell(now)
         word = parts.watch.word() if parts.watch.follows else None
         changed = entries != self._last or bool(reads) or self._is_news(word)
-        changed = changed or parts.quarantine.has_news(now)
-        changed = changed or parts.usage.has_news(now)
+        changed = changed or parts.quarantine.has_updates(now)
+        changed = changed or parts.usage.has_updates(now)
         changed = changed or bool(parts.throttle.to_tell(now, own_alone=True))
         if not changed and now - self._last_at < REPEAT_SECONDS:
             return None
@@ -269,7 +274,7 @@
         names = self._collectors.holders(now)[:COLLECTORS]
         if names != self._told_collectors:
             self._told_collectors = names
-            self._parts.usage.tell_all_again()
+            self._parts.usage.resend_own_counts()
         digest = self._changed_digest(now)
         if digest is None:
             return []
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -49,9 +49,9 @@
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.wait(self.fingerprint, now, has_started)
+        wait = self._quarantine.remaining_seconds(self.fingerprint, now, has_started)
         if wait > 0:
-            crashes = self._quarantine.crashes(self.fingerprint)
+            crashes = self._quarantine.crash_count(self.fingerprint)
             raise QuarantinedError(crashes, wait)
 
     async def on_connection_lost(
@@ -66,11 +66,11 @@
         request = self.fingerprint
         if request is None:
             return
-        self._quarantine.broke_off(request, instance, self._clock.monotonic())
+        self._quarantine.record_crash(request, instance, self._clock.monotonic())
         is_alive = await accepts_connections()
         now = self._clock.monotonic()
         if is_alive:
-            self._quarantine.lives(instance, now)
+            self._quarantine.record_reconnect(instance, now)
         logger.info(
             "replica broke off",
             extra={
@@ -78,8 +78,8 @@
                 "same": fingerprint_hex(request),
                 "instance": instance,
                 "lives": is_alive,
-                "crashes": self._quarantine.crashes(request),
-                "held_for": round(self._quarantine.wait(request, now), 1),
+                "crashes": self._quarantine.crash_count(request),
+                "held_for": round(self._quarantine.remaining_seconds(request, now), 1),
             },
         )
 
@@ -90,9 +90,11 @@
 
         ``listed_at``: when this instance was last confirmed as listed.
         """
-        self._quarantine.answered(instance, sent_at, listed_at)
+        self._quarantine.record_response(instance, sent_at, listed_at)
 
     def on_completed(self) -> None:
         """Record that the request ran to completion."""
         if self.fingerprint is not None:
-            self._quarantine.finished(self.fingerprint, self._clock.monotonic())
+            self._quarantine.record_completion(
+                self.fingerprint, self._clock.monotonic()
+            )
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -7,7 +7,7 @@
 from berylshift.ids import PoolName
 from berylshift.ids import TargetName
 from berylshift.process.control.mix_meter import MixMeter
-from berylshift.process.knowledge.lengths import OutputLengths
+from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
 from berylshift.request.crash_watch_factory import CrashWatchFactory
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -44,7 +44,7 @@
         quarantine = self._deps.quarantine
         if self.fingerprint is not None or not len(quarantine):
             return
-        if quarantine.may_hold(self._deps.fingerprints.head_hash(self._req)):
+        if quarantine.may_be_quarantined(self._deps.fingerprints.head_hash(self._req)):
             await self._req.body.wait_for_start(MAX_HASHED_BODY_BYTES)
 
     def check(self) -> None:
@@ -66,11 +66,11 @@
             return list(tried)
         now = self._deps.clock.monotonic()
         listed = [rep.instance for rep in pool.replicas]
-        ended = [name for name in listed if quarantine.has_ended(name, now)]
+        ended = [name for name in listed if quarantine.has_crashed(name, now)]
         found = [*tried, *ended]
         crashes = 0
         if self.fingerprint is not None:
-            crashes = quarantine.crashes(self.fingerprint)
+            crashes = quarantine.crash_count(self.fingerprint)
         if not crashes:
             return found
         left = remaining_replicas(pool.answerers, found)
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -5,7 +5,7 @@
 from berylshift.ids import InstanceId
 from berylshift.ids import ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import ENDED_HEARTBEATS
+from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.request.isolation import REPLICAS_PER_ISOLATION_REPLICA
 from berylshift.request.isolation import is_last_remaining
@@ -62,23 +62,23 @@
 
     def test_one_broken_connection_is_no_end(self):
         """Guards against a replica given up for one connection that was reset."""
-        self.quarantine.broke_off(Fingerprint(1), self.target, 1.0)
-        self.assertFalse(self.quarantine.has_ended(self.target, 1.1))
-        self.quarantine.broke_off(Fingerprint(2), self.target, 1.0)
-        self.assertTrue(self.quarantine.has_ended(self.target, 1.1))
+        self.quarantine.record_crash(Fingerprint(1), self.target, 1.0)
+        self.assertFalse(self.quarantine.has_crashed(self.target, 1.1))
+        self.quarantine.record_crash(Fingerprint(2), self.target, 1.0)
+        self.assertTrue(self.quarantine.has_crashed(self.target, 1.1))
 
     def test_a_replica_that_is_back_under_its_name_gets_work_again(self):
         """Guards against a replica that nobody asks, and so never clears itself."""
         for number in (1, 2):
-            self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
-        back_at = 1.0 + ENDED_HEARTBEATS * HEARTBEAT_SECONDS
-        self.assertFalse(self.quarantine.has_ended(self.target, back_at))
+            self.quarantine.record_crash(Fingerprint(number), self.target, 1.0)
+        back_at = 1.0 + CRASHED_HEARTBEATS * HEARTBEAT_SECONDS
+        self.assertFalse(self.quarantine.has_crashed(self.target, back_at))
 
     def test_a_replica_that_answers_has_not_ended(self):
         for number in (1, 2):
-            self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
-        self.quarantine.lives(self.target, 1.1)
-        self.assertFalse(self.quarantine.has_ended(self.target, 1.2))
+            self.quarantine.record_crash(Fingerprint(number), self.target, 1.0)
+        self.quarantine.record_reconnect(self.target, 1.1)
+        self.assertFalse(self.quarantine.has_crashed(self.target, 1.2))
 
 
 class SuspectsTest(unittest.TestCase):
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -25,7 +25,7 @@
 from berylshift.process.gossip.peer_loads import LIFE_SECONDS
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.limits.arrival_budget import ArrivalBudget
-from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
+from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
 from berylshift.process.targets.limit_gossip import MOST_TOLD as MOST_LIMITS
 from berylshift.process.targets.target_load import SEVERE
 from berylshift.process.targets.target_load import TargetLoads
@@ -267,8 +267,8 @@
         self.check_sums_fit(MOST_READS, 0)
 
     def test_sums_fit_beside_replicas_that_broke_off(self):
-        reads = MOST_READS - READS_A_CRASH * MOST_CRASHES_TOLD
-        self.check_sums_fit(reads, MOST_CRASHES_TOLD)
+        reads = MOST_READS - READS_A_CRASH * MAX_CRASHES_PER_DIGEST
+        self.check_sums_fit(reads, MAX_CRASHES_PER_DIGEST)
 
     def check_sums_fit(self, reads: int, crashes: int) -> None:
         """Check that all entries of a usual sum are told beside the rest."""
