--- a/bench/micro.py
+++ b/bench/micro.py
@@ -12,7 +12,7 @@
 
 from bench.report import print_rows
 from berylshift.ids import Incarnation, TableVersion
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import MixMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.knowledge.cost import CostModel
 from berylshift.process.knowledge.health import Health
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -10,7 +10,7 @@
 from berylshift.connection.http_server import HttpServer, ServerLimits
 from berylshift.ids import DomainName, HostName
 from berylshift.metrics import Metrics
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import MixMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.control.pool_loop import ORDER_SECONDS, PoolLoop, PoolParts
 from berylshift.process.knowledge.cost import CostModel
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -24,9 +24,9 @@
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.duties.duty_lease import DutyLease
-from berylshift.process.duties.phase_loop import PhaseLoop
-from berylshift.process.duties.phase_planner import PhasePlanner
+from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.phase_loop import PhaseLoop
+from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -10,8 +10,8 @@
 from berylshift.messages.scaling import ScaleOrdering, ScaleRows
 from berylshift.messages.usage import UsageReporting, UsageRows
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.directory.store_eras import StoreEras
-from berylshift.process.duties.duty_lease import DutyLease
+from berylshift.process.directory.store_era_tracker import StoreEras
+from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
 from berylshift.process.usage.true_time import TrueTime
 from berylshift.process.usage.usage_book import UsageBook
--- a/berylshift/messages/scaling.py
+++ b/berylshift/messages/scaling.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from berylshift.ids import DomainName, ServiceName
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 
 
 class ReplicaKind(StrEnum):
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from berylshift.ids import CustomerName, StoreEra
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.store.eras import FIRST_ERA
 
 HASHES_KEPT = 8192
--- a/berylshift/model/fleet.py
+++ b/berylshift/model/fleet.py
@@ -14,7 +14,7 @@
 from berylshift.model.result import CrashCount, PlayResult, PromptEnd, summarize
 from berylshift.model.traffic import Arrival, Burst, Crasher, Traffic
 from berylshift.process.directory.pools import Pool
-from berylshift.process.duties.phase_planner import PhasePlanner
+from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 
 # A host and an engine of one domain.
 NEAR_SECONDS = 0.0002
--- a/berylshift/platform/duties.py
+++ b/berylshift/platform/duties.py
@@ -5,7 +5,7 @@
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import UsageReport
 from berylshift.platform import names
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -8,6 +8,7 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import Epoch, Incarnation, PoolName, TargetName
+from berylshift.process.control.demand_meter import MixMeter
 from berylshift.process.control.leases import (
     EpochRow,
     Lease,
@@ -17,8 +18,6 @@
     epoch_key,
     lease_key,
 )
-from berylshift.process.control.mix_meter import MixMeter
-from berylshift.process.control.moves import EngineNote, PoolDesk, PoolNotes, PoolStep
 from berylshift.process.control.orders import (
     CopyBook,
     JournalRow,
@@ -28,6 +27,12 @@
     journal_key,
 )
 from berylshift.process.control.plans import PlanRow, Plans, plan_key
+from berylshift.process.control.pool_reconciler import (
+    EngineNote,
+    PoolDesk,
+    PoolNotes,
+    PoolStep,
+)
 from berylshift.process.control.roles import make_planner
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.limits.store_budget import Priority
--- a/berylshift/process/directory/replica_set.py
+++ b/berylshift/process/directory/replica_set.py
@@ -5,9 +5,9 @@
 from berylshift.ids import DomainName, InstanceId, ReplicaName, ServiceName, StoreEra
 from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import Replica, ReplicaChanges
-from berylshift.process.directory.departed import DepartedReplicas
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.pools import EMPTY_POOL, Pool
+from berylshift.process.directory.replica_tombstones import DepartedReplicas
 
 # Entries lapse while the store is away, since nobody can renew them; a live replica
 # renews its own within two seconds of the store's return (the platform's promise).
--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -17,7 +17,7 @@
 
 from berylshift.ids import Revision, StoreEra
 from berylshift.messages.load_digest import FeedWord, StoreWord
-from berylshift.process.directory.store_eras import EraSource, StoreEras
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
 from berylshift.store.eras import FIRST_ERA
 
 # Shares of the time in which a change must be in force. A feed without news answers
--- a/berylshift/process/duties/duty_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from berylshift.ids import StoreEra
-from berylshift.process.directory.store_eras import EraSource, StoreEras
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.lease_rows import Granted, LeaseRecord, LeaseRow, LeaseRows
 
--- a/berylshift/process/duties/phase_loop.py
+++ b/berylshift/process/leader_tasks/phase_loop.py
@@ -16,8 +16,12 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.duties.duty_lease import DutyLease, Grant, Refused
-from berylshift.process.duties.phase_planner import PhaseChange, PhasePlanner, instances
+from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
+from berylshift.process.leader_tasks.phase_planner import (
+    PhaseChange,
+    PhasePlanner,
+    instances,
+)
 from berylshift.store.interfaces import PlatformError
 
 logger = logging.getLogger(__name__)
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -8,7 +8,7 @@
 import trio
 
 from berylshift.clock import Clock
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import MixMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.knowledge.load import LoadView
 from berylshift.process.limits.customer_limits import CustomerLimits
--- a/berylshift/process/scaling/scale_loop.py
+++ b/berylshift/process/scaling/scale_loop.py
@@ -7,10 +7,10 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import ServiceName
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.scaling import ScaleOrder, ScaleOrdering, ScaleRows
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.duties.duty_lease import DutyLease, Grant, Refused
+from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
 from berylshift.process.scaling.scale_planner import ScalePlanner
 from berylshift.store.interfaces import PlatformError
 from berylshift.version.routes import Service
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 from berylshift.ids import DomainName, ServiceName
-from berylshift.messages.duties import DutyAnswer
+from berylshift.messages.leader_calls import DutyAnswer
 from berylshift.messages.replicas import Replica
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.version.routes import Scaling
--- a/berylshift/process/telling/load_loop.py
+++ b/berylshift/process/telling/load_loop.py
@@ -10,7 +10,7 @@
 
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.process.directory.store_eras import StoreEras
+from berylshift.process.directory.store_era_tracker import StoreEras
 from berylshift.process.telling.digest_maker import DigestParts
 from berylshift.process.telling.host_list import HostList
 from berylshift.process.telling.peer_loads import MEMBER_SECONDS
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -11,10 +11,10 @@
 import trio
 
 from berylshift.clock import Clock
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
-from berylshift.process.directory.store_eras import StoreEras
-from berylshift.process.duties.duty_lease import DutyLease, Grant, Refused
+from berylshift.process.directory.store_era_tracker import StoreEras
+from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
 from berylshift.process.usage.true_time import SAMPLE_SECONDS, TrueTime
 from berylshift.process.usage.usage_book import UsageBook
 from berylshift.process.usage.windows import UsageWindows
--- a/berylshift/request/choice.py
+++ b/berylshift/request/choice.py
@@ -15,7 +15,7 @@
     TargetName,
     WorkName,
 )
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import MixMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.knowledge.cost import CostModel, Prediction
 from berylshift.process.knowledge.health import Health
--- a/berylshift/stand_ins/fake_duties.py
+++ b/berylshift/stand_ins/fake_duties.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.ids import ServiceName, StoreEra
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.scaling import ScaleOrder
 from berylshift.messages.usage import SettledUsage, UsageReport
 from berylshift.store.eras import FIRST_ERA
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -72,7 +72,7 @@
                 await self.start(world, engine, FIRST)
             for engine in engines:
                 engine.start_again(SECOND)
-            with self.assertLogs("berylshift.process.duties.phase_loop") as logs:
+            with self.assertLogs("berylshift.process.leader_tasks.phase_loop") as logs:
                 world.list_replica(engines[-1], ENGINES, draining=True)
                 await trio.sleep(10)
             answers = {rec.answer for rec in logs.records if hasattr(rec, "answer")}
--- a/berylshift/tests/test_layout.py
+++ b/berylshift/tests/test_layout.py
@@ -13,9 +13,9 @@
     "targets": set(),
     "directory": set(),
     "quarantine": {"directory"},
-    "duties": {"directory"},
-    "usage": {"duties", "directory"},
-    "scaling": {"duties", "directory", "targets"},
+    "leader_tasks": {"directory"},
+    "usage": {"leader_tasks", "directory"},
+    "scaling": {"leader_tasks", "directory", "targets"},
     "telling": {"directory", "quarantine", "targets", "usage"},
 }
 PREFIX = "berylshift.process."
--- a/berylshift/tests/test_duties_duty_lease.py
+++ b/berylshift/tests/test_leader_lease.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 
 from berylshift.ids import StoreEra
-from berylshift.process.directory.store_eras import EraSource, StoreEras
-from berylshift.process.duties.duty_lease import (
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
+from berylshift.process.leader_tasks.leader_lease import (
     MARGIN_SECONDS,
     USE_SECONDS,
     DutyLease,
--- a/berylshift/tests/test_orders.py
+++ b/berylshift/tests/test_orders.py
@@ -13,7 +13,7 @@
 
 from berylshift.process.control.orders import SETTLE_SECONDS, JournalState, role_order
 from berylshift.targets import Role
-from berylshift.tests.order_machine import MARGIN, TERM, OrderWorld
+from berylshift.tests.order_simulation import MARGIN, TERM, OrderWorld
 from berylshift.tests.support import EXPLORE
 
 ROLES = st.sampled_from([None, Role.PREFILL, Role.DECODE, Role.MIXED])
--- a/berylshift/tests/test_platform_duties.py
+++ b/berylshift/tests/test_platform_duties.py
@@ -11,7 +11,7 @@
 from berylshift.connection.http_server import HttpServer
 from berylshift.connection.responder import Responder
 from berylshift.ids import CustomerName, DomainName, ServiceName
-from berylshift.messages.duties import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import CustomerCount, UsageReport
 from berylshift.platform.configuration import read_routes
--- a/berylshift/tests/test_process_pools.py
+++ b/berylshift/tests/test_process_pools.py
@@ -5,14 +5,14 @@
 import trio
 
 from berylshift.ids import Epoch, Incarnation, OrderNumber
-from berylshift.process.control.moves import (
+from berylshift.process.control.orders import CopyBook, OrderDesk, role_order
+from berylshift.process.control.plans import Move, PlanRow, Plans, is_empty
+from berylshift.process.control.pool_reconciler import (
     MOVE_LIMIT_SECONDS,
     EngineNote,
     PoolDesk,
     PoolNotes,
 )
-from berylshift.process.control.orders import CopyBook, OrderDesk, role_order
-from berylshift.process.control.plans import Move, PlanRow, Plans, is_empty
 from berylshift.process.control.roles import (
     PERSIST_DECISIONS,
     EngineState,
--- a/berylshift/tests/test_scaling_loop.py
+++ b/berylshift/tests/test_scaling_loop.py
@@ -7,11 +7,11 @@
 
 from berylshift.clock import LoopClock
 from berylshift.ids import DomainName, InstanceId, ServiceName
-from berylshift.messages.duties import DutyAnswer
+from berylshift.messages.leader_calls import DutyAnswer
 from berylshift.messages.replicas import Replica, ReplicaChanges
 from berylshift.messages.scaling import ReplicaKind
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.duties.duty_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.scaling.scale_loop import PLACE_SECONDS, ScaleLoop
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
 from berylshift.stand_ins.fake_duties import FakeDuties, FakeScaleRows
--- a/berylshift/tests/test_scaling_planner.py
+++ b/berylshift/tests/test_scaling_planner.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 
 from berylshift.ids import DomainName, InstanceId, ServiceName
-from berylshift.messages.duties import DutyAnswer
+from berylshift.messages.leader_calls import DutyAnswer
 from berylshift.messages.replicas import Replica
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.process.scaling.scale_planner import ScalePlanner
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -4,17 +4,17 @@
 
 import trio
 
-from berylshift.messages.duties import DutyAnswer
+from berylshift.messages.leader_calls import DutyAnswer
 from berylshift.process.usage.windows import UsageWindows
-from berylshift.tests.duty_world import (
+from berylshift.tests.support import run_virtual
+from berylshift.tests.usage_support import TERMS
+from berylshift.tests.usage_world import (
     CUSTOMERS,
     EPOCH,
     DutyWorld,
     broken_rules,
     counts_of,
 )
-from berylshift.tests.support import run_virtual
-from berylshift.tests.usage_support import TERMS
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
--- a/berylshift/tests/duty_world.py
+++ b/berylshift/tests/usage_world.py
@@ -9,8 +9,8 @@
 from berylshift.clock import LoopClock
 from berylshift.ids import CustomerName
 from berylshift.messages.usage import UsageReport
-from berylshift.process.directory.store_eras import EraSource, StoreEras
-from berylshift.process.duties.duty_lease import DutyLease
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
+from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.usage.true_time import TrueTime
 from berylshift.process.usage.usage_book import UsageBook
 from berylshift.process.usage.usage_loop import UsageLoop
