--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -15,7 +15,7 @@
 from berylshift.entry_gauges import report_gauges
 from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
 from berylshift.messages.engine_control import EngineControl
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.messages.routed import Language
 from berylshift.messages.scaling import ScaleOrdering, ScaleRows
 from berylshift.messages.usage import UsageReporting, UsageRows
@@ -109,7 +109,7 @@
         self.routes = RouteHolder(self._on_routes)
         self.phases = ExpectedPhases()
         self.heartbeat = cfg.directory.heartbeat_ms / 1000
-        self.replicas = ReplicaSet(self.phases, LAPSE_HEARTBEATS * self.heartbeat)
+        self.replicas = ReplicaSet(self.phases, ENTRY_TTL_HEARTBEATS * self.heartbeat)
         self.loads = TargetLoads(lambda: self.load_loop.work_came())
         self.leaving = False
         self.shutdown = Shutdown(ports.clock)
@@ -147,7 +147,7 @@
         self.quarantine_loop = QuarantineLoop(
             self.quarantine, ports.crashes, self.watch.clock, ports.clock
         )
-        self.watch.eras.tell(self.quarantine.ledger.write_again)
+        self.watch.eras.subscribe(self.quarantine.ledger.write_again)
         parts = RelayParts(
             clock=ports.clock,
             language=ports.language,
@@ -230,7 +230,7 @@
             clock=ports.clock,
             rng=ports.rng,
             byte_budget=cfg.peers.byte_budget,
-            on_news=lambda: self.follower.heard_news(),
+            on_news=lambda: self.follower.notify_change(),
             eras=self.watch.eras,
             on_joined=self.fingerprints.use_key,
         )
--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -10,7 +10,7 @@
 from berylshift.messages.scaling import ScaleOrdering, ScaleRows
 from berylshift.messages.usage import UsageReporting, UsageRows
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.directory.store_era_tracker import StoreEras
+from berylshift.process.directory.store_era_tracker import StoreEraTracker
 from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
 from berylshift.process.usage.true_time import TrueTime
@@ -36,7 +36,7 @@
     scale_ordering: ScaleOrdering
     scale_rows: ScaleRows
     replicas: ReplicaSet
-    eras: StoreEras
+    eras: StoreEraTracker
     services: Callable[[], Iterable[Service]]
     lease: Callable[[str], DutyLease]
     place: Callable[[str], int | None]
--- a/berylshift/entry_gauges.py
+++ b/berylshift/entry_gauges.py
@@ -29,7 +29,7 @@
     hosts = app.load_loop.known_hosts or 0
     gauge("hosts_known", "Hosts that share limits.", hosts)
     gauge("collects", "Role taken.", app.peers.collects)
-    gauge("follows", "Role taken.", app.watch.follows)
+    gauge("follows", "Role taken.", app.watch.reads_feeds)
     era = app.watch.eras.current or FIRST_ERA
     gauge("store_era", "Era of the store.", era)
     gauge("quarantined", "Requests held back.", len(app.quarantine))
--- a/berylshift/messages/replicas.py
+++ b/berylshift/messages/replicas.py
@@ -1,4 +1,4 @@
-"""What the platform lists of replicas."""
+"""Entries of replicas and snapshots of routes as the platform lists them."""
 
 from enum import StrEnum
 
@@ -15,13 +15,13 @@
 from berylshift.store.eras import FIRST_ERA
 from berylshift.version.routes import RouteTable
 
-# An entry lapses after three heartbeats of silence; hosts hear of that, or of another
-# start, within two more.
-LAPSE_HEARTBEATS = 5
+# An entry expires after three missed heartbeats; hosts learn of that, or of a restart,
+# within two more.
+ENTRY_TTL_HEARTBEATS = 5
 
 
 class EnginePhase(StrEnum):
-    """Which half of the work an engine does."""
+    """The part of a request's work that an engine does."""
 
     PREFILL = "prefill"
     DECODE = "decode"
@@ -29,13 +29,13 @@
 
 
 class Replica(msgspec.Struct, frozen=True):
-    """One start of one replica; ``address`` is ``IP:PORT`` and may be used again.
+    """One instance of a replica; ``address`` is ``IP:PORT`` and may be reused.
 
-    A replica may start again under its ``name``. It then knows nothing of before, so
-    all that is remembered goes by ``instance``, which is new with each start.
-    ``started_ms`` is the Unix time of the start, ``None`` where the replica does not
-    tell it; its name then stands for its one start. ``revision`` is that of its entry;
-    0: not known. An ``interruptible`` one may be taken away within seconds.
+    A replica may restart under its ``name`` and then has lost all state, so whatever is
+    known of it is kept by ``instance``, which differs for each start. ``started_ms`` is
+    the Unix time of the start, ``None`` where the replica does not report it; then its
+    name identifies its only instance. ``revision`` is that of its entry; 0: unknown. An
+    ``interruptible`` replica may be reclaimed within seconds.
     """
 
     instance: InstanceId
@@ -51,13 +51,13 @@
     interruptible: bool = False
 
     def __post_init__(self) -> None:
-        """Name a replica that has no other name after its instance."""
+        """Use the instance as the name of a replica without one."""
         if not self.name:
             msgspec.structs.force_setattr(self, "name", ReplicaName(self.instance))
 
 
 def instance_of(name: ReplicaName, started_ms: int | None) -> InstanceId:
-    """Return what stands for one start of a replica."""
+    """Return the identifier of one start of a replica."""
     if started_ms is None:
         return InstanceId(name)
     return InstanceId(f"{name}@{started_ms}")
@@ -66,7 +66,7 @@
 class RouteSnapshot(msgspec.Struct, frozen=True):
     """The routes as of a store revision; ``None``: there are none, or none newer.
 
-    ``store_ms`` is the store's steady clock as it answered; 0: it did not say.
+    ``store_ms`` is the store's monotonic clock when it answered; 0: not reported.
     """
 
     table: RouteTable | None
@@ -76,10 +76,10 @@
 
 
 class ReplicaChanges(msgspec.Struct, frozen=True):
-    """Replicas put and removed up to a store revision; ``whole``: all there are.
+    """Replicas put and removed up to a store revision; ``whole``: a full list.
 
-    ``removed``: names that no usable entry stands under any more. ``store_ms`` is the
-    store's steady clock as it answered; 0: it did not say.
+    ``removed``: names that no longer have a usable entry. ``store_ms`` is the store's
+    monotonic clock when it answered; 0: not reported.
     """
 
     put: tuple[Replica, ...]
--- a/berylshift/model/fleet.py
+++ b/berylshift/model/fleet.py
@@ -84,7 +84,7 @@
         ]
 
     def _phases(self) -> list[EnginePhase]:
-        wanted = PhasePlanner(self._spec.reading_share).wanted_readers(
+        wanted = PhasePlanner(self._spec.reading_share).desired_prefill_engines(
             self.site.engines
         )
         return [
--- a/berylshift/process/control/leases.py
+++ b/berylshift/process/control/leases.py
@@ -94,7 +94,10 @@
         return self.row.epoch
 
     def next_action(self, now: float, rank: int, step_seconds: float) -> LeaseAction:
-        """Return the next operation; each ``rank`` waits ``step_seconds`` longer."""
+        """Return the next operation; rank 0 acquires first.
+
+        Each further rank waits ``step_seconds`` longer.
+        """
         if self._unconfirmed is not None or not self._is_current:
             return LeaseAction.READ
         if self.row is not None and self.row.holder == self.incarnation:
--- a/berylshift/process/directory/__init__.py
+++ b/berylshift/process/directory/__init__.py
@@ -1,1 +1,1 @@
-"""The routes and replicas in force, and how the store is followed."""
+"""Routes and replicas in force, and reading their feeds from the store."""
--- a/berylshift/process/directory/directory_loop.py
+++ b/berylshift/process/directory/directory_loop.py
@@ -1,4 +1,4 @@
-"""Follows the platform's directory: routes and replicas, each by its own task."""
+"""Reads the platform's feeds of routes and replicas, each in a task of its own."""
 
 import logging
 import random
@@ -21,25 +21,26 @@
 
 logger = logging.getLogger(__name__)
 
-FIRST_BACKOFF_SECONDS = 0.1
-LONGEST_BACKOFF_SECONDS = 0.6
-# While the store is away, hosts that do not follow for others try this much more seldom
-# for each host there is: together they call as often as fifty hosts do at 0.6 s. News
-# that is told by a host that got through wakes them.
-BACKOFF_SECONDS_A_HOST = 0.012
-# Hosts that hear of news together read it within so long for each host, not at once.
-SPREAD_SECONDS_A_HOST = 0.0005
-# How often lapsed entries and orders under way are looked at: a tenth of the time that
+INITIAL_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 0.6
+# While the store is down, hosts that do not read feeds for others back off for longer
+# the more hosts there are: together they call as often as fifty hosts do at 0.6 s. A
+# change reported by a host that reached the store ends the wait.
+BACKOFF_SECONDS_PER_HOST = 0.012
+# Hosts that learn of a change at the same time spread their reads over this much time
+# per host.
+JITTER_SECONDS_PER_HOST = 0.0005
+# How often expired entries and pending orders are checked: a tenth of the time that
 # either of them lasts.
-EXPIRE_SECONDS = 0.2
+EXPIRE_INTERVAL_SECONDS = 0.2
 
 
 class DirectoryLoop:
     """Keeps routes and replicas up to date; each wait is bounded.
 
-    A feed that falls silent for good looks like one without news. The wait asked
-    for is short enough that its time-out shows the silence before a change is due.
-    A feed that another host follows is read only when ``watch`` says so.
+    A feed whose connection hangs looks like one without changes. The requested wait is
+    short enough for its timeout to reveal the hang before a change must be in force.
+    A feed that other hosts read is read here only when ``watch`` says so.
     """
 
     def __init__(
@@ -50,65 +51,71 @@
         clock: Clock,
         rng: random.Random,
         watch: StoreWatch,
-        rest: Callable[[], float],
-        hosts: Callable[[], int] = lambda: 1,
-        gone: Callable[[InstanceId], None] = lambda instance: None,
+        poll_delay: Callable[[], float],
+        host_count: Callable[[], int] = lambda: 1,
+        on_removed: Callable[[InstanceId], None] = lambda instance: None,
     ):
-        """Follow as ``watch`` says; ``hosts()`` share the store.
+        """Read as ``watch`` decides; ``host_count()`` hosts share the store.
 
-        ``gone`` is told of each replica that is no longer listed.
+        ``on_removed`` is called with each replica that is no longer listed.
 
-        After news of replicas the next call comes ``rest()`` seconds later, so that
-        changes in a row cost each host a few calls and not one each.
+        After changes of replicas the next call comes ``poll_delay()`` seconds later,
+        so that a series of changes costs each host a few calls, not one per change.
         """
-        self._rest = rest
-        self._gone = gone
+        self._poll_delay = poll_delay
+        self._on_removed = on_removed
         self._directory = directory
         self._routes = routes
         self._replicas = replicas
         self._clock = clock
         self._rng = rng
         self._watch = watch
-        self._hosts = hosts
-        self._heard = trio.Event()
+        self._host_count = host_count
+        self._change_known = trio.Event()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Read both feeds until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._follow, Feed.ROUTES, self._step_routes)
             nursery.start_soon(self._follow, Feed.REPLICAS, self._step_replicas)
             nursery.start_soon(self._expire)
 
-    def heard_news(self) -> None:
-        """Look again whether a feed has to be read: another host told of news."""
-        self._heard.set()
-        self._heard = trio.Event()
+    def notify_change(self) -> None:
+        """Check again whether a feed must be read: another host reported a change."""
+        self._change_known.set()
+        self._change_known = trio.Event()
 
-    async def _until_due(self, feed: Feed) -> None:
-        """Wait until a feed has to be read by this host."""
-        while (seconds := self._watch.due_in(feed)) > 0:
+    async def _wait_until_due(self, feed: Feed) -> None:
+        """Wait until this host must read a feed."""
+        while (seconds := self._watch.seconds_until_read(feed)) > 0:
             with trio.move_on_after(seconds):
-                await self._heard.wait()
+                await self._change_known.wait()
                 await trio.sleep(
-                    self._rng.uniform(0, SPREAD_SECONDS_A_HOST * self._hosts())
+                    self._rng.uniform(0, JITTER_SECONDS_PER_HOST * self._host_count())
                 )
 
     async def _follow(self, feed: Feed, step: Callable[[], Awaitable[None]]) -> None:
         failures = 0
         what = feed.value
         while True:
-            await self._until_due(feed)
+            await self._wait_until_due(feed)
             try:
                 await step()
             except HistoryLostError as exc:
                 self._watch.forget(feed)
-                logger.info("feed cut", extra={"feed": what, "reason": str(exc)})
-                await trio.sleep(FIRST_BACKOFF_SECONDS * self._rng.random())
+                logger.info(
+                    "feed position lost; reading the whole feed",
+                    extra={"feed": what, "reason": str(exc)},
+                )
+                await trio.sleep(INITIAL_BACKOFF_SECONDS * self._rng.random())
                 continue
             except MalformedEntryError as exc:
                 self._watch.forget(feed)
-                logger.error("entry rejected", extra={"reason": str(exc)})
-                await trio.sleep(LONGEST_BACKOFF_SECONDS)
+                logger.error(
+                    "malformed directory entry; reading the whole feed",
+                    extra={"reason": str(exc)},
+                )
+                await trio.sleep(MAX_BACKOFF_SECONDS)
                 continue
             except PlatformError as exc:
                 if not failures:
@@ -116,56 +123,62 @@
                         "store lost", extra={"feed": what, "reason": str(exc)}
                     )
                 failures += 1
-                self._replicas.store_lost(self._clock.monotonic())
+                self._replicas.mark_store_lost(self._clock.monotonic())
                 with trio.move_on_after(self._backoff(failures)):
-                    await self._heard.wait()
-                    await trio.sleep(FIRST_BACKOFF_SECONDS * self._rng.random())
+                    await self._change_known.wait()
+                    await trio.sleep(INITIAL_BACKOFF_SECONDS * self._rng.random())
                 continue
             if failures:
                 logger.info("store regained", extra={"feed": what, "tries": failures})
-                # What the feed left out meanwhile is seen by reading all of it.
+                # Changes that the feed skipped during the outage show in a full read.
                 self._watch.forget(feed)
             failures = 0
 
     def _backoff(self, failures: int) -> float:
-        """Return the seconds until the store is asked again."""
-        most = LONGEST_BACKOFF_SECONDS
-        if not self._watch.follows:
-            most = max(most, BACKOFF_SECONDS_A_HOST * self._hosts())
-        longest = min(most, FIRST_BACKOFF_SECONDS * 2**failures)
+        """Return the seconds until the next call to the store."""
+        max_seconds = MAX_BACKOFF_SECONDS
+        if not self._watch.reads_feeds:
+            max_seconds = max(
+                max_seconds, BACKOFF_SECONDS_PER_HOST * self._host_count()
+            )
+        longest = min(max_seconds, INITIAL_BACKOFF_SECONDS * 2**failures)
         return longest * self._rng.uniform(0.5, 1.0)
 
     async def _step_routes(self) -> None:
         after = self._watch.position(Feed.ROUTES)
-        asked_in = None if after is None else self._watch.eras.current
+        position_era = None if after is None else self._watch.eras.current
         if after is None:
             found = await self._directory.read_routes()
         else:
-            wait = self._watch.wait(Feed.ROUTES)
+            wait = self._watch.wait_seconds(Feed.ROUTES)
             found = await self._directory.await_routes(after, wait)
-        self._check_era(found.era, asked_in)
-        self._note_return(found.store_ms)
+        self._check_era(found.era, position_era)
+        self._record_recovery(found.store_ms)
         self._take_routes(found)
-        news = after is None or found.table is not None
-        self._watch.read(Feed.ROUTES, found.revision, found.store_ms, news)
+        has_changes = after is None or found.table is not None
+        self._watch.record_read(
+            Feed.ROUTES, found.revision, found.store_ms, has_changes
+        )
         if found.table is None and self._routes.table is None:
-            await trio.sleep(FIRST_BACKOFF_SECONDS)
+            await trio.sleep(INITIAL_BACKOFF_SECONDS)
 
     async def _step_replicas(self) -> None:
         after = self._watch.position(Feed.REPLICAS)
-        asked_in = None if after is None else self._watch.eras.current
+        position_era = None if after is None else self._watch.eras.current
         if after is None:
             changes = await self._directory.read_replicas()
         else:
-            wait = self._watch.wait(Feed.REPLICAS)
+            wait = self._watch.wait_seconds(Feed.REPLICAS)
             changes = await self._directory.await_replicas(after, wait)
-        self._check_era(changes.era, asked_in)
-        self._note_return(changes.store_ms)
+        self._check_era(changes.era, position_era)
+        self._record_recovery(changes.store_ms)
         change = self._replicas.apply(changes, self._clock.monotonic())
-        news = bool(after is None or changes.put or changes.removed)
-        self._watch.read(Feed.REPLICAS, changes.revision, changes.store_ms, news)
+        has_changes = bool(after is None or changes.put or changes.removed)
+        self._watch.record_read(
+            Feed.REPLICAS, changes.revision, changes.store_ms, has_changes
+        )
         for instance in change.removed:
-            self._gone(instance)
+            self._on_removed(instance)
         if not change.empty:
             logger.info(
                 "replicas changed",
@@ -178,42 +191,42 @@
                 },
             )
         if changes.put or changes.removed:
-            await trio.sleep(self._rest())
+            await trio.sleep(self._poll_delay())
 
-    def _check_era(self, era: StoreEra, asked_in: StoreEra | None) -> None:
-        """Raise ``HistoryLostError`` if an answer may not be gone by."""
-        if not self._watch.takes(era, asked_in):
+    def _check_era(self, era: StoreEra, position_era: StoreEra | None) -> None:
+        """Raise ``HistoryLostError`` if an answer can't be used in the current era."""
+        if not self._watch.accepts_answer(era, position_era):
             raise HistoryLostError(f"answer of era {era}")
 
     def _take_routes(self, found: RouteSnapshot) -> None:
-        """Take newer routes over; say so where the store holds older ones."""
-        held = self._routes.table
+        """Apply newer routes; log a warning if the store holds older ones."""
+        current = self._routes.table
         self._routes.take(found.table, self._clock.monotonic(), found.era)
-        older = held is not None and found.table is not None
-        if older and found.table.version < held.version:
+        older = current is not None and found.table is not None
+        if older and found.table.version < current.version:
             logger.warning(
-                "older routes in the store",
-                extra={"version": found.table.version, "in_force": held.version},
+                "store holds older routes than those in force",
+                extra={"version": found.table.version, "in_force": current.version},
             )
 
-    def _note_return(self, store_ms: int) -> None:
-        """Tell others of an outage's end, or go by what they told of one.
+    def _record_recovery(self, store_ms: int) -> None:
+        """Record the end of a store outage, seen by this host or reported by another.
 
-        Entries that lapsed during an outage are missed when it ends. A host that did
-        not call the store meanwhile would take their replicas for gone. The first
-        answer to either feed ends the outage: the list of replicas may not be read for
-        long after, and what goes then has not lapsed.
+        Entries that expired during an outage are missing when it ends. A host that did
+        not call the store meanwhile would take their replicas for removed. The first
+        answer on either feed ends the outage: the list of replicas may be read much
+        later, and a replica that is removed then has not merely expired.
         """
         if self._replicas.is_store_lost:
-            self._watch.back(store_ms)
-            self._replicas.store_answered(self._clock.monotonic())
+            self._watch.record_recovery(store_ms)
+            self._replicas.mark_store_answered(self._clock.monotonic())
             return
-        age = self._watch.back_age()
+        age = self._watch.seconds_since_recovery()
         if age is not None:
-            self._replicas.store_was_back(self._clock.monotonic() - age)
+            self._replicas.record_store_recovery(self._clock.monotonic() - age)
 
     def _confirm(self, now: float) -> None:
-        """Have the age that is logged follow other hosts' word."""
+        """Update the times of confirmation, which are logged, from other hosts."""
         routes = self._watch.confirmed_age(Feed.ROUTES)
         if routes is not None:
             self._routes.confirm(now - routes)
@@ -223,11 +236,11 @@
 
     async def _expire(self) -> None:
         while True:
-            await trio.sleep(EXPIRE_SECONDS)
+            await trio.sleep(EXPIRE_INTERVAL_SECONDS)
             now = self._clock.monotonic()
             self._confirm(now)
-            over = self._replicas.expire(now)
-            for instance in over:
-                self._gone(instance)
-            if over:
-                logger.info("replicas gone", extra={"removed": over})
+            expired = self._replicas.expire(now)
+            for instance in expired:
+                self._on_removed(instance)
+            if expired:
+                logger.info("replicas gone", extra={"removed": expired})
--- a/berylshift/process/directory/expected_phases.py
+++ b/berylshift/process/directory/expected_phases.py
@@ -1,7 +1,7 @@
-"""Phases that engines were ordered to take, before their entries say so.
+"""Phases that engines were ordered to take but do not yet list in their entries.
 
-An entry follows an order seconds later, and not at all while the store is away. Without
-the order's own word the hosts go on using an engine as what it no longer is.
+An entry reflects an order only seconds later, and not at all while the store is down.
+Until then hosts that did not know of the order would use an engine in its old phase.
 """
 
 import msgspec
@@ -10,116 +10,121 @@
 from berylshift.messages.load_digest import PhaseTold, target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
 
-# An order without an answer may be carried out this much later, and an engine is away
-# for some seconds: for so long an order says more than the entry.
-SETTLE_SECONDS = 15.0
-# An engine that changes phase takes no new work for this long (the engines' sheet).
-SWITCH_SECONDS = 3.0
-# Orders told in one digest. While hundreds of engines take their phases at a start, all
-# of them in each digest of each host were 300 kB/s a host at 99 hosts and 998 replicas;
-# so many are 0.2 kB, and all have been told after some digests.
-MOST_TOLD = 16
-# Of these, the newest orders: the others take turns.
-NEWEST_TOLD = 8
+# An unanswered order may take effect this much later, and an engine is unavailable for
+# some seconds while it changes: until then the order takes precedence over the entry.
+ORDER_PENDING_SECONDS = 15.0
+# An engine takes no new work for this long while it changes phase (its data sheet).
+PHASE_CHANGE_SECONDS = 3.0
+# When hundreds of engines change phase at startup, sending all orders in every digest
+# takes 300 kB/s per host with 99 hosts and 998 replicas. 16 orders take 0.2 kB, and all
+# orders have been sent after a few digests.
+MAX_ORDERS_PER_DIGEST = 16
+# Of these, how many are the newest orders; the others rotate.
+NEWEST_ORDERS_PER_DIGEST = 8
 
 
 class ExpectedPhase(msgspec.Struct, frozen=True):
-    """What an engine was ordered to become, and when; times in seconds."""
+    """The phase that an engine was ordered to take, and when, in seconds."""
 
     phase: EnginePhase
     ordered_at: float
 
 
 class ExpectedPhases:
-    """Orders under way, this host's and the others'."""
+    """Pending orders of this host and of other hosts."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without orders."""
         self._orders: dict[int, ExpectedPhase] = {}
-        self._turn = 0
+        self._rotation = 0
         self.version = 0
 
-    def ordered(self, instance: InstanceId, phase: EnginePhase, now: float) -> None:
-        """Note an order that may be carried out."""
-        self._note(target_hash(instance), ExpectedPhase(phase, now))
-
-    def heard(self, told: tuple[PhaseTold, ...], now: float) -> None:
-        """Take over other hosts' orders; the newest of an engine counts."""
-        for item in told:
-            known = self._orders.get(item.target)
-            at = now - item.age
-            if item.age >= SETTLE_SECONDS:
+    def record_order(
+        self, instance: InstanceId, phase: EnginePhase, now: float
+    ) -> None:
+        """Record an order that may take effect."""
+        self._record(target_hash(instance), ExpectedPhase(phase, now))
+
+    def apply_updates(self, updates: tuple[PhaseTold, ...], now: float) -> None:
+        """Merge other hosts' orders; the newest order of an engine wins."""
+        for update in updates:
+            known = self._orders.get(update.target)
+            at = now - update.age
+            if update.age >= ORDER_PENDING_SECONDS:
                 continue
             if known is None or known.ordered_at < at - 1.0:
-                self._note(item.target, ExpectedPhase(item.phase, at))
+                self._record(update.target, ExpectedPhase(update.phase, at))
 
-    def _note(self, target: int, order: ExpectedPhase) -> None:
+    def _record(self, target: int, order: ExpectedPhase) -> None:
         self._orders[target] = order
         self.version += 1
 
     def next_change(self, now: float) -> float:
-        """Return when an order next says something else than it does now."""
+        """Return the next time at which the effect of an order changes."""
         times = [
             order.ordered_at + seconds
             for order in self._orders.values()
-            for seconds in (SWITCH_SECONDS, SETTLE_SECONDS)
+            for seconds in (PHASE_CHANGE_SECONDS, ORDER_PENDING_SECONDS)
         ]
         return min((time for time in times if time > now), default=float("inf"))
 
-    def to_tell(self, now: float) -> tuple[PhaseTold, ...]:
-        """Return orders under way for the other hosts, not too many at once."""
-        self._drop_old(now)
+    def updates_to_send(self, now: float) -> tuple[PhaseTold, ...]:
+        """Return at most ``MAX_ORDERS_PER_DIGEST`` pending orders for a digest."""
+        self._drop_expired(now)
         return tuple(
             PhaseTold(target, order.phase, now - order.ordered_at)
-            for target, order in self._some_orders()
+            for target, order in self._select_for_digest()
         )
 
-    def _some_orders(self) -> list[tuple[int, ExpectedPhase]]:
+    def _select_for_digest(self) -> list[tuple[int, ExpectedPhase]]:
         orders = sorted(self._orders.items(), key=lambda item: -item[1].ordered_at)
-        if len(orders) <= MOST_TOLD:
+        if len(orders) <= MAX_ORDERS_PER_DIGEST:
             return orders
-        newest, others = orders[:NEWEST_TOLD], orders[NEWEST_TOLD:]
-        count = MOST_TOLD - NEWEST_TOLD
-        first = self._turn % len(others)
-        self._turn += count
+        newest, others = (
+            orders[:NEWEST_ORDERS_PER_DIGEST],
+            orders[NEWEST_ORDERS_PER_DIGEST:],
+        )
+        count = MAX_ORDERS_PER_DIGEST - NEWEST_ORDERS_PER_DIGEST
+        first = self._rotation % len(others)
+        self._rotation += count
         return newest + (others + others)[first : first + count]
 
     def find(self, replica: Replica, now: float) -> ExpectedPhase | None:
-        """Return the order that says more than a replica's entry."""
-        order = self._under_way(replica.instance, now)
+        """Return the pending order that overrides the phase in a replica's entry."""
+        order = self._pending(replica.instance, now)
         return None if order is None or order.phase is replica.phase else order
 
-    def as_ordered(self, replica: Replica, now: float) -> Replica:
-        """Return a replica with the phase it is to have."""
+    def with_ordered_phase(self, replica: Replica, now: float) -> Replica:
+        """Return a replica in the phase that it was ordered to take, if any."""
         order = self.find(replica, now)
         if order is None:
             return replica
         return msgspec.structs.replace(replica, phase=order.phase)
 
     def as_usable(self, replica: Replica, now: float) -> Replica | None:
-        """Return a replica as it may be used now; ``None`` while it changes."""
+        """Return a replica in its usable phase; ``None`` while it changes phase."""
         order = self.find(replica, now)
         if order is None:
             return replica
-        if now < order.ordered_at + SWITCH_SECONDS:
+        if now < order.ordered_at + PHASE_CHANGE_SECONDS:
             return None
         return msgspec.structs.replace(replica, phase=order.phase)
 
-    def is_settling(self, instance: InstanceId, now: float) -> bool:
-        """Return whether an engine was ordered a short time ago."""
-        return self._under_way(instance, now) is not None
+    def has_pending_order(self, instance: InstanceId, now: float) -> bool:
+        """Return whether an order to an engine may still take effect."""
+        return self._pending(instance, now) is not None
 
-    def _under_way(self, instance: InstanceId, now: float) -> ExpectedPhase | None:
+    def _pending(self, instance: InstanceId, now: float) -> ExpectedPhase | None:
         order = self._orders.get(target_hash(instance))
-        if order is None or now - order.ordered_at >= SETTLE_SECONDS:
+        if order is None or now - order.ordered_at >= ORDER_PENDING_SECONDS:
             return None
         return order
 
-    def _drop_old(self, now: float) -> None:
-        old = [
+    def _drop_expired(self, now: float) -> None:
+        expired = [
             target
             for target, order in self._orders.items()
-            if now - order.ordered_at >= SETTLE_SECONDS
+            if now - order.ordered_at >= ORDER_PENDING_SECONDS
         ]
-        for target in old:
+        for target in expired:
             del self._orders[target]
--- a/berylshift/process/directory/pools.py
+++ b/berylshift/process/directory/pools.py
@@ -1,7 +1,7 @@
-"""The replicas of one service that take new work, indexed for placing.
+"""The replicas of one service that take new work, indexed for placement.
 
-A pool does not change: a new list of replicas makes a new pool. What is computed from
-it (the homes of a part) may be kept as long as the pool is used.
+A pool is immutable: a new list of replicas makes a new pool, so values derived from it
+(the home engines of a prefix block) can be cached for the pool's lifetime.
 """
 
 from collections import OrderedDict
@@ -12,47 +12,53 @@
 from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
 
-# Homes that a set of shared parts may have; the second takes what the first can't.
-HOMES = 2
-# Parts whose homes are kept; 5,900 customers with a few parts each.
-PARTS_KEPT = 16384
+# Home engines per prefix block; the second takes the load that the first can't.
+HOMES_PER_BLOCK = 2
+# Prefix blocks whose homes are cached: 5,900 customers with a few blocks each.
+MAX_CACHED_BLOCKS = 16384
 
 
 class Pool:
-    """Replicas of one service, by what they do."""
+    """Replicas of one service by engine phase."""
 
     def __init__(self, replicas: list[Replica]):
         """Index ``replicas``."""
         self.replicas = replicas
-        self.readers = [rep for rep in replicas if rep.phase is EnginePhase.PREFILL]
-        self.answerers = [
+        self.prefill_engines = [
+            rep for rep in replicas if rep.phase is EnginePhase.PREFILL
+        ]
+        self.decode_engines = [
             rep for rep in replicas if rep.phase is not EnginePhase.PREFILL
         ]
-        self._readers_by_hash = {target_hash(rep.instance): rep for rep in self.readers}
+        self._prefill_engines_by_hash = {
+            target_hash(rep.instance): rep for rep in self.prefill_engines
+        }
         self._homes: OrderedDict[PartId, tuple[Replica, ...]] = OrderedDict()
 
-    def homes(self, part: PartId) -> tuple[Replica, ...]:
-        """Return the reading engines that are a part's homes, the first one first.
+    def homes(self, block: PartId) -> tuple[Replica, ...]:
+        """Return the prefill engines that are a block's homes, the primary one first.
 
-        Each engine's place depends on the two names alone: when one comes or goes,
-        only the parts it gains or held move.
+        Rendezvous hashing: an engine's rank depends only on the block and the engine,
+        so when an engine is added or removed only the blocks it gains or had move.
         """
-        found = self._homes.get(part)
+        found = self._homes.get(block)
         if found is None:
-            ranked = sorted(self.readers, key=lambda rep: _place_of(part, rep.instance))
-            found = tuple(ranked[:HOMES])
-            self._homes[part] = found
-            while len(self._homes) > PARTS_KEPT:
+            ranked = sorted(
+                self.prefill_engines, key=lambda rep: _rank_of(block, rep.instance)
+            )
+            found = tuple(ranked[:HOMES_PER_BLOCK])
+            self._homes[block] = found
+            while len(self._homes) > MAX_CACHED_BLOCKS:
                 self._homes.popitem(last=False)
         return found
 
-    def reader(self, hashed: int) -> Replica | None:
-        """Return the reading engine with the short hash of its name."""
-        return self._readers_by_hash.get(hashed)
+    def prefill_engine(self, instance_hash: int) -> Replica | None:
+        """Return the prefill engine whose instance has the short hash."""
+        return self._prefill_engines_by_hash.get(instance_hash)
 
 
 EMPTY_POOL = Pool([])
 
 
-def _place_of(part: PartId, instance: InstanceId) -> int:
-    return xxhash.xxh64_intdigest(f"{part}/{instance}".encode())
+def _rank_of(block: PartId, instance: InstanceId) -> int:
+    return xxhash.xxh64_intdigest(f"{block}/{instance}".encode())
--- a/berylshift/process/directory/replica_tombstones.py
+++ b/berylshift/process/directory/replica_tombstones.py
@@ -1,7 +1,7 @@
-"""Replicas that leave or have left, for a store that forgets it.
+"""Tombstones of replicas that are draining or were removed.
 
-A store that comes back from an older copy lists them as if nothing had been said. A
-host that has acknowledged their leaving must not send them work again.
+A store that is restored from an older copy lists them as ready again. A host that has
+acknowledged that they are draining must not send them new work.
 """
 
 from collections import OrderedDict
@@ -12,90 +12,97 @@
 from berylshift.ids import InstanceId, ReplicaName, Revision
 from berylshift.messages.replicas import Replica
 
-# Instances kept; a copy is some seconds old, in which far fewer leave.
-MOST_KEPT = 4096
+# Instances remembered; a copy is some seconds old, in which far fewer are removed.
+MAX_TOMBSTONES = 4096
 
 
 @dataclass
-class _Withheld:
-    """An entry that stands in a copy; used from ``until`` on if it is still there."""
+class _WithheldEntry:
+    """An entry from a restored copy; used if still listed at ``expires_at``."""
 
     replica: Replica
-    until: float
+    expires_at: float
 
 
-class DepartedReplicas:
-    """Times in seconds on the monotonic clock."""
+class ReplicaTombstones:
+    """Remembers draining and removed instances; times in monotonic seconds."""
 
-    def __init__(self, lapse_seconds: float):
-        """Take an entry that nobody renews for gone after ``lapse_seconds``."""
-        self._lapse_seconds = lapse_seconds
-        self._leaving: OrderedDict[InstanceId, Revision] = OrderedDict()
-        self._gone: OrderedDict[InstanceId, Revision] = OrderedDict()
-        self._withheld: dict[ReplicaName, _Withheld] = {}
+    def __init__(self, ttl_seconds: float):
+        """Expect an entry that is not renewed to expire after ``ttl_seconds``."""
+        self._ttl_seconds = ttl_seconds
+        self._draining: OrderedDict[InstanceId, Revision] = OrderedDict()
+        self._removed: OrderedDict[InstanceId, Revision] = OrderedDict()
+        self._withheld: dict[ReplicaName, _WithheldEntry] = {}
 
-    def gone(self, replica: Replica) -> None:
-        """Note that an instance is no longer listed."""
-        _keep(self._gone, replica)
+    def mark_removed(self, replica: Replica) -> None:
+        """Record that an instance is no longer listed."""
+        _remember(self._removed, replica)
 
-    def as_known(self, replica: Replica) -> Replica:
-        """Return a replica as leaving if it was once: it does not come back from that.
+    def with_known_draining(self, replica: Replica) -> Replica:
+        """Return a replica as draining if its instance ever was.
 
-        Its next start is another instance.
+        Draining is final for an instance; a restarted replica is a new instance.
         """
         if replica.draining:
-            _keep(self._leaving, replica)
-        elif replica.instance in self._leaving:
+            _remember(self._draining, replica)
+        elif replica.instance in self._draining:
             return msgspec.structs.replace(replica, draining=True)
         return replica
 
-    def as_draining(self, replica: Replica) -> Replica:
-        """Return a listed replica as leaving, by its own word."""
-        return self.as_known(msgspec.structs.replace(replica, draining=True))
+    def mark_draining(self, replica: Replica) -> Replica:
+        """Return a listed replica as draining, as it has stated itself."""
+        return self.with_known_draining(msgspec.structs.replace(replica, draining=True))
 
-    def is_leaving(self, instance: InstanceId) -> bool:
-        """Return whether an instance was said to leave."""
-        return instance in self._leaving
+    def is_draining(self, instance: InstanceId) -> bool:
+        """Return whether an instance is known to be draining."""
+        return instance in self._draining
 
     def withhold(self, replica: Replica, now: float) -> bool:
-        """Return whether an entry of a copy is not to be used for now.
+        """Return whether an entry from a restored copy must not be used for now.
 
-        One whose instance has gone before is either a ghost, which lapses, or alive,
-        and then writes itself again: its entry gets another revision.
+        An entry whose instance was removed before is either obsolete and will expire,
+        or its replica is alive and writes it again, which gives it another revision.
         """
-        former = self._gone.get(replica.instance)
+        former = self._removed.get(replica.instance)
         if former is None or (former and former != replica.revision):
             return False
-        until = now + self._lapse_seconds
-        known = self._withheld.get(replica.name)
-        if known is not None and known.replica.instance == replica.instance:
-            until = known.until
-        self._withheld[replica.name] = _Withheld(replica, until)
+        expires_at = now + self._ttl_seconds
+        former_entry = self._withheld.get(replica.name)
+        if (
+            former_entry is not None
+            and former_entry.replica.instance == replica.instance
+        ):
+            expires_at = former_entry.expires_at
+        self._withheld[replica.name] = _WithheldEntry(replica, expires_at)
         return True
 
     def is_withheld(self, name: ReplicaName) -> bool:
-        """Return whether a replica's entry is not used for now."""
+        """Return whether a replica's entry must not be used for now."""
         return name in self._withheld
 
-    def written(self, replica: Replica) -> None:
-        """Note that a replica has written its entry itself."""
+    def mark_alive(self, replica: Replica) -> None:
+        """Record that a replica has written its entry and is therefore alive."""
         self._withheld.pop(replica.name, None)
-        self._gone.pop(replica.instance, None)
+        self._removed.pop(replica.instance, None)
 
-    def removed(self, name: ReplicaName) -> None:
-        """Note that an entry is no longer there."""
+    def forget_entry(self, name: ReplicaName) -> None:
+        """Record that an entry no longer exists."""
         self._withheld.pop(name, None)
 
-    def due(self, now: float) -> list[Replica]:
-        """Return the replicas whose entries should have lapsed, and have not."""
-        found = [held.replica for held in self._withheld.values() if now >= held.until]
+    def pop_unexpired(self, now: float) -> list[Replica]:
+        """Return and release withheld replicas whose entries did not expire in time."""
+        found = [
+            entry.replica
+            for entry in self._withheld.values()
+            if now >= entry.expires_at
+        ]
         for replica in found:
-            self.written(replica)
+            self.mark_alive(replica)
         return found
 
 
-def _keep(kept: OrderedDict[InstanceId, Revision], replica: Replica) -> None:
-    kept[replica.instance] = replica.revision
-    kept.move_to_end(replica.instance)
-    if len(kept) > MOST_KEPT:
-        kept.popitem(last=False)
+def _remember(revisions: OrderedDict[InstanceId, Revision], replica: Replica) -> None:
+    revisions[replica.instance] = replica.revision
+    revisions.move_to_end(replica.instance)
+    if len(revisions) > MAX_TOMBSTONES:
+        revisions.popitem(last=False)
--- a/berylshift/process/directory/route_holder.py
+++ b/berylshift/process/directory/route_holder.py
@@ -1,4 +1,4 @@
-"""The routes in force in this process; their version only rises."""
+"""The routes in force in this process; their version never decreases."""
 
 import logging
 from collections.abc import Callable
@@ -13,12 +13,12 @@
 class RouteHolder:
     """Holds the newest routes; ``confirmed_at`` is when a store read last agreed.
 
-    A read answered by a lagging copy would bring an older version back, and a
-    request would be handled as the operators no longer allow.
+    A read from a lagging copy of the store would return an older version, and requests
+    would be handled as the operators no longer allow.
     """
 
     def __init__(self, on_change: Callable[[RouteTable], None] | None = None):
-        """Start without routes; call ``on_change`` with each version taken."""
+        """Start without routes; call ``on_change`` with each new version."""
         self.table: RouteTable | None = None
         self.confirmed_at: float | None = None
         self._era = FIRST_ERA
@@ -27,9 +27,9 @@
     def take(
         self, table: RouteTable | None, now: float, era: StoreEra = FIRST_ERA
     ) -> bool:
-        """Take over a newer version; return whether it was newer.
+        """Apply a version if it is newer; return whether it was.
 
-        ``era``: the store's as it told the version.
+        ``era``: the store's era in which the version was read.
         """
         self.confirmed_at = now
         if table is None or not self._is_newer(table, era):
@@ -49,10 +49,10 @@
         return True
 
     def _is_newer(self, table: RouteTable, era: StoreEra) -> bool:
-        """Return whether a version goes before the one in force.
+        """Return whether a version takes precedence over the one in force.
 
-        A store that lost a version may be given its number again for another text: then
-        the text of the newer era is what the operators want.
+        In a restored store that lost a version, its number can be reused for another
+        text; then the text of the newer era is what the operators want.
         """
         if self.table is None or table.version > self.table.version:
             return True
@@ -61,7 +61,7 @@
         return era > self._era and table != self.table
 
     def confirm(self, at: float) -> None:
-        """Note that nothing newer was there at ``at``, by another host's word."""
+        """Record that the routes were current at ``at``, as another host reports."""
         if self.confirmed_at is not None:
             self.confirmed_at = max(self.confirmed_at, at)
 
--- a/berylshift/process/directory/store_era_tracker.py
+++ b/berylshift/process/directory/store_era_tracker.py
@@ -1,7 +1,8 @@
-"""Which era of the store this host knows, since when, and who has to hear of it.
+"""Tracks the store's era and notifies subscribers when a new one begins.
 
-A store that comes back from a copy some seconds old gives revisions out again: none of
-them means anything without its era. See docs/design/store-eras.md.
+A store that is restored from a copy some seconds old assigns the same revisions again,
+so a new era begins with each restore and a revision is only valid within its era. See
+docs/design/store-eras.md.
 """
 
 import logging
@@ -20,31 +21,31 @@
     ANOTHER_HOST = "another host"
 
 
-class StoreEras:
-    """The newest era; times in seconds on the clock that also counts standstills."""
+class StoreEraTracker:
+    """The newest known era; times in seconds on a clock that runs during suspends."""
 
     def __init__(self, boot_clock: Callable[[], float]):
-        """Know no era yet."""
+        """Start without a known era."""
         self._boot_clock = boot_clock
-        self._known_since: float | None = None
+        self._observed_at: float | None = None
         self._on_change: list[Callable[[], None]] = []
         self.current: StoreEra | None = None
         self.changes = 0
 
-    def tell(self, on_change: Callable[[], None]) -> None:
-        """Call ``on_change`` each time the store has come back older."""
+    def subscribe(self, on_change: Callable[[], None]) -> None:
+        """Call ``on_change`` each time the store was restored from an older copy."""
         self._on_change.append(on_change)
 
-    def learn(self, era: StoreEra, source: EraSource) -> bool:
-        """Take over an era; return whether a new one has begun since the last.
+    def observe(self, era: StoreEra, source: EraSource) -> bool:
+        """Record an era; return whether it is newer than the known one.
 
-        The first one that a host hears of is no change: it remembers nothing of before.
+        The first era that a host learns of is no change: it has no earlier state.
         """
         former = self.current
         if former is not None and era <= former:
             return False
         self.current = era
-        self._known_since = self._boot_clock()
+        self._observed_at = self._boot_clock()
         if former is None:
             return False
         self.changes += 1
@@ -57,11 +58,11 @@
         return True
 
     def is_old(self, era: StoreEra) -> bool:
-        """Return whether an era is over."""
+        """Return whether a newer era than the given one has begun."""
         return self.current is not None and era < self.current
 
     def age(self) -> float:
-        """Return for how long this host has known the era."""
-        if self._known_since is None:
+        """Return for how many seconds this host has known the era."""
+        if self._observed_at is None:
             return 0.0
-        return self._boot_clock() - self._known_since
+        return self._boot_clock() - self._observed_at
--- a/berylshift/process/leader_tasks/leader_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -20,7 +20,7 @@
 import msgspec
 
 from berylshift.ids import StoreEra
-from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.lease_rows import Granted, LeaseRecord, LeaseRow, LeaseRows
 
@@ -67,7 +67,7 @@
         apart: float,
         rng: random.Random,
         boot_clock: Callable[[], float],
-        eras: StoreEras | None = None,
+        eras: StoreEraTracker | None = None,
         first_start: bool = False,
         keeps: bool = False,
     ):
@@ -86,7 +86,7 @@
         self._apart = apart
         self._rng = rng
         self._boot_clock = boot_clock
-        self._eras = eras or StoreEras(boot_clock)
+        self._eras = eras or StoreEraTracker(boot_clock)
         self._grant: Grant | None = None
         # Names this process's newest try to take the lease.
         self._newest_try = ""
@@ -110,7 +110,7 @@
             return held
         asked = self._boot_clock()
         row = await self._rows.read(self._name)
-        self._eras.learn(row.era, EraSource.OWN_READ)
+        self._eras.observe(row.era, EraSource.OWN_READ)
         refused = self._refused(row)
         if refused is not None:
             return refused
@@ -120,7 +120,7 @@
             return Refused("another", self._apart)
         if granted.era != row.era:
             # The condition held by a revision that was given out again.
-            self._eras.learn(granted.era, EraSource.OWN_READ)
+            self._eras.observe(granted.era, EraSource.OWN_READ)
             return Refused(UNKNOWN_HOLDER, self._lasts)
         return self._take(granted, asked)
 
--- a/berylshift/process/leader_tasks/phase_loop.py
+++ b/berylshift/process/leader_tasks/phase_loop.py
@@ -29,7 +29,7 @@
 LOOK_SECONDS = 0.25
 # All hosts see the same plan; whoever waits the shortest time takes the lease. The
 # others hear of its orders while they wait, and need not ask the store.
-SPREAD_SECONDS_A_HOST = 0.1
+JITTER_SECONDS_PER_HOST = 0.1
 RETRY_SECONDS = 1.0
 # Answers after which an engine may come to the phase that was ordered.
 MAY_BE_CARRIED_OUT = frozenset(
@@ -80,7 +80,7 @@
             await trio.sleep(LOOK_SECONDS)
             if not self._due():
                 continue
-            longest = SPREAD_SECONDS_A_HOST * self._hosts()
+            longest = JITTER_SECONDS_PER_HOST * self._hosts()
             await trio.sleep(self._rng.uniform(0, longest))
             changes = self._due()
             if not changes:
@@ -100,7 +100,7 @@
         if self._leaving():
             return ()
         now = self._clock.monotonic()
-        listed = self._replicas.as_ordered(self._service, now)
+        listed = self._replicas.with_ordered_phases(self._service, now)
         engines = [rep for rep in listed if not self._is_limited(rep.instance)]
         if any(rep.phase is EnginePhase.NONE for rep in engines):
             return ()
@@ -108,7 +108,7 @@
         return tuple(
             change
             for change in changes
-            if not self._phases.is_settling(change.replica.instance, now)
+            if not self._phases.has_pending_order(change.replica.instance, now)
         )
 
     async def _carry_out(self, changes: tuple[PhaseChange, ...]) -> None:
@@ -158,7 +158,7 @@
     def _note(self, change: PhaseChange, grant: Grant, answer: OrderAnswer) -> None:
         now = self._clock.monotonic()
         if answer in MAY_BE_CARRIED_OUT:
-            self._phases.ordered(change.replica.instance, change.phase, now)
+            self._phases.record_order(change.replica.instance, change.phase, now)
         logger.info(
             "engine ordered",
             extra={
--- a/berylshift/process/leader_tasks/phase_planner.py
+++ b/berylshift/process/leader_tasks/phase_planner.py
@@ -17,9 +17,9 @@
 TOLERANCE = 1
 # Engines that answer at least, and the share of a large pool that does: one alone is a
 # single point of failure, and its batch grows until events come too late for everybody.
-LEAST_DECODING = 2
-LEAST_DECODING_SHARE = 0.2
-LEAST_READING = 1
+MIN_DECODE_ENGINES = 2
+MIN_DECODE_SHARE = 0.2
+MIN_PREFILL_ENGINES = 1
 # How long a split must be off before it is mended, in seconds: longer than a crashed
 # engine's entry takes to lapse and come back.
 STEADY_SECONDS = 3.0
@@ -47,11 +47,11 @@
         self._engines = 0
         self._engines_since = 0.0
 
-    def wanted_readers(self, engines: int) -> int:
+    def desired_prefill_engines(self, engines: int) -> int:
         """Return how many of ``engines`` should read prompts."""
         readers = round(self._share * engines)
-        readers = min(readers, engines - least_decoding(engines))
-        return max(LEAST_READING, readers)
+        readers = min(readers, engines - min_decode_engines(engines))
+        return max(MIN_PREFILL_ENGINES, readers)
 
     def plan(
         self, engines: list[Replica], now: float, calm: bool
@@ -62,7 +62,7 @@
         if calm and now - self._engines_since < SETTLED_SECONDS:
             return ()
         readers = [rep for rep in engines if rep.phase is EnginePhase.PREFILL]
-        missing = self.wanted_readers(len(engines)) - len(readers)
+        missing = self.desired_prefill_engines(len(engines)) - len(readers)
         urgent = self._is_urgent(len(readers), len(engines))
         if not missing or not (calm or urgent or abs(missing) > TOLERANCE):
             self._off_since = None
@@ -79,15 +79,15 @@
 
     def _is_urgent(self, readers: int, engines: int) -> bool:
         """Return whether one phase has too few engines to wait for steadiness."""
-        if engines <= LEAST_DECODING:
+        if engines <= MIN_DECODE_ENGINES:
             return False
-        too_few_decode = engines - readers < least_decoding(engines)
-        return too_few_decode or readers < LEAST_READING
+        too_few_decode = engines - readers < min_decode_engines(engines)
+        return too_few_decode or readers < MIN_PREFILL_ENGINES
 
 
-def least_decoding(engines: int) -> int:
+def min_decode_engines(engines: int) -> int:
     """Return how many of ``engines`` must answer."""
-    return max(LEAST_DECODING, math.ceil(LEAST_DECODING_SHARE * engines))
+    return max(MIN_DECODE_ENGINES, math.ceil(MIN_DECODE_SHARE * engines))
 
 
 def _changes(
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -16,7 +16,7 @@
 from berylshift.ids import Fingerprint, InstanceId
 from berylshift.messages.fingerprint import head_in
 from berylshift.messages.load_digest import CrashReport, target_hash
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.quarantine.crash_ledger import CrashLedger
 from berylshift.process.quarantine.crash_news import TOLD_SECONDS, CrashKey, CrashNews
 from berylshift.process.quarantine.crash_record import (
@@ -53,7 +53,7 @@
 
         News is told for ``told_seconds``.
         """
-        self._lapse_seconds = LAPSE_HEARTBEATS * heartbeat
+        self._lapse_seconds = ENTRY_TTL_HEARTBEATS * heartbeat
         self._ended_seconds = ENDED_HEARTBEATS * heartbeat
         self._noted: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._held: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
--- a/berylshift/process/telling/digest_maker.py
+++ b/berylshift/process/telling/digest_maker.py
@@ -53,7 +53,7 @@
         """
         parts = self._parts
         self._sequence += 1
-        follows = parts.watch.follows
+        follows = parts.watch.reads_feeds
         tells_word = follows or scope is Scope.FLEET
         # Other domains' collectors hear from each other what is not of their own.
         near = scope is not Scope.FLEET
@@ -64,12 +64,12 @@
             sequence=self._sequence,
             entries=entries,
             reads=reads,
-            phases=parts.phases.to_tell(now),
+            phases=parts.phases.updates_to_send(now),
             scope=scope,
             domain=parts.domain,
             hosts=hosts,
             follows=follows,
-            word=parts.watch.word() if tells_word else None,
+            word=parts.watch.status() if tells_word else None,
             crashes=parts.quarantine.reports(now, near),
             finished=parts.quarantine.finishes(now, near),
             start=parts.usage.start if runs else 0,
--- a/berylshift/process/telling/load_loop.py
+++ b/berylshift/process/telling/load_loop.py
@@ -10,7 +10,7 @@
 
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.process.directory.store_era_tracker import StoreEras
+from berylshift.process.directory.store_era_tracker import StoreEraTracker
 from berylshift.process.telling.digest_maker import DigestParts
 from berylshift.process.telling.host_list import HostList
 from berylshift.process.telling.peer_loads import MEMBER_SECONDS
@@ -50,7 +50,7 @@
     # Told that the store has something new for this host to read.
     on_news: Callable[[], None]
     # Tells when the store has come back older.
-    eras: StoreEras
+    eras: StoreEraTracker
     # Told the key that all hosts share.
     on_joined: Callable[[str], None] = lambda key: None
 
@@ -65,7 +65,7 @@
         self._stranger = trio.Event()
         self._work = trio.Event()
         self._new_era = trio.Event()
-        parts.eras.tell(lambda: self._new_era.set())
+        parts.eras.subscribe(lambda: self._new_era.set())
         self._teller = Teller(
             parts.digest, self._hosts, parts.byte_budget, self._on_role
         )
--- a/berylshift/process/telling/telling.py
+++ b/berylshift/process/telling/telling.py
@@ -90,7 +90,7 @@
     def is_idle(self, now: float) -> bool:
         """Return whether there is nothing to tell until work comes."""
         parts = self._parts
-        if self._collectors.holds or parts.watch.follows or self._last:
+        if self._collectors.holds or parts.watch.reads_feeds or self._last:
             return False
         if parts.quarantine.has_news(now) or parts.usage.has_news(now):
             return False
@@ -122,7 +122,7 @@
         parts.peers.gathered = self.is_gathered
         parts.peers.take(digest, now)
         parts.warm.heard(digest.reads)
-        parts.phases.heard(digest.phases, now)
+        parts.phases.apply_updates(digest.phases, now)
         parts.quarantine.heard(
             digest.crashes, digest.finished, now, self._is_near(digest)
         )
@@ -134,7 +134,7 @@
             self._heard_collector(digest, now)
         if self._collectors.holds:
             self._collecting.pass_on(digest, now)
-        return digest.word is not None and parts.watch.hear(digest.word)
+        return digest.word is not None and parts.watch.receive(digest.word)
 
     def _hear_usage(self, digest: LoadDigest) -> None:
         usage = self._parts.usage
@@ -208,15 +208,15 @@
         parts = self._parts
         entries = parts.loads.entries(now)
         reads = parts.warm.to_tell(now)
-        phases = parts.phases.to_tell(now)
-        word = parts.watch.word() if parts.watch.follows else None
+        phases = parts.phases.updates_to_send(now)
+        word = parts.watch.status() if parts.watch.reads_feeds else None
         changed = entries != self._last or bool(reads) or self._is_news(word)
         changed = changed or parts.quarantine.has_news(now)
         changed = changed or parts.usage.has_news(now)
         changed = changed or bool(parts.throttle.to_tell(now, own_alone=True))
         if not changed and now - self._last_at < REPEAT_SECONDS:
             return None
-        idle = not entries and not phases and not parts.watch.follows
+        idle = not entries and not phases and not parts.watch.reads_feeds
         if not changed and idle and now - self._last_at < PROBE_SECONDS:
             return None
         self._last, self._last_at = entries, now
@@ -257,8 +257,8 @@
             self._set_follows(False)
 
     def _set_follows(self, follows: bool) -> None:
-        if follows != self._parts.watch.follows:
-            self._parts.watch.follows = follows
+        if follows != self._parts.watch.reads_feeds:
+            self._parts.watch.reads_feeds = follows
             self._on_role(Role.FOLLOWER, follows)
 
     def _to_collector(self, now: float) -> list[Telling]:
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -13,7 +13,7 @@
 from berylshift.clock import Clock
 from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
 from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
-from berylshift.process.directory.store_era_tracker import StoreEras
+from berylshift.process.directory.store_era_tracker import StoreEraTracker
 from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
 from berylshift.process.usage.true_time import SAMPLE_SECONDS, TrueTime
 from berylshift.process.usage.usage_book import UsageBook
@@ -41,7 +41,7 @@
         lease: DutyLease,
         rows: UsageRows,
         reporting: UsageReporting,
-        eras: StoreEras,
+        eras: StoreEraTracker,
         clock: Clock,
         place: Callable[[str], int | None],
     ):
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -196,7 +196,7 @@
         """
         places = [
             self._answering(rep, prompt, reader, now)
-            for rep in self._some(_without(pool.answerers, avoid))
+            for rep in self._some(_without(pool.decode_engines, avoid))
         ]
         return min(places, key=lambda place: place.weight, default=None)
 
@@ -214,12 +214,14 @@
         In a large pool these are the homes, the engines that keep the parts, and a
         few others: the work of a decision must not grow with the fleet.
         """
-        if len(pool.readers) <= LOOKED_AT:
-            return pool.readers
-        found = {rep.instance: rep for rep in (*homes, *self._some(pool.readers))}
+        if len(pool.prefill_engines) <= LOOKED_AT:
+            return pool.prefill_engines
+        found = {
+            rep.instance: rep for rep in (*homes, *self._some(pool.prefill_engines))
+        }
         if homes:
             for hashed in self._warm.keepers(prompt.shared[-1].part):
-                keeper = pool.reader(hashed)
+                keeper = pool.prefill_engine(hashed)
                 if keeper is not None:
                     found[keeper.instance] = keeper
         return list(found.values())
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -37,7 +37,7 @@
     ) -> Placement | None:
         """Return the engine that should read a prompt."""
         work = reading_work(prompt.tokens, 0)
-        return self._place(pool.readers, avoid, now, work)
+        return self._place(pool.prefill_engines, avoid, now, work)
 
     def answerer(
         self,
@@ -49,7 +49,7 @@
     ) -> Placement | None:
         """Return the engine that should answer."""
         work = 0 if reader is not None else reading_work(prompt.tokens, 0)
-        return self._place(pool.answerers, avoid, now, work)
+        return self._place(pool.decode_engines, avoid, now, work)
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
         """Keep nothing."""
--- a/berylshift/request/reading_choice.py
+++ b/berylshift/request/reading_choice.py
@@ -93,4 +93,4 @@
         """Return the part of the engines' time that prompts on time take."""
         flow = self._flow.rate(ask.service, now) * self._hosts()
         rate = self._speeds.read_rate(ask.service)
-        return flow / max(1.0, len(ask.pool.readers) * rate)
+        return flow / max(1.0, len(ask.pool.prefill_engines) * rate)
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_choice.py
@@ -69,7 +69,7 @@
         """Raise ``NoRoomError`` if those that are left are throttled, all of them."""
         throttle, now = self._parts.throttle, self._now()
         closed = set(throttle.closed(now)).difference(self._tried)
-        answerers = [rep.instance for rep in self.pool().answerers]
+        answerers = [rep.instance for rep in self.pool().decode_engines]
         waits = [
             throttle.retry_after(name, now) for name in answerers if name in closed
         ]
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_watch.py
@@ -70,8 +70,8 @@
             crashes = quarantine.crashes(self.fingerprint)
         if not crashes:
             return found
-        left = left_of(pool.answerers, found)
-        if is_last(left, pool.answerers) and not begun:
+        left = left_of(pool.decode_engines, found)
+        if is_last(left, pool.decode_engines) and not begun:
             raise QuarantinedError(crashes, LAST_SECONDS)
         aside = set_aside(left)
         return found + [rep.instance for rep in left if rep not in aside]
--- a/berylshift/tests/gathered_world.py
+++ b/berylshift/tests/gathered_world.py
@@ -209,7 +209,7 @@
                 clock=LoopClock(),
                 rng=rng,
                 byte_budget=world.byte_budget,
-                on_news=self.directory.heard_news,
+                on_news=self.directory.notify_change,
                 eras=self.watch.eras,
             )
         )
@@ -300,4 +300,4 @@
 
     def followers(self) -> list[GatheredHost]:
         """Return the hosts that read the feeds for all."""
-        return [host for host in self.hosts if host.watch.follows]
+        return [host for host in self.hosts if host.watch.reads_feeds]
--- a/berylshift/tests/test_directory_schedules.py
+++ b/berylshift/tests/test_directory_schedules.py
@@ -1,8 +1,8 @@
-"""Schedules of a store in trouble: what each host holds of routes and replicas.
+"""Random schedules of store faults: which routes and replicas each host holds.
 
-Three hosts follow one directory by the real loops. The store turns some hosts away,
-falls silent, answers from a lagging copy, answers late or drops its history, in any
-order. Whatever came before, a host that has been in touch for a while agrees with it.
+Three hosts read one directory with the real loops. The store refuses some hosts, hangs,
+answers from a lagging copy, answers late or drops its history, in any order. After any
+schedule, a host that has had no fault for a while agrees with the store.
 """
 
 import random
@@ -18,9 +18,9 @@
 from berylshift.ids import DomainName, InstanceId
 from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
 from berylshift.process.directory.directory_loop import DirectoryLoop
-from berylshift.process.directory.replica_set import LAPSE_GRACE_SECONDS, ReplicaSet
+from berylshift.process.directory.replica_set import EXPIRY_GRACE_SECONDS, ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.process.directory.store_watch import FEED_WAIT_SHARE, StoreWatch
+from berylshift.process.directory.store_watch import FEED_WAIT_FRACTION, StoreWatch
 from berylshift.settings import DirectorySettings
 from berylshift.stand_ins.fake_directory import FakeDirectory
 from berylshift.store.interfaces import StoreUnavailableError
@@ -30,18 +30,18 @@
 HOSTS = 3
 REPLICAS = 4
 BOUND_SECONDS = DirectorySettings().in_force_ms / 1000
-WAIT_SECONDS = FEED_WAIT_SHARE * BOUND_SECONDS
-REST_SECONDS = 0.05
+WAIT_SECONDS = FEED_WAIT_FRACTION * BOUND_SECONDS
+POLL_DELAY_SECONDS = 0.05
 TIMEOUT_SECONDS = DirectorySettings().timeout
-# A call that falls silent, its time-out, the longest pause after a failure, and the
-# calls that follow.
+# A call that hangs, its timeout, the longest backoff after a failure, and the calls
+# that follow.
 IN_FORCE_SECONDS = WAIT_SECONDS + TIMEOUT_SECONDS + 0.8
 LATE_SECONDS = 0.5
 SCHEDULES = settings(EXPLORE, max_examples=150)
 
 
-class Trouble(Enum):
-    """What is wrong between one host and the store."""
+class Fault(Enum):
+    """A fault between one host and the store."""
 
     NONE = "none"
     DOWN = "turned away"
@@ -51,69 +51,69 @@
 
 
 class HostView:
-    """The directory as one host meets it."""
+    """The directory as seen by one host."""
 
     def __init__(self, store: FakeDirectory):
-        """See ``store`` without trouble."""
+        """Wrap ``store`` without faults."""
         self._store = store
-        self.trouble = Trouble.NONE
-        self.touched_at = 0.0
+        self.fault = Fault.NONE
+        self.fault_ended_at = 0.0
         self._old: RouteSnapshot | None = None
 
-    def set(self, trouble: Trouble) -> None:
-        """Begin or end a trouble."""
-        if self.trouble is not Trouble.NONE and trouble is Trouble.NONE:
-            self.touched_at = trio.current_time()
-        self.trouble = trouble
+    def set(self, fault: Fault) -> None:
+        """Begin or end a fault."""
+        if self.fault is not Fault.NONE and fault is Fault.NONE:
+            self.fault_ended_at = trio.current_time()
+        self.fault = fault
 
-    async def _meet(self) -> None:
-        if self.trouble is Trouble.DOWN:
+    async def _apply_fault(self) -> None:
+        if self.fault is Fault.DOWN:
             raise StoreUnavailableError("turned away")
-        if self.trouble is Trouble.SILENT:
+        if self.fault is Fault.SILENT:
             await trio.sleep(WAIT_SECONDS + TIMEOUT_SECONDS)
             raise StoreUnavailableError("no answer")
-        if self.trouble is Trouble.LATE:
+        if self.fault is Fault.LATE:
             await trio.sleep(LATE_SECONDS)
 
     async def read_routes(self) -> RouteSnapshot:
         """Return the routes, or what they were before."""
-        await self._meet()
-        if self.trouble is Trouble.STALE and self._old is not None:
+        await self._apply_fault()
+        if self.fault is Fault.STALE and self._old is not None:
             return self._old
         found = await self._store.read_routes()
-        if self._old is None or self.trouble is Trouble.NONE:
+        if self._old is None or self.fault is Fault.NONE:
             self._old = found
         return found
 
     async def await_routes(self, after, seconds) -> RouteSnapshot:
         """Return newer routes."""
-        await self._meet()
+        await self._apply_fault()
         found = await self._store.await_routes(after, seconds)
-        await self._meet()
+        await self._apply_fault()
         return found
 
     async def read_replicas(self) -> ReplicaChanges:
         """Return all replicas."""
-        await self._meet()
+        await self._apply_fault()
         return await self._store.read_replicas()
 
     async def await_replicas(self, after, seconds) -> ReplicaChanges:
         """Return what changed."""
-        await self._meet()
+        await self._apply_fault()
         found = await self._store.await_replicas(after, seconds)
-        await self._meet()
+        await self._apply_fault()
         return found
 
 
 @dataclass
 class Host:
-    """One host's knowledge, and the versions it has held."""
+    """One host's routes and replicas, and the versions it has held."""
 
     view: HostView
     held: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Wire the real parts."""
+        """Wire the real components."""
         self.routes = RouteHolder(lambda table: self.held.append(table.version))
         self.replicas = ReplicaSet()
         self.loop = DirectoryLoop(
@@ -123,7 +123,7 @@
             LoopClock(),
             random.Random(1),
             StoreWatch(BOUND_SECONDS, trio.current_time),
-            lambda: REST_SECONDS,
+            lambda: POLL_DELAY_SECONDS,
         )
 
     @property
@@ -133,7 +133,7 @@
 
 
 class Kind(Enum):
-    """What may happen next."""
+    """Kinds of events."""
 
     ROUTES = "new routes"
     DRAIN = "a replica drains"
@@ -151,7 +151,7 @@
     kind: Kind
     pause: float
     which: int
-    trouble: Trouble
+    fault: Fault
 
 
 EVENTS = st.builds(
@@ -159,12 +159,12 @@
     st.sampled_from(list(Kind)),
     st.sampled_from([0.0, 0.01, 0.2, 1.0, 3.0]),
     st.integers(0, 11),
-    st.sampled_from([each for each in Trouble if each is not Trouble.NONE]),
+    st.sampled_from([each for each in Fault if each is not Fault.NONE]),
 )
 
 
-class Play:
-    """Carries a schedule out and checks each host after each event."""
+class ScheduleRunner:
+    """Executes a schedule and checks each host after each event."""
 
     def __init__(self) -> None:
         """Start with routes and replicas."""
@@ -172,12 +172,12 @@
         self.hosts = [Host(HostView(self.store)) for _ in range(HOSTS)]
         self.version = 0
         self.written: list[tuple[float, int]] = []
-        self.left: dict[str, float] = {}
+        self.left_at: dict[str, float] = {}
         self.live: dict[str, Replica] = {}
         self.count = 0
 
     async def run(self, events: list[Event]) -> None:
-        """Play ``events``, then heal all and see that all agree."""
+        """Execute ``events``, then end all faults and check that all hosts agree."""
         self.put_routes()
         for _ in range(REPLICAS):
             self.join()
@@ -190,8 +190,8 @@
                 await trio.sleep(event.pause)
                 self.check()
             for host in self.hosts:
-                host.view.set(Trouble.NONE)
-            await trio.sleep(IN_FORCE_SECONDS + LAPSE_GRACE_SECONDS)
+                host.view.set(Fault.NONE)
+            await trio.sleep(IN_FORCE_SECONDS + EXPIRY_GRACE_SECONDS)
             self.check_agreement()
             nursery.cancel_scope.cancel()
 
@@ -202,7 +202,7 @@
         self.written.append((trio.current_time(), self.version))
 
     def join(self) -> None:
-        """Let a replica join; addresses are used again."""
+        """Add a replica; addresses are reused."""
         self.count += 1
         replica = Replica(
             InstanceId(f"r{self.count}"),
@@ -215,7 +215,7 @@
         self.store.put_replica(replica)
 
     def carry_out(self, event: Event) -> None:
-        """Bring one event about."""
+        """Execute one event."""
         view = self.hosts[event.which % HOSTS].view
         match event.kind:
             case Kind.ROUTES:
@@ -225,17 +225,17 @@
             case Kind.DRAIN | Kind.GONE if self.live:
                 self.leave(event)
             case Kind.TROUBLE:
-                view.set(event.trouble)
+                view.set(event.fault)
             case Kind.HEAL:
-                view.set(Trouble.NONE)
+                view.set(Fault.NONE)
             case Kind.FORGET:
                 self.store.forget_history()
 
     def leave(self, event: Event) -> None:
-        """Let a replica drain, or be gone at once."""
+        """Drain a replica, or remove it at once."""
         name = list(self.live)[event.which % len(self.live)]
         replica = self.live.pop(name)
-        self.left[name] = trio.current_time()
+        self.left_at[name] = trio.current_time()
         if event.kind is Kind.GONE:
             self.store.remove_replica(name)
             return
@@ -251,63 +251,63 @@
         )
 
     def check(self) -> None:
-        """Check what must hold at any moment."""
+        """Check the invariants that hold at any time."""
         now = trio.current_time()
         for host in self.hosts:
             assert host.held == sorted(set(host.held)), "a version went back"
             assert not host.held or host.held[-1] <= self.version
-            since = now - host.view.touched_at
-            if host.view.trouble is Trouble.NONE and since > IN_FORCE_SECONDS:
-                self.check_in_touch(host, now)
+            since = now - host.view.fault_ended_at
+            if host.view.fault is Fault.NONE and since > IN_FORCE_SECONDS:
+                self.check_without_faults(host, now)
 
-    def check_in_touch(self, host: Host, now: float) -> None:
-        """Check a host that has had no trouble for a while."""
+    def check_without_faults(self, host: Host, now: float) -> None:
+        """Check a host that has had no fault for a while."""
         due = [number for at, number in self.written if now - at > IN_FORCE_SECONDS]
         assert host.routes.table is not None
         assert host.routes.table.version >= max(due, default=0), "old routes in force"
-        # After an outage an entry that is gone is kept for a grace: it may come back.
-        grace = IN_FORCE_SECONDS + LAPSE_GRACE_SECONDS
-        gone = {name for name, at in self.left.items() if now - at > grace}
-        if now - host.view.touched_at > grace:
+        # After an outage a removed entry is kept for a grace period: it may be renewed.
+        grace = IN_FORCE_SECONDS + EXPIRY_GRACE_SECONDS
+        gone = {name for name, at in self.left_at.items() if now - at > grace}
+        if now - host.view.fault_ended_at > grace:
             assert not host.usable & gone, "a replica that left still gets work"
 
     def check_agreement(self) -> None:
-        """Check that all hosts hold what the store holds."""
+        """Check that all hosts agree with the store."""
         for host in self.hosts:
             assert host.routes.table.version == self.version, "routes differ"
             assert host.usable == set(self.live), "replicas differ"
 
 
 class DirectoryScheduleTest(unittest.TestCase):
-    """Any order of changes and troubles."""
+    """Changes and faults in any order."""
 
     @SCHEDULES
     @given(st.lists(EVENTS, max_size=25))
     def test_hosts_in_touch_agree_with_the_store(self, events):
-        run_virtual(Play().run, events)
+        run_virtual(ScheduleRunner().run, events)
 
-    def test_a_lagging_copy_does_not_take_routes_back(self):
-        # The feed is cut, and the read that follows is answered by a copy that lags:
-        # the host would handle requests as operators no longer allow.
-        stale = Event(Kind.TROUBLE, 0.1, 0, Trouble.STALE)
+    def test_a_lagging_copy_does_not_revert_routes(self):
+        # The feed position is lost, and a lagging copy answers the full read: the host
+        # would handle requests as operators no longer allow.
+        stale = Event(Kind.TROUBLE, 0.1, 0, Fault.STALE)
         events = [
-            Event(Kind.ROUTES, 1.0, 0, Trouble.NONE),
+            Event(Kind.ROUTES, 1.0, 0, Fault.NONE),
             stale,
-            Event(Kind.FORGET, 1.0, 0, Trouble.NONE),
-            Event(Kind.DRAIN, 1.0, 0, Trouble.NONE),
+            Event(Kind.FORGET, 1.0, 0, Fault.NONE),
+            Event(Kind.DRAIN, 1.0, 0, Fault.NONE),
         ]
-        run_virtual(Play().run, events)
+        run_virtual(ScheduleRunner().run, events)
 
     def test_a_replica_that_drains_in_a_gap_of_the_feed_gets_no_work(self):
-        # The word of its leaving falls into the history that the store drops. Only
-        # reading all entries anew can tell.
+        # The change to draining is in the history that the store drops. Only a full
+        # read shows it.
         events = [
-            Event(Kind.TROUBLE, 0.1, 0, Trouble.DOWN),
-            Event(Kind.DRAIN, 0.1, 0, Trouble.NONE),
-            Event(Kind.FORGET, 0.1, 0, Trouble.NONE),
-            Event(Kind.HEAL, 3.0, 0, Trouble.NONE),
+            Event(Kind.TROUBLE, 0.1, 0, Fault.DOWN),
+            Event(Kind.DRAIN, 0.1, 0, Fault.NONE),
+            Event(Kind.FORGET, 0.1, 0, Fault.NONE),
+            Event(Kind.HEAL, 3.0, 0, Fault.NONE),
         ]
-        run_virtual(Play().run, events)
+        run_virtual(ScheduleRunner().run, events)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_directory_store_watch.py
+++ b/berylshift/tests/test_directory_store_watch.py
@@ -1,12 +1,12 @@
-"""When a host reads the store itself, and when another's word is enough."""
+"""When a host reads the store itself, and when other hosts' status is enough."""
 
 import unittest
 
 from berylshift.messages.load_digest import FeedWord, StoreWord
 from berylshift.process.directory.store_watch import (
-    FEED_WAIT_SHARE,
-    LONGEST_UNREAD_SECONDS,
-    PATIENCE_SHARE,
+    FEED_WAIT_FRACTION,
+    MAX_STATUS_AGE_FRACTION,
+    MAX_UNREAD_SECONDS,
     Feed,
     StoreWatch,
 )
@@ -23,122 +23,122 @@
         self.now = 100.0
         self.watch = StoreWatch(BOUND_SECONDS, lambda: self.now)
         for feed in Feed:
-            self.watch.takes(0, None)
-            self.watch.read(feed, 10, self.store_ms(), True)
+            self.watch.accepts_answer(0, None)
+            self.watch.record_read(feed, 10, self.store_ms(), True)
 
     def store_ms(self, ago: float = 0.0) -> int:
         return int((self.now - ago) * 1000) + STORE_AHEAD_MS
 
-    def hear(self, changed: int, revision: int, ago: float = 0.0, back_ms: int = 0):
+    def receive(self, changed: int, revision: int, ago: float = 0.0, back_ms: int = 0):
         feed = FeedWord(changed, revision, self.store_ms(ago))
-        return self.watch.hear(StoreWord(feed, feed, back_ms))
+        return self.watch.receive(StoreWord(feed, feed, back_ms))
 
-    def test_fresh_word_of_nothing_new_is_enough_for_a_while(self):
-        self.assertFalse(self.hear(changed=10, revision=10))
-        wanted = PATIENCE_SHARE * BOUND_SECONDS
-        self.assertAlmostEqual(self.watch.due_in(Feed.ROUTES), wanted, 2)
+    def test_fresh_status_without_changes_suffices_for_a_while(self):
+        self.assertFalse(self.receive(changed=10, revision=10))
+        wanted = MAX_STATUS_AGE_FRACTION * BOUND_SECONDS
+        self.assertAlmostEqual(self.watch.seconds_until_read(Feed.ROUTES), wanted, 2)
 
-    def test_news_is_read_at_once_and_without_a_wait(self):
-        self.assertTrue(self.hear(changed=12, revision=13))
-        self.assertEqual(self.watch.due_in(Feed.REPLICAS), 0.0)
-        self.assertEqual(self.watch.wait(Feed.REPLICAS), 0.0)
+    def test_reported_changes_are_read_at_once_without_waiting(self):
+        self.assertTrue(self.receive(changed=12, revision=13))
+        self.assertEqual(self.watch.seconds_until_read(Feed.REPLICAS), 0.0)
+        self.assertEqual(self.watch.wait_seconds(Feed.REPLICAS), 0.0)
 
-    def test_a_host_that_hears_nobody_follows_by_itself(self):
-        self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
-        wanted = FEED_WAIT_SHARE * BOUND_SECONDS
-        self.assertAlmostEqual(self.watch.wait(Feed.ROUTES), wanted)
+    def test_a_host_without_reports_reads_the_feeds_itself(self):
+        self.assertEqual(self.watch.seconds_until_read(Feed.ROUTES), 0.0)
+        wanted = FEED_WAIT_FRACTION * BOUND_SECONDS
+        self.assertAlmostEqual(self.watch.wait_seconds(Feed.ROUTES), wanted)
 
-    def test_word_from_before_a_standstill_is_old_after_it(self):
-        """A host stands still for a minute; then it takes the datagrams that waited.
+    def test_status_from_before_a_suspend_is_old_after_it(self):
+        """A host is suspended for a minute, then reads the datagrams in its buffer.
 
-        What they say was true a minute ago. On a clock that stopped with the host they
-        would look fresh, and it would serve by what was in force then.
+        Their content was true a minute ago. By a clock that stops with the host they
+        would seem fresh, and the host would serve by outdated routes.
         """
-        word = FeedWord(10, 10, self.store_ms())
+        status = FeedWord(10, 10, self.store_ms())
         self.now += 60.0
-        self.watch.hear(StoreWord(word, word))
-        self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
+        self.watch.receive(StoreWord(status, status))
+        self.assertEqual(self.watch.seconds_until_read(Feed.ROUTES), 0.0)
 
-    def test_the_next_read_begins_where_nothing_was_left_out(self):
-        self.hear(changed=9, revision=40)
+    def test_the_next_read_starts_after_the_range_without_changes(self):
+        self.receive(changed=9, revision=40)
         self.assertEqual(self.watch.position(Feed.ROUTES), 40)
 
-    def test_a_change_that_was_not_read_is_not_passed_over(self):
-        """A follower says: the last change was at 12, nothing since, as of 40.
+    def test_a_change_that_was_not_read_is_not_skipped(self):
+        """A feed reader reports the last change at 12 and none up to revision 40.
 
-        A host that has read up to 10 lacks that change. Going on from 40 it would
-        never hear of it.
+        A host that has read up to 10 lacks that change. Continuing from 40 it would
+        never see it.
         """
-        self.hear(changed=12, revision=40)
+        self.receive(changed=12, revision=40)
         self.assertEqual(self.watch.position(Feed.ROUTES), 10)
 
-    def test_overtaken_word_changes_nothing(self):
-        self.hear(changed=10, revision=20)
-        self.assertFalse(self.hear(changed=15, revision=15, ago=1.0))
+    def test_reordered_older_status_changes_nothing(self):
+        self.receive(changed=10, revision=20)
+        self.assertFalse(self.receive(changed=15, revision=15, ago=1.0))
         self.assertEqual(self.watch.position(Feed.ROUTES), 20)
 
-    def test_a_whole_read_is_news_to_the_others(self):
-        """What went before a whole read was not seen: others must not skip it."""
+    def test_a_full_read_counts_as_a_change_for_other_hosts(self):
+        """Changes before a full read were not seen: others must not skip them."""
         self.watch.forget(Feed.ROUTES)
-        self.watch.read(Feed.ROUTES, 30, self.store_ms(), True)
-        self.assertEqual(self.watch.word().routes.changed, 30)
+        self.watch.record_read(Feed.ROUTES, 30, self.store_ms(), True)
+        self.assertEqual(self.watch.status().routes.changed, 30)
 
-    def test_a_quiet_answer_moves_the_word_on_and_not_the_change(self):
+    def test_an_answer_without_changes_advances_only_the_revision(self):
         self.now += 1.0
-        self.watch.read(Feed.ROUTES, 25, self.store_ms(), False)
-        self.assertEqual(self.watch.word().routes, FeedWord(10, 25, self.store_ms()))
+        self.watch.record_read(Feed.ROUTES, 25, self.store_ms(), False)
+        self.assertEqual(self.watch.status().routes, FeedWord(10, 25, self.store_ms()))
 
-    def test_a_word_of_a_former_era_is_nothing(self):
-        """The store came back older; a host that stood still tells of before.
+    def test_status_of_a_former_era_is_ignored(self):
+        """The store was restored; a host that was suspended reports an old status.
 
-        Its revision and its time are higher than all of the new era. Taken for news, or
-        for what lies between, it would hide what changes next.
+        Its revision and time are higher than any of the new era. If it were accepted,
+        it would hide the next changes.
         """
         for feed in Feed:
-            self.watch.takes(1, None)
-            self.watch.read(feed, 5, self.store_ms(1.0), True)
-        self.assertFalse(self.hear(changed=5, revision=40))
+            self.watch.accepts_answer(1, None)
+            self.watch.record_read(feed, 5, self.store_ms(1.0), True)
+        self.assertFalse(self.receive(changed=5, revision=40))
         self.assertEqual(self.watch.position(Feed.ROUTES), 5)
-        self.assertEqual(self.watch.word().routes.era, 1)
+        self.assertEqual(self.watch.status().routes.era, 1)
 
-    def test_a_word_of_a_new_era_has_all_read_anew(self):
-        word = FeedWord(5, 5, self.store_ms(), 1)
-        self.assertTrue(self.watch.hear(StoreWord(word, word)))
+    def test_status_of_a_new_era_causes_a_full_read(self):
+        status = FeedWord(5, 5, self.store_ms(), 1)
+        self.assertTrue(self.watch.receive(StoreWord(status, status)))
         self.assertIsNone(self.watch.position(Feed.ROUTES))
-        self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
+        self.assertEqual(self.watch.seconds_until_read(Feed.ROUTES), 0.0)
 
     def test_an_answer_of_a_former_era_is_dropped(self):
-        """It was under way as the store came back older."""
-        self.watch.takes(1, None)
-        self.assertFalse(self.watch.takes(0, None))
+        """It was in flight when the store was restored from an older copy."""
+        self.watch.accepts_answer(1, None)
+        self.assertFalse(self.watch.accepts_answer(0, None))
 
     def test_an_answer_from_a_former_eras_position_is_dropped(self):
-        self.assertFalse(self.watch.takes(1, 0))
-        self.assertTrue(self.watch.takes(1, None))
-        self.assertTrue(self.watch.takes(1, 1))
-
-    def test_a_follower_always_reads(self):
-        self.hear(changed=10, revision=10)
-        self.watch.follows = True
-        self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
-
-    def test_each_host_reads_by_itself_now_and_then(self):
-        self.now += LONGEST_UNREAD_SECONDS
-        self.hear(changed=10, revision=10)
-        self.assertEqual(self.watch.due_in(Feed.ROUTES), 0.0)
-
-    def test_the_end_of_an_outage_is_passed_on(self):
-        self.assertIsNone(self.watch.back_age())
-        self.hear(changed=10, revision=10, back_ms=self.store_ms(0.5))
-        self.assertAlmostEqual(self.watch.back_age(), 0.5, 2)
-        self.assertEqual(self.watch.word().back_ms, self.store_ms(0.5))
-
-    def test_what_is_held_is_as_old_as_the_best_word(self):
+        self.assertFalse(self.watch.accepts_answer(1, 0))
+        self.assertTrue(self.watch.accepts_answer(1, None))
+        self.assertTrue(self.watch.accepts_answer(1, 1))
+
+    def test_a_feed_reader_always_reads(self):
+        self.receive(changed=10, revision=10)
+        self.watch.reads_feeds = True
+        self.assertEqual(self.watch.seconds_until_read(Feed.ROUTES), 0.0)
+
+    def test_each_host_reads_by_itself_at_intervals(self):
+        self.now += MAX_UNREAD_SECONDS
+        self.receive(changed=10, revision=10)
+        self.assertEqual(self.watch.seconds_until_read(Feed.ROUTES), 0.0)
+
+    def test_the_end_of_an_outage_is_reported_to_others(self):
+        self.assertIsNone(self.watch.seconds_since_recovery())
+        self.receive(changed=10, revision=10, back_ms=self.store_ms(0.5))
+        self.assertAlmostEqual(self.watch.seconds_since_recovery(), 0.5, 2)
+        self.assertEqual(self.watch.status().back_ms, self.store_ms(0.5))
+
+    def test_confirmed_age_is_that_of_the_newest_status(self):
         self.now += 2.0
         self.assertAlmostEqual(self.watch.confirmed_age(Feed.ROUTES), 2.0, 2)
-        self.hear(changed=10, revision=11, ago=0.25)
+        self.receive(changed=10, revision=11, ago=0.25)
         self.assertAlmostEqual(self.watch.confirmed_age(Feed.ROUTES), 0.25, 2)
-        self.hear(changed=12, revision=12)
+        self.receive(changed=12, revision=12)
         self.assertIsNone(self.watch.confirmed_age(Feed.ROUTES))
 
 
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -32,19 +32,19 @@
             now = host.ports.clock.monotonic()
             kept_before = host.warm.keeps(PartId("a1"), former, ROOM)
             host.loads.failed(former, SEVERE, now)
-            host.phases.ordered(former, EnginePhase.DECODE, now)
+            host.phases.record_order(former, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND)
             reply = await world.ask("/note/x", "r2", headers=prompt_headers(part="b2"))
             return kept_before, host, reply
 
         kept_before, host, reply = run_entry(task, plain=0, engines="pd")
-        (reader,) = host.replicas.pool(ENGINES).readers
+        (reader,) = host.replicas.pool(ENGINES).prefill_engines
         now = 0.0
         self.assertTrue(kept_before)
         self.assertEqual(reader.instance, f"engine-1@{SECOND}")
         self.assertFalse(host.warm.keeps(PartId("a1"), reader.instance, ROOM))
         self.assertEqual(host.loads.of(reader.instance).failures(now), 0.0)
-        self.assertFalse(host.phases.is_settling(reader.instance, now))
+        self.assertFalse(host.phases.has_pending_order(reader.instance, now))
         self.assertEqual((reply.status, reply.whole), (200, True))
 
     def test_a_connection_to_the_former_start_is_not_used_again(self):
--- a/berylshift/tests/test_leader_lease.py
+++ b/berylshift/tests/test_leader_lease.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from berylshift.ids import StoreEra
-from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
 from berylshift.process.leader_tasks.leader_lease import (
     MARGIN_SECONDS,
     USE_SECONDS,
@@ -30,7 +30,7 @@
     def __init__(self, count: int = 2):
         self.time = 100.0
         self.rows = FakeLeaseRows(lambda: self.time)
-        self.eras = [StoreEras(lambda: self.time) for _ in range(count)]
+        self.eras = [StoreEraTracker(lambda: self.time) for _ in range(count)]
         self.leases = [
             DutyLease(
                 self.rows,
@@ -138,7 +138,7 @@
     def test_a_holder_that_learns_of_the_new_era_stops(self):
         world = Holders()
         world.acquire(0)
-        world.eras[0].learn(StoreEra(1), EraSource.ANOTHER_HOST)
+        world.eras[0].observe(StoreEra(1), EraSource.ANOTHER_HOST)
         world.order(0)
         self.assertEqual(world.orders, [])
 
@@ -193,7 +193,7 @@
             elif what == "restore":
                 world.rows.restore(seconds)
             elif what == "hear":
-                world.eras[number].learn(world.rows.era, EraSource.ANOTHER_HOST)
+                world.eras[number].observe(world.rows.era, EraSource.ANOTHER_HOST)
             elif what == "down":
                 world.rows.down = not world.rows.down
             else:
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 from berylshift.ids import Fingerprint, InstanceId
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import CrashReport, target_hash
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.quarantine.crash_news import (
     AGAIN_SECONDS,
     MOST_CRASHES_TOLD,
@@ -123,7 +123,7 @@
 
     def test_a_replica_that_is_still_listed_after_its_entry_would_lapse_has_not(self):
         """All connections are reset for seconds, so that nothing proves it before."""
-        lapsed = LAPSE_HEARTBEATS * HEARTBEAT
+        lapsed = ENTRY_TTL_HEARTBEATS * HEARTBEAT
         self.crash(BAD, 1, 2)
         self.quarantine.answered(engine(2), lapsed + 0.1, None)
         self.assertTrue(self.is_held(lapsed + 0.2))
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -43,7 +43,7 @@
         """Start a host's loop."""
         quarantine = Quarantine(1.2)
         clock = StoreClock(trio.current_time)
-        clock.note(int((trio.current_time() + STORE_CLOCK_AHEAD_SECONDS) * 1000))
+        clock.record(int((trio.current_time() + STORE_CLOCK_AHEAD_SECONDS) * 1000))
         loop = QuarantineLoop(quarantine, self.rows, clock, LoopClock())
         self._nursery.start_soon(loop.run)
         return quarantine
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -15,7 +15,7 @@
 from berylshift.stand_ins.text import make_prompt
 from berylshift.targets import Role
 from berylshift.tests.support import FLEET, MODEL
-from berylshift.tests.test_process_pools import OnePlanner
+from berylshift.tests.test_process_pools import OneChangePlanner
 from berylshift.tests.world import call_service, plain_call, run_world, small_rows
 from berylshift.version.rows import OrderCheck
 
@@ -358,7 +358,7 @@
             stop = Stop(world, host=holder_of(world))
             for pool in stop.app.pool_loop._pools.values():
                 change = RoleChange("engine-1", Role.PREFILL, "test")
-                pool.reconciler.planner = OnePlanner(change)
+                pool.reconciler.planner = OneChangePlanner(change)
             slow_orders(stop.app)
             with trio.fail_after(60):
                 while "order/engine-1" not in world.platform.rows:
--- a/berylshift/tests/test_store_eras.py
+++ b/berylshift/tests/test_store_eras.py
@@ -1,32 +1,32 @@
-"""A store that comes back from a copy some seconds old: routes and replicas."""
+"""Routes and replicas after the store is restored from a copy some seconds old."""
 
 import unittest
 
 import trio
 
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.settings import DirectorySettings
 from berylshift.tests.entry_world import PLAIN, route, routes, run_entry
 from berylshift.version.routes import RouteKind
 
-# What operators and replicas wrote is written again within this time.
-AGAIN_SECONDS = 1.5
-LAPSE_SECONDS = LAPSE_HEARTBEATS * DirectorySettings().heartbeat_ms / 1000
+# Operators and replicas repeat their writes within this time.
+REWRITE_SECONDS = 1.5
+ENTRY_TTL_SECONDS = ENTRY_TTL_HEARTBEATS * DirectorySettings().heartbeat_ms / 1000
 
 
 def with_route(version: int, name: str = "new"):
-    """Return routes with one more."""
+    """Return routes with an additional one."""
     return routes(version, route(name, RouteKind.IDEMPOTENT))
 
 
 class FeedTest(unittest.TestCase):
-    """Revisions are given out again."""
+    """Revisions are assigned again in the new era."""
 
-    def test_news_behind_a_revision_that_was_given_out_again_is_seen(self):
+    def test_changes_below_a_reused_revision_are_seen(self):
         """The host has read up to a revision that the copy does not have.
 
-        The new era reaches it again by other changes, a new replica among them, before
-        the host asks. It gets no 410, and nothing below its position is told to it.
+        Other changes, among them a new replica, reach that revision again before the
+        host's next call. It gets no 410, and no change below its position.
         """
 
         async def task(world):
@@ -44,7 +44,7 @@
 
         self.assertTrue(run_entry(task))
 
-    def test_every_host_has_what_is_new(self):
+    def test_every_host_has_the_changes_of_the_new_era(self):
         async def task(world):
             world.directory.put_routes(routes(5))
             await trio.sleep(0.5)
@@ -57,7 +57,7 @@
 
 
 class RouteTest(unittest.TestCase):
-    """Routes in force never go back, and follow what the operators write again."""
+    """Routes in force never revert, and follow what operators write again."""
 
     def test_a_version_that_the_copy_lacks_stays_in_force(self):
         async def task(world):
@@ -73,8 +73,8 @@
 
         self.assertEqual(run_entry(task), [200] * 5)
 
-    def test_the_same_version_with_another_text_is_taken(self):
-        """The operator's last change is lost; its number is used for another one."""
+    def test_the_same_version_with_another_text_is_applied(self):
+        """The last change is lost, and its version number is reused for another one."""
 
         async def task(world):
             await trio.sleep(1)
@@ -91,10 +91,10 @@
 
 
 class ReplicaTest(unittest.TestCase):
-    """What an older copy says of replicas."""
+    """Replicas as listed by an older copy."""
 
-    def play(self, before, after=None, wait: float = AGAIN_SECONDS):
-        """Return the work that ``plain-1`` gets once the store is back older."""
+    def play(self, before, after=None, wait: float = REWRITE_SECONDS):
+        """Return the requests that ``plain-1`` gets after the store was restored."""
 
         async def task(world):
             await trio.sleep(1)
@@ -114,49 +114,49 @@
 
         return run_entry(task)
 
-    def test_one_that_leaves_and_is_ready_in_the_copy_gets_nothing(self):
-        """It said that it leaves; its host has acknowledged that, the copy has not."""
+    def test_a_draining_replica_that_the_copy_lists_as_ready_gets_nothing(self):
+        """The host has acknowledged the drain; the copy lists the replica as ready."""
 
         def leaves(world, replica):
             world.list_replica(replica, PLAIN, draining=True)
 
         self.assertEqual(self.play(leaves), (0, {200}))
 
-    def test_one_that_has_gone_and_stands_in_the_copy_gets_nothing(self):
+    def test_a_removed_replica_that_the_copy_lists_gets_nothing(self):
         def goes(world, replica):
             world.directory.remove_replica(replica.instance)
 
         self.assertEqual(self.play(goes), (0, {200}))
 
-    def test_one_that_writes_itself_again_is_used(self):
-        """Its entry had lapsed only; it was alive all the time."""
+    def test_a_replica_that_renews_its_entry_is_used(self):
+        """Its entry had only expired; the replica was alive all the time."""
 
-        def lapses(world, replica):
+        def expires(world, replica):
             world.directory.remove_replica(replica.instance)
 
         def writes(world, replica):
             world.list_replica(replica, PLAIN)
 
-        taken, statuses = self.play(lapses, writes)
+        taken, statuses = self.play(expires, writes)
         self.assertGreater(taken, 0)
         self.assertEqual(statuses, {200})
 
-    def test_one_whose_entry_does_not_lapse_is_used(self):
-        def lapses(world, replica):
+    def test_a_replica_whose_entry_does_not_expire_is_used(self):
+        def expires(world, replica):
             world.directory.remove_replica(replica.instance)
 
-        taken, _ = self.play(lapses, wait=2 * LAPSE_SECONDS)
+        taken, _ = self.play(expires, wait=2 * ENTRY_TTL_SECONDS)
         self.assertGreater(taken, 0)
 
-    def test_those_born_since_are_used_until_they_are_written_again(self):
-        """The copy is older than both replicas; they are well all the while."""
+    def test_replicas_newer_than_the_copy_are_used_until_listed_again(self):
+        """The copy is older than both replicas, which are healthy all the time."""
 
         async def task(world):
             statuses = []
             world.directory.restore(60)
             world.directory.put_routes(routes(1))
             for number in range(10):
-                await trio.sleep(AGAIN_SECONDS / 10)
+                await trio.sleep(REWRITE_SECONDS / 10)
                 statuses.append((await world.ask("/look/x", f"r{number}")).status)
             return statuses
 
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -1,4 +1,4 @@
-"""Hosts among each other once the store has come back from an older copy."""
+"""Communication between hosts after the store is restored from an older copy."""
 
 import unittest
 
@@ -14,12 +14,12 @@
 
 
 def run_few(task):
-    """Run ``task(world)`` with hosts that tell each other directly."""
+    """Run ``task(world)`` with hosts that send digests to each other directly."""
     return run_world(task, HOSTS, DOMAINS, BYTE_BUDGET)
 
 
-def heard_by(world: GatheredWorld, seconds: float) -> list[int]:
-    """Return how many others each host has heard within ``seconds``."""
+def hosts_heard_within(world: GatheredWorld, seconds: float) -> list[int]:
+    """Return from how many others each host got a digest within ``seconds``."""
     now = trio.current_time()
     return [
         sum(now - at < seconds for at in host.peers._heard_at.values())
@@ -27,14 +27,14 @@
     ]
 
 
-class JoinAgainTest(unittest.TestCase):
-    """What hosts wrote since the copy is lost."""
+class LostRowsTest(unittest.TestCase):
+    """Rows that hosts wrote after the copy are lost."""
 
     def test_hosts_do_not_split_into_two_groups(self):
-        """The key's row is lost, and a host that starts writes another key.
+        """The cluster key's row is lost, and a starting host writes another key.
 
-        Hosts that keep the former one would hear neither it nor each host that starts
-        later; both groups would take the other's work for none.
+        Hosts that keep the previous key would receive nothing from hosts that start
+        from then on; each group would assume that the other has no work.
         """
 
         async def task(world):
@@ -43,7 +43,7 @@
             world.rows.lose([host.name for host in world.hosts], key=True)
             world.start(HOSTS, DOMAINS)
             await trio.sleep(BOUND_SECONDS + 4)
-            return heard_by(world, PROBE_SECONDS + 1.0)
+            return hosts_heard_within(world, PROBE_SECONDS + 1.0)
 
         self.assertEqual(run_few(task), [HOSTS] * (HOSTS + 1))
 
@@ -57,21 +57,21 @@
         self.assertEqual(run_few(task), HOSTS)
 
 
-class WordTest(unittest.TestCase):
-    """Thirty hosts, two of which follow the store for all."""
+class StatusTest(unittest.TestCase):
+    """Thirty hosts, two of which read the store's feeds for all."""
 
-    def test_an_old_word_hides_nothing(self):
-        """A host stands still through the restore; its words of before come late.
+    def test_an_old_status_hides_no_change(self):
+        """A host's digests are delayed until after the restore.
 
-        Their revisions are higher than those of the new era. A host that goes by the
-        number alone takes what is new for known.
+        Their revisions are higher than those of the new era. A host that compares
+        revisions alone would take new changes for known ones.
         """
 
         async def task(world):
             for _ in range(20):
                 world.put_routes()
                 await trio.sleep(0.1)
-            held = [host for host in world.hosts if host.watch.follows][0]
+            held = [host for host in world.hosts if host.watch.reads_feeds][0]
             world.net.paths[held.address] = Path.HELD
             world.store.restore(1.5)
             version = world.put_routes()
@@ -91,11 +91,11 @@
 
         self.assertEqual(run_world(task), {1})
 
-    def test_a_host_that_the_store_turns_away_hears_of_the_era(self):
-        """It serves on by what it has, and reads as soon as it gets through."""
+    def test_a_host_that_the_store_refuses_learns_of_the_era(self):
+        """It serves with the data it has, and reads once the store accepts calls."""
 
         async def task(world):
-            host = next(each for each in world.hosts if not each.watch.follows)
+            host = next(each for each in world.hosts if not each.watch.reads_feeds)
             host.view.turned_away = True
             await trio.sleep(1)
             world.store.restore(1.0)
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -27,7 +27,9 @@
 )
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
-from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
+from berylshift.process.directory.expected_phases import (
+    MAX_ORDERS_PER_DIGEST as MOST_PHASES,
+)
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
--- a/berylshift/tests/test_telling_gathering.py
+++ b/berylshift/tests/test_telling_gathering.py
@@ -206,7 +206,7 @@
             world.put_replica("r-1")
             world.put_replica("r-2")
             await trio.sleep(2)
-            host = next(each for each in world.hosts if not each.watch.follows)
+            host = next(each for each in world.hosts if not each.watch.reads_feeds)
             host.view.turned_away = True
             world.put_routes()
             await trio.sleep(3)
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -132,7 +132,7 @@
             world.kill(holder)
             world.restore(30)
             for host in world.hosts:
-                host.eras.learn(world.rows.era, "own read")
+                host.eras.observe(world.rows.era, "own read")
             count_late(world, settled)
             world.duties.answers = []
             await trio.sleep(30)
@@ -195,7 +195,7 @@
             world.restore(seconds)
             for known in world.hosts:
                 if rng.random() < 0.5:
-                    known.eras.learn(world.leases.era, "another host")
+                    known.eras.observe(world.leases.era, "another host")
         elif kind in ("busy", "unknown"):
             answer = DutyAnswer.BUSY if kind == "busy" else DutyAnswer.UNKNOWN
             world.duties.answers = [answer] * rng.randint(1, 4)
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -9,7 +9,7 @@
 from berylshift.clock import LoopClock
 from berylshift.ids import CustomerName
 from berylshift.messages.usage import UsageReport
-from berylshift.process.directory.store_era_tracker import EraSource, StoreEras
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
 from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.usage.true_time import TrueTime
 from berylshift.process.usage.usage_book import UsageBook
@@ -31,7 +31,7 @@
 
     name: str
     book: UsageBook
-    eras: StoreEras
+    eras: StoreEraTracker
     loop: UsageLoop
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     alive: bool = True
@@ -61,8 +61,8 @@
         windows, time = UsageWindows(TERMS), TrueTime(clock, trio.current_time)
         book = UsageBook(windows, name, "z1", self.starts)
         book.learn_names(CUSTOMERS)
-        eras = StoreEras(trio.current_time)
-        eras.learn(self.leases.era, EraSource.OWN_READ)
+        eras = StoreEraTracker(trio.current_time)
+        eras.observe(self.leases.era, EraSource.OWN_READ)
         lease = DutyLease(
             self.leases,
             "usage",
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -134,7 +134,7 @@
     Proof(
         "the last engine takes no suspect",
         "request/routed_watch.py",
-        "        if is_last(left, pool.answerers) and not begun:\n",
+        "        if is_last(left, pool.decode_engines) and not begun:\n",
         "        if False:\n",
         f"{ASIDE}.SuspectsTest",
     ),
@@ -371,7 +371,7 @@
     Proof(
         "entries that lapsed with the store are kept a while",
         "process/directory/replica_set.py",
-        "in_grace = now < self._back_at + LAPSE_GRACE_SECONDS",
+        "in_grace = now < self._store_recovered_at + EXPIRY_GRACE_SECONDS",
         "in_grace = False",
         "test_entry_application.StoreOutageTest",
     ),
@@ -499,7 +499,7 @@
     Proof(
         "orders are told to the other hosts",
         "process/telling/telling.py",
-        "        parts.phases.heard(digest.phases, now)\n",
+        "        parts.phases.apply_updates(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
         "test_an_ordered_engine_is_used_although_the_store_is_down",
@@ -522,21 +522,22 @@
     Proof(
         "a host reads by itself when the word it has grows old",
         "process/directory/store_watch.py",
-        "left = self._patience - self.clock.age(state.heard.store_ms)",
-        "left = 60.0",
+        "seconds_left = self._max_age_seconds"
+        " - self.clock.age(state.received.store_ms)",
+        "seconds_left = 60.0",
         "test_telling_gathering.SharedReadsTest.test_followers_that_the_store_turns_away",
     ),
     Proof(
         "a change that was not read is not passed over",
         "process/directory/store_watch.py",
-        "if state.position is not None and word.changed <= state.position:",
+        "if state.position is not None and status.changed <= state.position:",
         "if state.position is not None:",
         "test_directory_store_watch.StoreWatchTest",
     ),
     Proof(
         "hosts that did not see an outage hear of it",
         "process/directory/directory_loop.py",
-        "            self._replicas.store_was_back(",
+        "            self._replicas.record_store_recovery(",
         "            float(",
         "test_telling_gathering.SharedReadsTest."
         "test_entries_that_lapsed_in_an_outage_that_most_hosts_did_not_notice",
@@ -619,7 +620,7 @@
         "process/directory/replica_set.py",
         "return told and replica.started_ms is None",
         "return False",
-        "test_directory_replica_set.StartAgainTest",
+        "test_directory_replica_set.RestartTest",
     ),
     Proof(
         "a row that can't be read hides no other",
@@ -835,16 +836,16 @@
     Proof(
         "a feed goes on from a position of its own era alone",
         "process/directory/store_watch.py",
-        "return asked_in is None or asked_in == era",
+        "return position_era is None or position_era == era",
         "return True",
         "test_store_eras.FeedTest",
     ),
     Proof(
         "a word of a former era is nothing",
         "process/directory/store_watch.py",
-        "if era != word.replicas.era or self.eras.is_old(era):",
+        "if era != status.replicas.era or self.eras.is_old(era):",
         "if False:",
-        "test_directory_store_watch.StoreWatchTest.test_a_word_of_a_former_era_is_nothing",
+        "test_directory_store_watch.StoreWatchTest.test_status_of_a_former_era_is_ignored",
     ),
     Proof(
         "a version whose number is used again is taken",
@@ -856,9 +857,9 @@
     Proof(
         "what leaves does not come back from an older copy",
         "process/directory/replica_tombstones.py",
-        "elif replica.instance in self._leaving:",
+        "elif replica.instance in self._draining:",
         "elif False:",
-        f"{REPLICA_SET}.test_one_that_was_draining_is_not_taken_back_from_a_copy",
+        f"{REPLICA_SET}.test_a_draining_replica_stays_unused_when_a_copy_lists_it_as_ready",
     ),
     Proof(
         "what has gone does not come back from an older copy",
@@ -870,7 +871,7 @@
     Proof(
         "what an older copy lacks is given time to write itself again",
         "process/directory/replica_set.py",
-        "            self._back_at = now\n        self._era = era",
+        "            self._store_recovered_at = now\n        self._era = era",
         "            pass\n        self._era = era",
         "test_store_eras.ReplicaTest",
     ),
@@ -907,7 +908,7 @@
         "process/telling/load_loop.py",
         "            if found != key:\n                return found",
         "            pass",
-        "test_store_eras_hosts.JoinAgainTest",
+        "test_store_eras_hosts.LostRowsTest",
     ),
     Proof(
         "every call to a replica asks the gate",
@@ -996,7 +997,7 @@
     Proof(
         "the first answer to either feed ends an outage",
         "process/directory/directory_loop.py",
-        "            self._replicas.store_answered(self._clock.monotonic())\n",
+        "            self._replicas.mark_store_answered(self._clock.monotonic())\n",
         "",
         "test_telling_gathering.SharedReadsTest."
         "test_a_replica_that_goes_long_after_an_outage_gets_no_work",
