--- a/bench/micro.py
+++ b/bench/micro.py
@@ -3,7 +3,7 @@
 from bench.report import print_rows
 from berylshift.ids import Incarnation
 from berylshift.ids import TableVersion
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.engine_state.cost_model import CostModel
 from berylshift.process.engine_state.health import Health
@@ -62,7 +62,7 @@
         load.reported(row.name, report, 0.0)
     cost = CostModel(PolicySettings())
     know = RoutingContext(
-        load, Health(), cost, PrefixIndex(), Plans(), MixMeter(), random.Random(1)
+        load, Health(), cost, PrefixIndex(), Plans(), DemandMeter(), random.Random(1)
     )
     return know, Table(TableVersion(1), rows)
 
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -6,11 +6,11 @@
 from berylshift.ids import DomainName
 from berylshift.ids import HostName
 from berylshift.metrics import Metrics
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.control.pool_loop import ORDER_SECONDS
+from berylshift.process.control.pool_loop import ORDER_TIMEOUT_SECONDS
+from berylshift.process.control.pool_loop import PoolDependencies
 from berylshift.process.control.pool_loop import PoolLoop
-from berylshift.process.control.pool_loop import PoolParts
 from berylshift.process.engine_state.cost_model import CostModel
 from berylshift.process.engine_state.health import Health
 from berylshift.process.engine_state.load_view import LoadView
@@ -151,7 +151,7 @@
             clock, ports.metrics, cfg.observability.decisions_kept
         )
         self.plans = Plans()
-        self.meter = MixMeter()
+        self.meter = DemandMeter()
         self.know = RoutingContext(
             self.load,
             Health(),
@@ -298,7 +298,7 @@
         )
         self.pending_loop = PendingLoop(self.pending, self.gate, ports.rng)
         self.sweep_loop = SweepLoop(self.gate, self.members, ports.clock, ports.rng)
-        pools = PoolParts(
+        pools = PoolDependencies(
             cfg=cfg,
             members=self.members,
             holder=self.holder,
@@ -397,7 +397,7 @@
     async def _release_leases(self) -> None:
         """Give the leases up before the wait for requests, which may be long."""
         calls = RELEASE_CALLS * self.cfg.platform.timeout
-        with trio.move_on_after(ORDER_SECONDS + calls):
+        with trio.move_on_after(ORDER_TIMEOUT_SECONDS + calls):
             await self.pool_loop.release()
 
     async def _wait_until_done(self) -> None:
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -13,7 +13,7 @@
 from berylshift.ids import InstanceId
 from berylshift.ids import ServiceName
 from berylshift.messages.engine_control import EngineControl
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.messages.routed import WireCodec
 from berylshift.messages.scaling import ScaleOrdering
 from berylshift.messages.scaling import ScaleRows
@@ -24,14 +24,14 @@
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.duties.duty_lease import DutyLease
-from berylshift.process.duties.phase_loop import PhaseLoop
-from berylshift.process.duties.phase_planner import PhasePlanner
 from berylshift.process.gossip.digest_builder import DigestParts
 from berylshift.process.gossip.load_loop import LoadLink
 from berylshift.process.gossip.load_loop import LoadLoop
 from berylshift.process.gossip.load_loop import LoadParts
 from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.phase_loop import PhaseLoop
+from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED
 from berylshift.process.quarantine.quarantine import Quarantine
@@ -121,7 +121,7 @@
         self.routes = RouteHolder(self._on_routes)
         self.phases = ExpectedPhases()
         self.heartbeat = cfg.directory.heartbeat_ms / 1000
-        self.replicas = ReplicaSet(self.phases, LAPSE_HEARTBEATS * self.heartbeat)
+        self.replicas = ReplicaSet(self.phases, ENTRY_TTL_HEARTBEATS * self.heartbeat)
         self.loads = TargetLoads(lambda: self.load_loop.work_came())
         self.leaving = False
         self.shutdown = Shutdown(ports.clock)
@@ -159,7 +159,7 @@
         self.quarantine_loop = QuarantineLoop(
             self.quarantine, ports.crashes, self.watch.clock, ports.clock
         )
-        self.watch.eras.tell(self.quarantine.row_queue.rewrite_all)
+        self.watch.eras.subscribe(self.quarantine.row_queue.rewrite_all)
         deps = RelayDependencies(
             clock=ports.clock,
             codec=ports.language,
@@ -244,7 +244,7 @@
             clock=ports.clock,
             rng=ports.rng,
             byte_budget=cfg.peers.byte_budget,
-            on_news=lambda: self.follower.heard_news(),
+            on_news=lambda: self.follower.notify_change(),
             eras=self.watch.eras,
             on_joined=self.fingerprints.use_key,
         )
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -2,8 +2,8 @@
 
 from berylshift.ids import CustomerName
 from berylshift.ids import StoreEra
-from berylshift.messages.duties import DutyAnswer
-from berylshift.messages.duties import DutyHolder
+from berylshift.messages.leader_calls import DutyAnswer
+from berylshift.messages.leader_calls import DutyHolder
 from berylshift.store.eras import FIRST_ERA
 from typing import Protocol
 import functools
--- a/berylshift/model/fleet.py
+++ b/berylshift/model/fleet.py
@@ -14,7 +14,7 @@
 from berylshift.model.result import CrashCount, PlayResult, PromptEnd, summarize
 from berylshift.model.traffic import Arrival, Burst, Crasher, Traffic
 from berylshift.process.directory.pools import Pool
-from berylshift.process.duties.phase_planner import PhasePlanner
+from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 
 # A host and an engine of one domain.
 NEAR_SECONDS = 0.0002
@@ -84,7 +84,7 @@
         ]
 
     def _phases(self) -> list[EnginePhase]:
-        wanted = PhasePlanner(self._spec.reading_share).wanted_readers(
+        wanted = PhasePlanner(self._spec.reading_share).desired_prefill_engines(
             self.site.engines
         )
         return [
--- a/berylshift/process/gossip/digest_builder.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -55,7 +55,7 @@
         """
         parts = self._parts
         self._sequence += 1
-        follows = parts.watch.follows
+        follows = parts.watch.reads_feeds
         tells_word = follows or scope is Scope.FLEET
         # Other domains' collectors hear from each other what is not of their own.
         near = scope is not Scope.FLEET
@@ -66,12 +66,12 @@
             sequence=self._sequence,
             entries=entries,
             prefills=reads,
-            phases=parts.phases.to_tell(now),
+            phases=parts.phases.updates_to_send(now),
             scope=scope,
             domain=parts.domain,
             hosts=hosts,
             reads_feeds=follows,
-            store_status=parts.watch.word() if tells_word else None,
+            store_status=parts.watch.status() if tells_word else None,
             crashes=parts.quarantine.take_reports(now, near),
             finished=parts.quarantine.pending_completions(now, near),
             started_ms=parts.usage.start if runs else 0,
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -1,22 +1,23 @@
 """Tells the other hosts of this host's work, and hears of theirs."""
 
-import logging
-import random
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
-
-import trio
-
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.process.directory.store_eras import StoreEras
+from berylshift.process.directory.store_era_tracker import StoreEraTracker
 from berylshift.process.gossip.digest_builder import DigestParts
 from berylshift.process.gossip.host_list import HostList
 from berylshift.process.gossip.peer_loads import MEMBER_SECONDS
-from berylshift.process.gossip.protocol import REPEAT_SECONDS, Role, Teller
-from berylshift.store.host_rows import HostRecord, HostRows
+from berylshift.process.gossip.protocol import REPEAT_SECONDS
+from berylshift.process.gossip.protocol import Role
+from berylshift.process.gossip.protocol import Teller
+from berylshift.store.host_rows import HostRecord
+from berylshift.store.host_rows import HostRows
 from berylshift.store.interfaces import PlatformError
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+import logging
+import random
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -50,7 +51,7 @@
     # Told that the store has something new for this host to read.
     on_news: Callable[[], None]
     # Tells when the store has come back older.
-    eras: StoreEras
+    eras: StoreEraTracker
     # Told the key that all hosts share.
     on_joined: Callable[[str], None] = lambda key: None
 
@@ -65,7 +66,7 @@
         self._stranger = trio.Event()
         self._work = trio.Event()
         self._new_era = trio.Event()
-        parts.eras.tell(lambda: self._new_era.set())
+        parts.eras.subscribe(lambda: self._new_era.set())
         self._teller = Teller(
             parts.digest, self._hosts, parts.byte_budget, self._on_role
         )
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -1,24 +1,24 @@
 """The loop that exchanges digests with peers."""
 
-from collections import deque
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.customer_limits import CustomerLimits
-from berylshift.process.membership.digest import MAX_STORE_AGE_SECONDS, Digest
+from berylshift.process.membership.digest import Digest
+from berylshift.process.membership.digest import MAX_STORE_AGE_SECONDS
 from berylshift.process.membership.members import Membership
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.table.follower import TableFollower, TableHolder
+from berylshift.process.table.follower import TableFollower
+from berylshift.process.table.follower import TableHolder
 from berylshift.settings import PeerSettings
 from berylshift.store.interfaces import HostEntry
 from berylshift.version.freshness import Freshness
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+import trio
 
 MAX_QUEUED_REPLIES = 64
 DigestHandler = Callable[[Digest], None]
@@ -46,7 +46,7 @@
     limits: CustomerLimits
     follower: TableFollower
     holder: TableHolder
-    meter: MixMeter
+    meter: DemandMeter
     plans: Plans
     quarantine: Quarantine
     clock: Clock
@@ -74,7 +74,7 @@
             deps.fresh.peer_confirmed(confirmation)
         deps.load.peer_shares(digest.host, digest.shares, now)
         deps.limits.peer_demand(digest.host, digest.demands, now)
-        deps.meter.peer_mixes(digest.host, digest.mixes, now)
+        deps.meter.update_peer(digest.host, digest.mixes, now)
         # Each host sends to few others, so whatever is new here is passed on.
         deps.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
         peer = deps.members.peers[digest.host]
@@ -139,7 +139,7 @@
             shares=deps.load.shares(),
             demands=deps.limits.demands(now),
             plan_version=deps.plans.total,
-            mixes=deps.meter.own(now),
+            mixes=deps.meter.local_rates(now),
             crashes=list(deps.quarantine.take_reports(now)),
             finished=list(deps.quarantine.pending_completions(now)),
         )
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -17,7 +17,7 @@
 from berylshift.messages.fingerprint import head_hash_of
 from berylshift.messages.load_digest import CrashReport
 from berylshift.messages.load_digest import target_hash
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.quarantine.crash_gossip import CrashGossip
 from berylshift.process.quarantine.crash_gossip import CrashKey
 from berylshift.process.quarantine.crash_gossip import GOSSIP_SECONDS
@@ -58,7 +58,7 @@
 
         Updates are sent to other hosts for ``gossip_seconds``.
         """
-        self._expiry_seconds = LAPSE_HEARTBEATS * heartbeat
+        self._expiry_seconds = ENTRY_TTL_HEARTBEATS * heartbeat
         self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat
         self._observed: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._quarantined: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -1,23 +1,28 @@
 """The loop that keeps the operators' table up to date in this process."""
 
-import logging
+from berylshift.clock import Clock
+from berylshift.ids import PoolName
+from berylshift.ids import TableVersion
+from berylshift.process.control.plans import PlanRow
+from berylshift.process.control.plans import Plans
+from berylshift.process.control.plans import plan_key
+from berylshift.process.membership.members import Membership
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import PlatformError
+from berylshift.store.interfaces import StoredRow
+from berylshift.version.changelog import TableLog
+from berylshift.version.changelog import TableLogError
+from berylshift.version.freshness import Freshness
+from berylshift.version.rows import Row
+from berylshift.version.table import EMPTY_TABLE
+from berylshift.version.table import Table
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
-
+import logging
 import msgspec
 import trio
 
-from berylshift.clock import Clock
-from berylshift.ids import PoolName, TableVersion
-from berylshift.process.control.plans import PlanRow, Plans, plan_key
-from berylshift.process.membership.members import Membership
-from berylshift.store.interfaces import HostEntry, PlatformError, StoredRow
-from berylshift.version.changelog import TableLog, TableLogError
-from berylshift.version.freshness import Freshness
-from berylshift.version.rows import Row
-from berylshift.version.table import EMPTY_TABLE, Table
-
 logger = logging.getLogger(__name__)
 
 
@@ -130,7 +135,9 @@
                 self._parts.members.update_host_list(view.hosts)
             self._offer(Table(view.version, view.rows))
             for pool, plan in view.plans.items():
-                self._parts.plans.offer(pool, plan, self._parts.clock.monotonic())
+                self._parts.plans.apply_if_newer(
+                    pool, plan, self._parts.clock.monotonic()
+                )
             self._parts.fresh.plan = self._parts.plans.total
 
     def _offer_plans(
@@ -140,7 +147,7 @@
         for pool, found in zip(pools, stored, strict=True):
             if found is not None:
                 plan = msgspec.json.decode(found.value, type=PlanRow)
-                self._parts.plans.offer(pool, plan, now)
+                self._parts.plans.apply_if_newer(pool, plan, now)
         self._parts.fresh.plan = self._parts.plans.total
 
     def _offer(self, table: Table) -> None:
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -6,7 +6,7 @@
 from berylshift.connection.silence import SilentError
 from berylshift.ids import PoolName
 from berylshift.ids import TargetName
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.shutdown import Shutdown
@@ -50,7 +50,7 @@
     retries: RetryBudget
     lengths: OutputLengths
     decisions: DecisionLog
-    meter: MixMeter
+    meter: DemandMeter
     table: Callable[[], Table]
     may_route: Callable[[], bool]
     cfg: TargetSettings
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -202,7 +202,7 @@
         """
         places = [
             self._decode_placement(rep, prompt, prefill_engine, now)
-            for rep in self._sample(_excluding(pool.answerers, avoid))
+            for rep in self._sample(_excluding(pool.decode_engines, avoid))
         ]
         return min(places, key=lambda place: place.cost, default=None)
 
@@ -221,14 +221,14 @@
         cached, and a sample of the others: the cost of a decision must not grow with
         the fleet.
         """
-        if len(pool.readers) <= LOOKED_AT:
-            return pool.readers
+        if len(pool.prefill_engines) <= LOOKED_AT:
+            return pool.prefill_engines
         candidates = {
-            rep.instance: rep for rep in (*homes, *self._sample(pool.readers))
+            rep.instance: rep for rep in (*homes, *self._sample(pool.prefill_engines))
         }
         if homes:
             for engine_hash in self._warm.keepers(prompt.prefix_blocks[-1].id):
-                caching_engine = pool.reader(engine_hash)
+                caching_engine = pool.prefill_engine(engine_hash)
                 if caching_engine is not None:
                     candidates[caching_engine.instance] = caching_engine
         return list(candidates.values())
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -1,15 +1,18 @@
 """Baseline placement policies for comparison with ``Placer``."""
 
-import random
-from collections.abc import Callable, Iterable
-
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.placement import Placement, Placer, Reason, prefill_work
+from berylshift.request.placement import Placement
+from berylshift.request.placement import Placer
+from berylshift.request.placement import Reason
+from berylshift.request.placement import prefill_work
+from collections.abc import Callable
+from collections.abc import Iterable
+import random
 
 Pick = Callable[[list[Replica], float], Replica]
 
@@ -37,7 +40,7 @@
     ) -> Placement | None:
         """Return the engine that should prefill a prompt."""
         work = prefill_work(prompt.tokens, 0)
-        return self._place(pool.readers, avoid, now, work)
+        return self._place(pool.prefill_engines, avoid, now, work)
 
     def choose_decode(
         self,
@@ -49,7 +52,7 @@
     ) -> Placement | None:
         """Return the engine that should decode."""
         work = 0 if prefill_engine is not None else prefill_work(prompt.tokens, 0)
-        return self._place(pool.answerers, avoid, now, work)
+        return self._place(pool.decode_engines, avoid, now, work)
 
     def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
         """Do nothing: the policy does not track prompts."""
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -102,4 +102,4 @@
         """Return the share of engine time that prompts on time take."""
         flow = self._flow.rate(job.service, now) * self._host_count()
         rate = self._speeds.read_rate(job.service)
-        return flow / max(1.0, len(job.pool.readers) * rate)
+        return flow / max(1.0, len(job.pool.prefill_engines) * rate)
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -73,8 +73,8 @@
             crashes = quarantine.crash_count(self.fingerprint)
         if not crashes:
             return found
-        left = remaining_replicas(pool.answerers, found)
-        if is_last_remaining(left, pool.answerers) and not has_started:
+        left = remaining_replicas(pool.decode_engines, found)
+        if is_last_remaining(left, pool.decode_engines) and not has_started:
             raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
         aside = isolation_replicas(left)
         return found + [rep.instance for rep in left if rep not in aside]
--- a/berylshift/request/router.py
+++ b/berylshift/request/router.py
@@ -6,7 +6,7 @@
 from berylshift.ids import RequestId
 from berylshift.ids import TargetName
 from berylshift.ids import WorkName
-from berylshift.process.control.mix_meter import MixMeter
+from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.engine_state.cost_model import CostModel
 from berylshift.process.engine_state.cost_model import Prediction
@@ -96,7 +96,7 @@
     cost: CostModel
     prefixes: PrefixIndex
     plans: Plans
-    meter: MixMeter
+    meter: DemandMeter
     rng: random.Random
 
     def __post_init__(self) -> None:
--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -1,13 +1,12 @@
 """Many hosts hear of the store and of each other's work through few of them."""
 
-import random
-import unittest
-
-import trio
-
 from berylshift.messages.load_digest import Urgency
-from berylshift.tests.multi_host_world import GatheredWorld, Path
+from berylshift.tests.multi_host_world import GatheredWorld
+from berylshift.tests.multi_host_world import Path
 from berylshift.tests.support import run_virtual
+import random
+import trio
+import unittest
 
 # The time in which a change must be in force, and bytes a second: so few that thirty
 # hosts are gathered, as two hundred are by the usual budget.
@@ -206,7 +205,7 @@
             world.put_replica("r-1")
             world.put_replica("r-2")
             await trio.sleep(2)
-            host = next(each for each in world.hosts if not each.watch.follows)
+            host = next(each for each in world.hosts if not each.watch.reads_feeds)
             host.view.turned_away = True
             world.put_routes()
             await trio.sleep(3)
--- a/berylshift/tests/test_layout.py
+++ b/berylshift/tests/test_layout.py
@@ -1,10 +1,9 @@
 """Who may import whom among the rooms of ``process/``."""
 
-import ast
-import unittest
 from pathlib import Path
-
+import ast
 import berylshift
+import unittest
 
 PACKAGE = Path(berylshift.__file__).parent
 # What each room may import of the others. Those of the own interface still lean on each
@@ -13,9 +12,9 @@
     "targets": set(),
     "directory": set(),
     "quarantine": {"directory"},
-    "duties": {"directory"},
-    "usage": {"duties", "directory"},
-    "scaling": {"duties", "directory", "targets"},
+    "leader_tasks": {"directory"},
+    "usage": {"leader_tasks", "directory"},
+    "scaling": {"leader_tasks", "directory", "targets"},
     "gossip": {"directory", "quarantine", "targets", "usage"},
 }
 PREFIX = "berylshift.process."
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -5,7 +5,7 @@
 from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import CrashReport
 from berylshift.messages.load_digest import target_hash
-from berylshift.messages.replicas import LAPSE_HEARTBEATS
+from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.gossip.protocol import TELL_SECONDS
 from berylshift.process.quarantine.crash_gossip import GOSSIP_SECONDS
 from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
@@ -121,7 +121,7 @@
 
     def test_a_replica_listed_past_its_entry_expiry_has_not_crashed(self):
         """All connections are reset for seconds, so no earlier response shows it."""
-        expiry_seconds = LAPSE_HEARTBEATS * HEARTBEAT
+        expiry_seconds = ENTRY_TTL_HEARTBEATS * HEARTBEAT
         self.crash(BAD, 1, 2)
         self.quarantine.record_response(engine(2), expiry_seconds + 0.1, None)
         self.assertTrue(self.is_quarantined(expiry_seconds + 0.2))
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -1,23 +1,28 @@
 """Planned stops of hosts that serve the product's own interface."""
 
-import contextlib
-import unittest
-
-import msgspec
-import trio
-
 from berylshift.process.control.roles import RoleChange
 from berylshift.replay.virtual_fleet import HostDownError
-from berylshift.request.confirmation import PREFIX, ConfirmRow, RowState
+from berylshift.request.confirmation import ConfirmRow
+from berylshift.request.confirmation import PREFIX
+from berylshift.request.confirmation import RowState
 from berylshift.request.messages import Outcome
-from berylshift.settings import Credential, ShutdownSettings
+from berylshift.settings import Credential
+from berylshift.settings import ShutdownSettings
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.stand_ins.text import make_prompt
 from berylshift.targets import Role
-from berylshift.tests.support import FLEET, MODEL
-from berylshift.tests.test_process_pools import OnePlanner
-from berylshift.tests.world import call_service, plain_call, run_world, small_rows
+from berylshift.tests.support import FLEET
+from berylshift.tests.support import MODEL
+from berylshift.tests.test_process_pools import OneChangePlanner
+from berylshift.tests.world import call_service
+from berylshift.tests.world import plain_call
+from berylshift.tests.world import run_world
+from berylshift.tests.world import small_rows
 from berylshift.version.rows import OrderCheck
+import contextlib
+import msgspec
+import trio
+import unittest
 
 NOTICE = 1.0
 LONGEST = 9.0
@@ -280,7 +285,7 @@
         async def task(world):
             await trio.sleep(20)
             stop, got = Stop(world), []
-            self.assertTrue(stop.app.pool_loop.held())
+            self.assertTrue(stop.app.pool_loop.held_pools())
 
             async def caller(ask):
                 world.platform.script.delay = 0.2
@@ -358,7 +363,7 @@
             stop = Stop(world, host=holder_of(world))
             for pool in stop.app.pool_loop._pools.values():
                 change = RoleChange("engine-1", Role.PREFILL, "test")
-                pool.desk.planner = OnePlanner(change)
+                pool.reconciler.planner = OneChangePlanner(change)
             slow_orders(stop.app)
             with trio.fail_after(60):
                 while "order/engine-1" not in world.platform.rows:
@@ -376,7 +381,9 @@
 
 def holder_of(world) -> str:
     """Return the name of the host that holds the lease of the world's pool."""
-    return next(name for name, host in world.hosts.items() if host.app.pool_loop.held())
+    return next(
+        name for name, host in world.hosts.items() if host.app.pool_loop.held_pools()
+    )
 
 
 def slow_orders(app) -> None:
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -18,7 +18,7 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
-from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
+from berylshift.process.directory.expected_phases import MAX_ORDERS_PER_DIGEST as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.gossip.collector import MOST_READS
 from berylshift.process.gossip.collector import READS_A_CRASH
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -1,20 +1,16 @@
 """Tests that usage is reported once and correctly under faults of hosts and store."""
 
-import unittest
-
-import trio
-
-from berylshift.messages.duties import DutyAnswer
+from berylshift.messages.leader_calls import DutyAnswer
 from berylshift.process.usage.windows import UsageWindows
-from berylshift.tests.duty_world import (
-    CUSTOMERS,
-    EPOCH,
-    DutyWorld,
-    broken_rules,
-    counts_of,
-)
 from berylshift.tests.support import run_virtual
 from berylshift.tests.usage_support import SCHEDULE
+from berylshift.tests.usage_world import CUSTOMERS
+from berylshift.tests.usage_world import DutyWorld
+from berylshift.tests.usage_world import EPOCH
+from berylshift.tests.usage_world import broken_rules
+from berylshift.tests.usage_world import counts_of
+import trio
+import unittest
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
@@ -134,7 +130,7 @@
             world.kill(holder)
             world.restore(30)
             for host in world.hosts:
-                host.eras.learn(world.rows.era, "own read")
+                host.eras.observe(world.rows.era, "own read")
             record_late_start(world, settled)
             world.duties.answers = []
             await trio.sleep(30)
@@ -197,7 +193,7 @@
             world.restore(seconds)
             for known in world.hosts:
                 if rng.random() < 0.5:
-                    known.eras.learn(world.leases.era, "another host")
+                    known.eras.observe(world.leases.era, "another host")
         elif kind in ("busy", "unknown"):
             answer = DutyAnswer.BUSY if kind == "busy" else DutyAnswer.UNKNOWN
             world.duties.answers = [answer] * rng.randint(1, 4)
