--- a/berylshift/process/directory/expected_phases.py
+++ b/berylshift/process/directory/expected_phases.py
@@ -4,13 +4,12 @@
 Until then hosts that did not know of the order would use an engine in its old phase.
 """
 
-from berylshift.ids import InstanceId
-from berylshift.messages.load_digest import PhaseUpdate
-from berylshift.messages.load_digest import target_hash
-from berylshift.messages.replicas import EnginePhase
-from berylshift.messages.replicas import Replica
 import msgspec
 
+from berylshift.ids import InstanceId
+from berylshift.messages.load_digest import PhaseUpdate, target_hash
+from berylshift.messages.replicas import EnginePhase, Replica
+
 # An unanswered order may take effect this much later, and an engine is unavailable for
 # some seconds while it changes: until then the order takes precedence over the entry.
 ORDER_PENDING_SECONDS = 15.0
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -1,9 +1,7 @@
 """What a collector tells: its domain's sums, and the sum of all hosts."""
 
-from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.load_digest import Scope
-from berylshift.process.gossip.digest_builder import DigestMaker
-from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.messages.load_digest import LoadDigest, Scope
+from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
 from berylshift.process.gossip.election import Election
 from berylshift.process.gossip.forwarded_reads import ForwardedReads
 from berylshift.process.gossip.host_list import HostList
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -6,21 +6,16 @@
 collectors tell each other their domains' sums, and each tells its hosts the sum of all.
 """
 
-from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.load_digest import LoadEntry
-from berylshift.messages.load_digest import Scope
-from berylshift.messages.load_digest import StoreStatus
-from berylshift.process.gossip.collector import COLLECTORS
-from berylshift.process.gossip.collector import Collecting
-from berylshift.process.gossip.digest_builder import DigestMaker
-from berylshift.process.gossip.digest_builder import DigestParts
-from berylshift.process.gossip.election import Election
-from berylshift.process.gossip.election import rank
-from berylshift.process.gossip.host_list import HostList
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import StrEnum
 
+from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreStatus
+from berylshift.process.gossip.collector import COLLECTORS, Collecting
+from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.process.gossip.election import Election, rank
+from berylshift.process.gossip.host_list import HostList
+
 # Shorter than the time in which a usual prompt is read: a queue is seen as it grows.
 TELL_SECONDS = 0.08
 # A digest of a dozen engines on the wire, with its headers, in bytes.
@@ -139,7 +134,9 @@
             self._heard_collector(digest, now)
         if self._collectors.holds:
             self._collecting.pass_on(digest, now)
-        return digest.store_status is not None and parts.watch.receive(digest.store_status)
+        return digest.store_status is not None and parts.watch.receive(
+            digest.store_status
+        )
 
     def _hear_usage(self, digest: LoadDigest) -> None:
         usage = self._parts.usage
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -6,22 +6,22 @@
 that prefilling the prefix again elsewhere is faster.
 """
 
-from berylshift.ids import DomainName
-from berylshift.ids import InstanceId
+import random
+from collections.abc import Iterable
+from enum import StrEnum
+from typing import Protocol
+
+import msgspec
+
+from berylshift.ids import DomainName, InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.target_load import TargetLoad
-from berylshift.process.targets.target_load import TargetLoads
+from berylshift.process.targets.target_load import TargetLoad, TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from collections.abc import Iterable
-from enum import StrEnum
-from typing import Protocol
-import msgspec
-import random
 
 # Shorter prefixes have no home engine: prefilling them again takes less time than a hop
 # to the home engine saves.
--- a/berylshift/request/relay_result.py
+++ b/berylshift/request/relay_result.py
@@ -1,10 +1,10 @@
 """Outcomes of routed requests."""
 
-from berylshift.request.request_timeout import TimeoutSource
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
 from enum import StrEnum
 
+from berylshift.request.request_timeout import TimeoutSource
+
 
 class RelayOutcome(StrEnum):
     """Outcome of a routed request."""
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -1,7 +1,6 @@
 """The replicas that one request may still be sent to."""
 
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+from berylshift.ids import InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
@@ -71,7 +70,7 @@
         return instance == reserved
 
     def check_not_throttled(self) -> None:
-        """Raise ``AllThrottledError`` if all decode engines that are left are throttled."""
+        """Raise ``AllThrottledError`` if all remaining decode engines are throttled."""
         throttle, now = self._parts.throttle, self._now()
         closed = set(throttle.closed(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().decode_engines]
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -1,11 +1,10 @@
 """Checks whether a target accepts connections."""
 
-from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
-from berylshift.targets import EngineClient
-from berylshift.targets import ServiceClient
-from berylshift.targets import TargetNotReachedError
 import trio
 
+from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
+from berylshift.targets import EngineClient, ServiceClient, TargetNotReachedError
+
 
 async def accepts_connections(
     client: EngineClient | ServiceClient, address: str
--- a/berylshift/tests/test_directory_store_watch.py
+++ b/berylshift/tests/test_directory_store_watch.py
@@ -1,14 +1,16 @@
 """When a host reads the store itself, and when other hosts' status is enough."""
 
-from berylshift.messages.load_digest import FeedStatus
-from berylshift.messages.load_digest import StoreStatus
-from berylshift.process.directory.store_watch import FEED_WAIT_FRACTION
-from berylshift.process.directory.store_watch import Feed
-from berylshift.process.directory.store_watch import MAX_STATUS_AGE_FRACTION
-from berylshift.process.directory.store_watch import MAX_UNREAD_SECONDS
-from berylshift.process.directory.store_watch import StoreWatch
 import unittest
 
+from berylshift.messages.load_digest import FeedStatus, StoreStatus
+from berylshift.process.directory.store_watch import (
+    FEED_WAIT_FRACTION,
+    MAX_STATUS_AGE_FRACTION,
+    MAX_UNREAD_SECONDS,
+    Feed,
+    StoreWatch,
+)
+
 BOUND_SECONDS = 4.0
 # The store's clock runs since its own start.
 STORE_AHEAD_MS = 500_000
@@ -84,7 +86,9 @@
     def test_an_answer_without_changes_advances_only_the_revision(self):
         self.now += 1.0
         self.watch.record_read(Feed.ROUTES, 25, self.store_ms(), False)
-        self.assertEqual(self.watch.status().routes, FeedStatus(10, 25, self.store_ms()))
+        self.assertEqual(
+            self.watch.status().routes, FeedStatus(10, 25, self.store_ms())
+        )
 
     def test_status_of_a_former_era_is_ignored(self):
         """The store was restored; a host that was suspended reports an old status.
--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -1,13 +1,14 @@
 """Many hosts hear of the store and of each other's work through few of them."""
 
-from berylshift.messages.load_digest import Urgency
-from berylshift.tests.multi_host_world import GatheredWorld
-from berylshift.tests.multi_host_world import Path
-from berylshift.tests.support import run_virtual
 import random
-import trio
 import unittest
 
+import trio
+
+from berylshift.messages.load_digest import Urgency
+from berylshift.tests.multi_host_world import GatheredWorld, Path
+from berylshift.tests.support import run_virtual
+
 # The time in which a change must be in force, and bytes a second: so few that thirty
 # hosts are gathered, as two hundred are by the usual budget.
 BOUND_SECONDS = 4.0
--- a/berylshift/tests/test_layout.py
+++ b/berylshift/tests/test_layout.py
@@ -1,9 +1,10 @@
 """Who may import whom among the rooms of ``process/``."""
 
-from pathlib import Path
 import ast
-import berylshift
 import unittest
+from pathlib import Path
+
+import berylshift
 
 PACKAGE = Path(berylshift.__file__).parent
 # What each room may import of the others. Those of the own interface still lean on each
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -1,28 +1,23 @@
 """Planned stops of hosts that serve the product's own interface."""
 
+import contextlib
+import unittest
+
+import msgspec
+import trio
+
 from berylshift.process.control.roles import RoleChange
 from berylshift.replay.virtual_fleet import HostDownError
-from berylshift.request.confirmation import ConfirmRow
-from berylshift.request.confirmation import PREFIX
-from berylshift.request.confirmation import RowState
+from berylshift.request.confirmation import PREFIX, ConfirmRow, RowState
 from berylshift.request.messages import Outcome
-from berylshift.settings import Credential
-from berylshift.settings import ShutdownSettings
+from berylshift.settings import Credential, ShutdownSettings
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.stand_ins.text import make_prompt
 from berylshift.targets import Role
-from berylshift.tests.support import FLEET
-from berylshift.tests.support import MODEL
+from berylshift.tests.support import FLEET, MODEL
 from berylshift.tests.test_process_pools import OneChangePlanner
-from berylshift.tests.world import call_service
-from berylshift.tests.world import plain_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
+from berylshift.tests.world import call_service, plain_call, run_world, small_rows
 from berylshift.version.rows import OrderCheck
-import contextlib
-import msgspec
-import trio
-import unittest
 
 NOTICE = 1.0
 LONGEST = 9.0
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -1,42 +1,45 @@
 """Routes in force, loads, shares of limits, and what other hosts tell."""
 
-from berylshift.connection.datagram_tag import BadDatagramError
-from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
-from berylshift.connection.datagram_tag import Tagger
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from berylshift.connection.datagram_tag import (
+    LARGEST_DATAGRAM,
+    BadDatagramError,
+    Tagger,
+)
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import Revision
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import BlockPrefill
-from berylshift.messages.load_digest import CrashReport
-from berylshift.messages.load_digest import FeedStatus
-from berylshift.messages.load_digest import LimitUpdate
-from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.load_digest import LoadEntry
-from berylshift.messages.load_digest import PhaseUpdate
-from berylshift.messages.load_digest import Scope
-from berylshift.messages.load_digest import StoreStatus
-from berylshift.messages.load_digest import Urgency
+from berylshift.messages.load_digest import (
+    BlockPrefill,
+    CrashReport,
+    FeedStatus,
+    LimitUpdate,
+    LoadDigest,
+    LoadEntry,
+    PhaseUpdate,
+    Scope,
+    StoreStatus,
+    Urgency,
+)
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
-from berylshift.process.directory.expected_phases import MAX_ORDERS_PER_DIGEST as MOST_PHASES
+from berylshift.process.directory.expected_phases import (
+    MAX_ORDERS_PER_DIGEST as MOST_PHASES,
+)
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.process.gossip.collector import MOST_READS
-from berylshift.process.gossip.collector import READS_A_CRASH
-from berylshift.process.gossip.peer_loads import LIFE_SECONDS
-from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.gossip.collector import MOST_READS, READS_A_CRASH
+from berylshift.process.gossip.peer_loads import LIFE_SECONDS, PeerLoads
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
 from berylshift.process.targets.limit_gossip import MOST_TOLD as MOST_LIMITS
-from berylshift.process.targets.target_load import SEVERE
-from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import MOST_KEPT
-from berylshift.process.targets.warm_parts import SHARED_ROOM
-from berylshift.process.targets.warm_parts import WarmParts
+from berylshift.process.targets.target_load import SEVERE, TargetLoads
+from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
 from berylshift.tests.entry_world import routes
 from berylshift.tests.support import EXPLORE
-from hypothesis import given
-from hypothesis import strategies as st
-import unittest
 
 
 class RouteHolderTest(unittest.TestCase):
