--- a/berylshift/messages/__init__.py
+++ b/berylshift/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages between the product and what speaks for it to the outside."""
+"""Typed messages between the core and the adapters for external protocols."""
--- a/berylshift/messages/routed.py
+++ b/berylshift/messages/routed.py
@@ -1,4 +1,4 @@
-"""A routed request and the answers of replicas, free of any platform's names."""
+"""A routed request and the responses of replicas, independent of a wire format."""
 
 from collections.abc import AsyncIterator
 from typing import Protocol
@@ -12,14 +12,14 @@
 
 
 class PromptBlock(msgspec.Struct, frozen=True):
-    """One part of a prompt; other requests may begin with the same parts."""
+    """One block of a prompt; prompts with the same leading blocks share a prefix."""
 
     id: PartId
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What a request asks an engine to read, and how much to write at most."""
+    """The prompt of a request, and the maximum number of output tokens."""
 
     blocks: tuple[PromptBlock, ...]
     tokens: int
@@ -27,40 +27,40 @@
 
     @property
     def prefix_blocks(self) -> tuple[PromptBlock, ...]:
-        """Return the parts that other requests may have too: all but the last."""
+        """Return the blocks that other requests may share: all but the last."""
         return self.blocks[:-1]
 
     @property
     def prefix_tokens(self) -> int:
-        """Return how many tokens the shared parts have."""
+        """Return the number of tokens in the prefix blocks."""
         return sum(block.tokens for block in self.prefix_blocks)
 
 
 class Body(Protocol):
-    """A request's body, which may still come while it is sent on."""
+    """A request's body, which may still be arriving while it is forwarded."""
 
     ended: bool
 
     def whole(self) -> bytes:
-        """Return what has come; the body, once it has ended."""
+        """Return the bytes received so far: the whole body once it has ended."""
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body from its start."""
+        """Yield the body in chunks, from its start."""
 
     def start(self, count: int) -> bytes | None:
-        """Return the first ``count`` bytes; ``None`` if more of them may come."""
+        """Return the first ``count`` bytes; ``None`` while some may still arrive."""
 
     async def wait_for_start(self, count: int) -> None:
-        """Wait until the first ``count`` bytes are there, or none come any more."""
+        """Wait until ``count`` bytes have been received or the body has ended."""
 
 
 class RoutedRequest(msgspec.Struct, frozen=True):
-    """A caller's request, checked; ``target`` is path and query as sent.
+    """A caller's request after validation; ``target`` is path and query as sent.
 
-    ``headers`` may be passed on as they are. ``seconds_left`` is how long the
-    caller waits, counted from the request's arrival. ``key`` is the customer's key
-    that the caller shows; ``None``: it shows none, or not as it should. ``customer`` is
-    set once a host has found whose key it is.
+    ``headers`` may be forwarded unchanged. ``seconds_left`` is how long the caller
+    waits, counted from the request's arrival. ``key`` is the API key that the caller
+    presents; ``None`` if it presents none or an ill-formed one. ``customer`` is set
+    once a host has identified the owner of the key.
     """
 
     id: RequestId
@@ -76,10 +76,10 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """How one send of a request differs from what the caller sent.
+    """How one attempt of a request differs from what the caller sent.
 
-    ``kv_source`` names a KV cache (``IP:PORT/HANDLE``) to go on from;
-    ``prefill_only`` asks an engine to read the prompt and keep it.
+    ``kv_source`` names a KV cache (``IP:PORT/HANDLE``) to decode from;
+    ``prefill_only`` asks an engine to prefill the prompt and hold its KV cache.
     """
 
     replica: ReplicaName
@@ -91,7 +91,7 @@
 
 
 class ReportedLoad(msgspec.Struct, frozen=True):
-    """Requests at a replica as it said itself."""
+    """The number of requests at a replica, as the replica reports it."""
 
     running: int
     waiting: int
@@ -99,11 +99,11 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """The head of a replica's answer.
+    """The head of a replica's response.
 
-    ``genuine``: it bears the replica's signature and no foreign encoding;
-    ``not_run``: the replica says that it did not run the request; ``keep_seconds``:
-    how long it keeps an idle connection, if it says so.
+    ``genuine``: it carries the replica's signature and no content encoding added on the
+    way; ``not_run``: the replica states that it did not run the request;
+    ``keep_seconds``: its keep-alive timeout for idle connections, if it states one.
     """
 
     status: int
@@ -117,12 +117,12 @@
 
 
 class FlowControl(msgspec.Struct, frozen=True):
-    """What a replica asks of its callers in an answer.
+    """The flow control in a replica's response.
 
-    ``rate_limit``: the requests a second that it takes from all hosts together;
-    ``None``: it names no limit. ``draining``: it takes no new request.
-    ``retry_after``: for so long it wants nothing of the host that it answers; 0: it
-    does not say so.
+    ``rate_limit``: the requests per second that it accepts from all hosts together;
+    ``None`` if it sets no limit. ``draining``: it accepts no new requests.
+    ``retry_after``: the seconds for which this host must not send it requests; 0 if it
+    sets none.
     """
 
     rate_limit: float | None = None
@@ -131,48 +131,48 @@
 
 
 class KvHandle(msgspec.Struct, frozen=True):
-    """A KV cache that an engine keeps after reading a prompt."""
+    """A KV cache that an engine holds after prefilling a prompt."""
 
     handle: str
     tokens: int = 0
 
 
 class ControlCall(msgspec.Struct, frozen=True):
-    """A call of an engine's own interface."""
+    """A call of an engine's native API."""
 
     path: bytes
     headers: tuple[Header, ...]
 
 
 class WireCodec(Protocol):
-    """How callers and replicas say these things on the wire."""
+    """Converts these messages from and to the wire format of callers and replicas."""
 
     def parse_request(
         self, method: bytes, target: bytes, headers: list[Header], body: Body
     ) -> RoutedRequest:
-        """Return a caller's request; raise ``BadRequestError``."""
+        """Parse a caller's request; raise ``BadRequestError``."""
 
     def strip_key(
         self, req: RoutedRequest, customer: CustomerName | None
     ) -> RoutedRequest:
-        """Return a request that names its customer to replicas, not its key.
+        """Return a request that names its customer to replicas instead of its key.
 
-        ``None``: it comes from no customer, whatever it says.
+        ``None`` means that it belongs to no customer, whatever its headers say.
         """
 
     def forward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
-        """Return the headers of one send."""
+        """Return the headers of one attempt."""
 
     def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
-        """Return the head of a replica's answer."""
+        """Parse the head of a replica's response."""
 
     def parse_flow_control(
         self, status: int, headers: list[Header]
     ) -> FlowControl | None:
-        """Return what an answer asks for; ``None``: another replica gave it."""
+        """Parse the flow control; ``None`` if the response is not the replica's own."""
 
     def parse_kv_handle(self, body: bytes) -> KvHandle | None:
-        """Return the KV cache of a prefill answer, ``None`` if it can't be read."""
+        """Parse the KV cache handle of a prefill response; ``None`` if malformed."""
 
     def kv_release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
-        """Return the call, a DELETE, that frees a KV cache."""
+        """Return the call (a DELETE) that releases a KV cache."""
--- a/berylshift/request/__init__.py
+++ b/berylshift/request/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one request: admission, choice, attempts, answer."""
+"""Request handling: admission, placement, attempts and responses."""
--- a/berylshift/request/candidate_pool.py
+++ b/berylshift/request/candidate_pool.py
@@ -1,7 +1,7 @@
-"""The targets that one fleet's work may go to, ready to be sampled.
+"""Pools of candidate targets, prepared for weighted sampling.
 
-Sampling costs the logarithm of the number of targets, so that a decision costs
-the same in a fleet of ten and of thousands.
+Sampling takes time logarithmic in the number of targets, so that a routing decision
+costs about the same in a fleet of ten as in one of thousands.
 """
 
 import random
@@ -20,10 +20,10 @@
 
 
 class CandidateSampler:
-    """Samples candidates by weight, or by a prompt's prefix."""
+    """Selects candidates by weight, by name or by a prompt's prefix."""
 
     def __init__(self, candidates: list[Candidate]):
-        """Prepare sampling; the candidates' weights are above 0."""
+        """Prepare for sampling; the candidates' weights must be above 0."""
         self.candidates = candidates
         self._by_name = {item.row.name: item for item in candidates}
         self._sums = list(accumulate(item.weight for item in candidates))
@@ -31,29 +31,32 @@
 
     @property
     def size(self) -> int:
-        """Return how many candidates there are."""
+        """Return the number of candidates."""
         return len(self.candidates)
 
     def sample(self, rng: random.Random, count: int) -> list[Candidate]:
-        """Return up to ``count`` different candidates, heavier ones more often."""
+        """Return up to ``count`` different candidates, drawn in proportion to weight.
+
+        A small set is returned whole, in random order.
+        """
         if count >= len(self.candidates):
-            # In a fixed order, ties would send every host to the first one.
+            # In a fixed order, every host would resolve ties to the first candidate.
             return rng.sample(self.candidates, len(self.candidates))
-        found: dict[str, Candidate] = {}
+        sampled: dict[str, Candidate] = {}
         for _ in range(3 * count):
-            place = bisect(self._sums, rng.random() * self._sums[-1])
-            item = self.candidates[min(place, len(self.candidates) - 1)]
-            found[item.row.target] = item
-            if len(found) == count:
+            position = bisect(self._sums, rng.random() * self._sums[-1])
+            item = self.candidates[min(position, len(self.candidates) - 1)]
+            sampled[item.row.target] = item
+            if len(sampled) == count:
                 break
-        return list(found.values())
+        return list(sampled.values())
 
     def by_name(self, name: TargetName) -> Candidate | None:
-        """Return the candidate of that name."""
+        """Return the candidate with a name, if there is one."""
         return self._by_name.get(name)
 
     def prefix_owner(self, prefix: int) -> Candidate | None:
-        """Return the candidate that a prefix belongs to."""
+        """Return the candidate that consistent hashing assigns to a prefix."""
         if not self.candidates:
             return None
         if self._ring is None:
@@ -69,11 +72,11 @@
     """The candidates of one fleet and one model or service, by role."""
 
     def __init__(self, candidates: list[Candidate], load: LoadView):
-        """Sort ``candidates`` by the roles that ``load`` knows."""
+        """Group ``candidates`` by the roles in ``load``."""
         by_role: dict[Role, list[Candidate]] = {role: [] for role in Role}
         for item in candidates:
-            plain = item.row.kind is RowKind.SERVICE
-            role = Role.MIXED if plain else load.role(item.row.name)
+            is_service = item.row.kind is RowKind.SERVICE
+            role = Role.MIXED if is_service else load.role(item.row.name)
             by_role[role].append(item)
         self.size = len(candidates)
         self.samplers = {
@@ -82,16 +85,16 @@
 
 
 class CandidatePoolCache:
-    """Pools of the table version in force, made when first asked for."""
+    """Pools for the current table version, created on first use."""
 
     def __init__(self, load: LoadView):
-        """Sort by the roles in ``load``."""
+        """Group candidates by the roles in ``load``."""
         self._load = load
         self._pools: dict[tuple[FleetName, WorkName], CandidatePool] = {}
         self._pools_versions: tuple[int, int] = (-1, -1)
 
     def get(self, table: Table, fleet: FleetName, work: WorkName) -> CandidatePool:
-        """Return the pool for a fleet's work."""
+        """Return the pool for a fleet's model or service."""
         current = (table.version, self._load.roles_version)
         if current != self._pools_versions:
             self._pools.clear()
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -1,4 +1,4 @@
-"""The log of routing decisions: a line each, and the last ones for ``explain``."""
+"""Logs routing decisions, and keeps recent ones for ``explain``."""
 
 import logging
 from collections import OrderedDict
@@ -15,39 +15,39 @@
 
 
 class DecisionLog:
-    """Writes and keeps decisions, by request."""
+    """Logs decisions and keeps them by request."""
 
     def __init__(self, clock: Clock, metrics: Metrics, max_requests: int):
-        """Keep the decisions of the last ``kept`` requests."""
+        """Keep the decisions of the last ``max_requests`` requests in memory."""
         self._clock = clock
         self._metrics = metrics
         self._max_requests = max_requests
         self._by_request: OrderedDict[RequestId, list[Decision]] = OrderedDict()
 
     def placed(self, request: RequestId, kind: str, plan: Plan) -> None:
-        """Note where an attempt goes."""
+        """Record where an attempt is sent."""
         reason = plan.reason
         if plan.prefill_on is not None:
             reason = f"{reason}; prefill on {plan.prefill_on.name}"
         self._add(request, kind, plan.target.name, reason, plan.estimates)
 
     def refused(self, request: RequestId, kind: str, refusal: Refusal) -> None:
-        """Note that a request finds no place."""
+        """Record that a request was refused."""
         no_target = TargetName("")
         self._add(request, kind, no_target, refusal.reason, refusal.estimates)
 
     def failed(self, request: RequestId, target: TargetName, fault: str) -> None:
-        """Note a failed attempt."""
+        """Record a failed attempt."""
         self._add(request, "failure", target, fault, [])
 
     def ended(self, request: RequestId, ending: Ending) -> None:
-        """Note how a request ended."""
+        """Record how a request ended."""
         self._metrics.incr(f"requests.{ending.outcome}")
         detail = f"{ending.outcome}: {ending.reason} {ending.detail}".rstrip()
         self._add(request, "ending", TargetName(""), detail, [])
 
     def explain(self, request: RequestId) -> list[Decision]:
-        """Return what is kept of a request."""
+        """Return the kept decisions of a request."""
         return self._by_request.get(request, [])
 
     def _add(
--- a/berylshift/request/errors.py
+++ b/berylshift/request/errors.py
@@ -2,8 +2,8 @@
 
 
 class RequestError(Exception):
-    """Any failure of a request that its caller is told of."""
+    """A failure of a request that is reported to its caller."""
 
 
 class BadRequestError(RequestError):
-    """The request can't be served as it stands; the text says why."""
+    """The request is invalid; the message says why."""
--- a/berylshift/request/fingerprint.py
+++ b/berylshift/request/fingerprint.py
@@ -1,7 +1,7 @@
-"""What tells that two tries are of the same request.
+"""Request fingerprints, which identify the attempts that repeat one request.
 
-Each try has an id of its own. A caller that comes again sends the same method, address,
-prompt and body, with the same credentials; ids and the time left differ.
+Each attempt has its own id. A caller that retries sends the same method, address,
+prompt and body with the same credentials; only ids and the remaining time differ.
 """
 
 from collections.abc import Iterable
@@ -11,67 +11,67 @@
 from berylshift.messages.fingerprint import HASH_BYTES, combine_hashes
 from berylshift.messages.routed import Prompt, RoutedRequest
 
-# Headers that say what is asked for and by whom.
+# Headers that identify the resource and the caller.
 IDENTITY_HEADERS = (b"host", b"authorization")
 SEPARATOR = b"\0"
-# Of a longer body the start has to do: to wait for its end would hold up its way.
+# Only the start of a longer body is hashed: waiting for its end would delay forwarding.
 MAX_HASHED_BODY_BYTES = 65536
 
 
 class RequestFingerprinter:
-    """Hashes requests under a key that all hosts share.
+    """Hashes requests with a key that all hosts share.
 
-    Without the key nobody can make up a request that looks like another caller's, to
-    have that one taken for the cause of a crash.
+    The key prevents a caller from forging a request with the fingerprint of another
+    caller's request, which would then be blamed for a crash.
     """
 
     def __init__(self) -> None:
-        """Start without a key: other hosts are not known yet either."""
+        """Start without a key; it is learned together with the other hosts."""
         self._key = b""
 
     def use_key(self, key: str) -> None:
-        """Hash under ``key`` from now on."""
+        """Hash with ``key`` from now on."""
         self._key = key.encode()[: blake2b.MAX_KEY_SIZE]
 
     def head_hash(self, req: RoutedRequest) -> int:
-        """Return the 32-bit hash of all but the body."""
-        return self._head(
-            (req.method, req.target, *_telling(req), _prompt_text(req.prompt))
+        """Return the 32-bit hash of everything but the body."""
+        return self._hash_fields(
+            (req.method, req.target, *_identity_fields(req), _prompt_text(req.prompt))
         )
 
     def of(self, req: RoutedRequest) -> Fingerprint | None:
-        """Return the fingerprint; ``None`` while too little of the body has come."""
+        """Return the fingerprint; ``None`` until enough of the body has arrived."""
         start = req.body.start(MAX_HASHED_BODY_BYTES)
         if start is None:
             return None
-        return combine_hashes(self.head_hash(req), self._body(start))
+        return combine_hashes(self.head_hash(req), self._hash_body(start))
 
     def fingerprint_call(self, fields: Iterable[str], body: bytes) -> Fingerprint:
-        """Return the fingerprint of a call that is there as a whole."""
-        head = self._head(field.encode() for field in fields)
-        return combine_hashes(head, self._body(body[:MAX_HASHED_BODY_BYTES]))
+        """Return the fingerprint of a call that has been received completely."""
+        head = self._hash_fields(field.encode() for field in fields)
+        return combine_hashes(head, self._hash_body(body[:MAX_HASHED_BODY_BYTES]))
 
-    def _head(self, fields: Iterable[bytes]) -> int:
-        found = self._hash()
+    def _hash_fields(self, fields: Iterable[bytes]) -> int:
+        hasher = self._new_hasher()
         for field in fields:
-            found.update(field)
-            found.update(SEPARATOR)
-        return int.from_bytes(found.digest())
+            hasher.update(field)
+            hasher.update(SEPARATOR)
+        return int.from_bytes(hasher.digest())
 
-    def _body(self, start: bytes) -> int:
-        found = self._hash()
-        found.update(start)
-        return int.from_bytes(found.digest())
+    def _hash_body(self, start: bytes) -> int:
+        hasher = self._new_hasher()
+        hasher.update(start)
+        return int.from_bytes(hasher.digest())
 
-    def _hash(self) -> blake2b:
+    def _new_hasher(self) -> blake2b:
         return blake2b(digest_size=HASH_BYTES, key=self._key)
 
 
-def _telling(req: RoutedRequest) -> list[bytes]:
-    found = [value for name, value in req.headers if name in IDENTITY_HEADERS]
+def _identity_fields(req: RoutedRequest) -> list[bytes]:
+    fields = [value for name, value in req.headers if name in IDENTITY_HEADERS]
     if req.customer is not None:
-        found.append(req.customer.encode())
-    return found
+        fields.append(req.customer.encode())
+    return fields
 
 
 def _prompt_text(prompt: Prompt | None) -> bytes:
--- a/berylshift/request/key_gate.py
+++ b/berylshift/request/key_gate.py
@@ -1,9 +1,9 @@
-"""Which customer a request comes from, and whether it may be served for that.
+"""API key authentication: the customer that a request belongs to.
 
-Answers callers that show no key, a key that nobody holds, or one that was taken away. A
-host whose routes are old can't tell a wrong key from a new one: it asks the caller to
-come back, since another host may know better, while nobody comes back after a denial.
-A key that it knows it goes on taking, unless the operators want it refused then.
+Requests are denied if they present no key, an unknown key or a revoked one. A host
+whose routes are stale cannot tell an invalid key from a new one. It asks the caller to
+retry, since another host may have newer routes and callers do not retry after a denial.
+It keeps accepting the keys that it knows, unless the operators have set an expiry.
 """
 
 from enum import StrEnum
@@ -17,20 +17,20 @@
 
 
 class KeyVerdict(StrEnum):
-    """What becomes of a request."""
+    """The result of authenticating a request."""
 
     ADMITTED = "admitted"
     NO_KEY = "no key"
     UNKNOWN_KEY = "unknown key"
-    # The routes are too old to tell whether the key holds.
+    # The routes are too old to tell whether the key is valid.
     STALE_ROUTES = "routes too old"
 
 
 class Admission(msgspec.Struct, frozen=True):
-    """A verdict; ``customer``: whose key it is.
+    """A verdict, and the customer that owns the key.
 
-    ``keyed`` says whether the routes know keys at all: if they do, what a caller says
-    of its key and customer goes no further.
+    ``keys_configured`` says whether the routes define keys at all. If they do, the key
+    and customer headers that a caller sent are not forwarded.
     """
 
     verdict: KeyVerdict
@@ -39,45 +39,52 @@
 
 
 class KeyGate:
-    """Judges requests by the routes in force; times in seconds."""
+    """Authenticates requests against the current routes."""
 
     def __init__(
-        self, routes: RouteHolder, in_force: float, expires: float | None = None
+        self,
+        routes: RouteHolder,
+        propagation_seconds: float,
+        key_expiry_seconds: float | None = None,
     ):
-        """Deny no key that may be newer than routes that are ``in_force`` s old.
+        """Set the limits on the age of the routes.
 
-        ``expires``: the age of routes at which known keys hold no more either;
-        ``None``: they hold on.
+        Unknown keys are denied only while the routes are at most
+        ``propagation_seconds`` old, because the key may be newer than the routes.
+        Known keys are not accepted once the routes are older than
+        ``key_expiry_seconds``; ``None`` means that they never expire.
         """
         self._routes = routes
-        self._in_force = in_force
-        self._expires = expires
+        self._propagation_seconds = propagation_seconds
+        self._key_expiry_seconds = key_expiry_seconds
 
     def admit(self, req: RoutedRequest, route: Route, now: float) -> Admission:
-        """Return whether and for whom a request is served."""
+        """Return whether a request is served, and for which customer."""
         table = self._routes.table
         customers = None if table is None else table.customers
         if customers is None:
             return Admission(KeyVerdict.ADMITTED, keys_configured=False)
-        holder = None if req.key is None else customers.holder(req.key)
+        owner = None if req.key is None else customers.holder(req.key)
         if route.public:
-            return Admission(KeyVerdict.ADMITTED, holder)
+            return Admission(KeyVerdict.ADMITTED, owner)
         if req.key is None:
             return Admission(KeyVerdict.NO_KEY)
-        if holder is None:
-            is_old = self._is_older(self._in_force, now)
+        if owner is None:
+            is_old = self._is_older(self._propagation_seconds, now)
             return Admission(
                 KeyVerdict.STALE_ROUTES if is_old else KeyVerdict.UNKNOWN_KEY
             )
-        if self._expires is not None and self._is_older(self._expires, now):
+        if self._key_expiry_seconds is not None and self._is_older(
+            self._key_expiry_seconds, now
+        ):
             return Admission(KeyVerdict.STALE_ROUTES)
-        return Admission(KeyVerdict.ADMITTED, holder)
+        return Admission(KeyVerdict.ADMITTED, owner)
 
     def is_still_authorized(self, req: RoutedRequest, route: Route) -> bool:
-        """Return whether a request that was admitted would be admitted now.
+        """Return whether an admitted request would still be admitted now.
 
-        Between its arrival and a send it may have waited while its key was taken away,
-        or given to another customer.
+        Its key may have been revoked or given to another customer while the request
+        was waiting to be sent.
         """
         table = self._routes.table
         customers = None if table is None else table.customers
@@ -85,8 +92,8 @@
             return True
         if req.key is None or req.customer is None:
             return False
-        holder = customers.holder(req.key)
-        return holder is not None and holder.name == req.customer
+        owner = customers.holder(req.key)
+        return owner is not None and owner.name == req.customer
 
     def _is_older(self, seconds: float, now: float) -> bool:
         age = self._routes.age(now)
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -1,4 +1,4 @@
-"""Messages of a request: what callers ask and what they are told."""
+"""Requests of the native API and their outcomes."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -21,7 +21,7 @@
 
 
 class Outcome(StrEnum):
-    """The one outcome of a request."""
+    """The outcome of a request."""
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -29,7 +29,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request ended other than complete, or was placed as it was."""
+    """Why a request did not complete; the values are sent to callers."""
 
     OK = "ok"
     BAD_REQUEST = "bad request"
@@ -51,14 +51,14 @@
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """Who asks."""
+    """The caller's customer and fleet."""
 
     customer: CustomerName
     fleet: FleetName
 
 
 class ModelCall(msgspec.Struct, frozen=True):
-    """A completion to make; ``deadline`` in monotonic seconds."""
+    """A completion request; ``deadline`` in monotonic seconds."""
 
     request: RequestId
     caller: Caller
@@ -95,7 +95,7 @@
 
 
 class PlainEnding(msgspec.Struct, frozen=True):
-    """How a plain call ended, with the service's answer when there is one."""
+    """How a call to a plain service ended, with the response if there is one."""
 
     ending: Ending
     status: int = 0
@@ -104,14 +104,14 @@
 
 
 class AnswerSink(Protocol):
-    """Where the text of an answer goes as it comes."""
+    """Receives the text of a response while it is generated."""
 
     async def text(self, text: str) -> None:
-        """Pass some text on; waits while the caller reads slowly."""
+        """Forward a piece of text; waits while the caller reads slowly."""
 
 
 class CandidateEstimate(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A candidate of a decision with its figures; times in seconds."""
+    """The predictions for one candidate of a decision; times in seconds."""
 
     target: TargetName
     first_token: float = 0.0
@@ -123,7 +123,7 @@
 
 
 class Decision(msgspec.Struct, frozen=True, omit_defaults=True):
-    """One routing decision, as it is logged and explained."""
+    """One routing decision, as logged and as returned by ``explain``."""
 
     request: RequestId
     at: float
--- a/berylshift/request/refusals.py
+++ b/berylshift/request/refusals.py
@@ -1,4 +1,4 @@
-"""Answers of this process's own: what callers are told that get no replica's answer."""
+"""Refusals: responses of the host itself, sent instead of a replica's response."""
 
 import random
 
@@ -13,17 +13,17 @@
 STATUS_BAD_GATEWAY = 502
 STATUS_UNAVAILABLE = 503
 STATUS_GATEWAY_TIMEOUT = 504
-# Which scheme a key is shown by (RFC 9110, section 11.6.1).
+# The authentication scheme for keys (RFC 9110, section 11.6.1).
 AUTH_CHALLENGE: Header = (b"www-authenticate", b"Bearer")
 PROBLEM_TYPE: Header = (b"content-type", b"application/problem+json")
-# When a caller whose request was not run may come back, in seconds: replicas free
-# their slots within tens of milliseconds, and the spread keeps returns apart.
+# Retry delay for a request that was not run: replicas free their slots within tens of
+# milliseconds, and the spread keeps the retries of many callers apart.
 MIN_RETRY_AFTER_SECONDS = 0.1
 MAX_RETRY_AFTER_SECONDS = 0.4
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """An answer of this process's own; ``again``: seconds after which to return."""
+    """A refusal; ``retry_after`` is the delay in seconds before a retry."""
 
     status: int
     title: str
@@ -33,7 +33,7 @@
 def retry_later(title: str, rng: random.Random, wait: float = 0.0) -> Refusal:
     """Return the refusal of a request that has not run.
 
-    Its caller may come back after ``wait`` seconds and a little more.
+    Its caller may retry after ``wait`` seconds plus a short random delay.
     """
     retry_after = max(0.0, wait) + rng.uniform(
         MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -1,4 +1,4 @@
-"""A call to a plain service that may be repeated."""
+"""A call to a plain service that is retried on other replicas."""
 
 from berylshift.clock import Clock
 from berylshift.ids import AttemptId
@@ -13,10 +13,10 @@
 
 
 class RetryableCall:
-    """One call, sent again elsewhere while that is allowed."""
+    """One call, retried on other replicas while the retry rules allow it."""
 
     def __init__(self, sender: PlainSend, call: PlainCall, budget: Budget):
-        """Send ``call`` by ``sender``."""
+        """Send ``call`` with ``sender``."""
         self._sender = sender
         self._call = call
         self._budget = budget
@@ -27,23 +27,23 @@
         self._answer: ServiceAnswer | None = None
 
     async def run(self) -> PlainEnding:
-        """Return how the call ended."""
+        """Run the call and return how it ended."""
         end = await send_until_done(
             self, ATTEMPT_BOUNDS, self._history, self._budget, self._clock
         )
         if self._answer is not None:
-            found = self._answer
-            done = Ending(Outcome.COMPLETE)
-            return PlainEnding(done, found.status, found.headers, found.body)
+            answer = self._answer
+            ending = Ending(Outcome.COMPLETE)
+            return PlainEnding(ending, answer.status, answer.headers, answer.body)
         return PlainEnding(self._failed(end))
 
     def shutdown_ending(self) -> PlainEnding:
-        """Return how the call ended where the process ends sooner than it."""
+        """Return how the call ended if the process stops before it completes."""
         outcome = self._history.outcome
         return PlainEnding(Ending(outcome, Reason.DRAINING, "", RETRY_AFTER_SECONDS))
 
     async def send(self) -> Sent | None:
-        """Send once, to a replica that has not failed yet."""
+        """Make one attempt, on a replica that has not failed this call yet."""
         placed = self._sender.held_back(self._crash_watch) or self._sender.place(
             self._call, targets_excluded(self._history)
         )
@@ -54,24 +54,24 @@
         attempt = AttemptId(f"{self._call.request}.{number}")
         self._history.open = True
         watch = self._crash_watch
-        found = await self._sender.run(placed, self._call, attempt, watch)
+        result = await self._sender.run(placed, self._call, attempt, watch)
         self._history.open = False
-        self._answer = found.answer
-        return Sent(placed.target.name, found.end)
+        self._answer = result.answer
+        return Sent(placed.target.name, result.end)
 
     def is_late(self) -> bool:
-        """Return whether the caller's time is over."""
+        """Return whether the caller's deadline has passed."""
         return self._clock.monotonic() >= self._call.deadline
 
     def must_finish(self) -> bool:
-        """Return that nothing of the answer has been passed on."""
+        """Return ``False``: no part of the response has been passed on yet."""
         return False
 
     def _failed(self, end: LoopEnd) -> Ending:
         outcome = self._history.outcome
         if end is LoopEnd.NO_PLACE and self._refusal is not None:
-            found = self._refusal
-            return Ending(outcome, found.reason, found.detail, found.retry_after)
-        spent = end is LoopEnd.NO_BUDGET
-        reason = Reason.RETRIES_SPENT if spent else Reason.TARGET_FAILED
+            refusal = self._refusal
+            return Ending(outcome, refusal.reason, refusal.detail, refusal.retry_after)
+        budget_spent = end is LoopEnd.NO_BUDGET
+        reason = Reason.RETRIES_SPENT if budget_spent else Reason.TARGET_FAILED
         return Ending(outcome, reason, "", RETRY_AFTER_SECONDS)
--- a/berylshift/request/router.py
+++ b/berylshift/request/router.py
@@ -1,4 +1,4 @@
-"""The choice of a target for a request, and its refusal where none will do."""
+"""Routing: chooses a target for a request, or refuses the request."""
 
 import random
 from dataclasses import dataclass, replace
@@ -31,16 +31,23 @@
 from berylshift.version.rows import Row
 from berylshift.version.table import Candidate, Table
 
+# Candidates drawn at first, and again if none of those can meet the deadline.
 INITIAL_SAMPLE_SIZE = 2
 FULL_SAMPLE_SIZE = 8
+# Cost of a prefill to the engine's other streams, as a multiple of its own time.
 PREFILL_COST_FACTOR = 8.0
+# Share by which the predicted end is reduced on the prefix's owner.
 PREFIX_OWNER_BONUS = 0.2
 MIN_RETRY_AFTER_SECONDS = 1.0
 MAX_RETRY_AFTER_SECONDS = 30.0
 
 
 class WorkItem(msgspec.Struct, frozen=True):
-    """What is to be placed; sizes in tokens, ``remaining`` seconds to the deadline."""
+    """A request to place; ``remaining_seconds`` is the time to its deadline.
+
+    Targets in ``exclude`` are not used; ``prefer`` is tried first. With ``must_place``
+    it is placed even if its deadline cannot be met.
+    """
 
     request: RequestId
     customer: CustomerName
@@ -57,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Where a request goes; with ``prefill_on`` its prefill is done there first."""
+    """Where a request goes; with ``prefill_on`` it is prefilled there first."""
 
     target: Row
     prediction: Prediction
@@ -71,7 +78,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a request is not placed, and when to come back (seconds)."""
+    """Why a request is not placed, and the seconds after which to retry."""
 
     reason: Reason
     retry_after: float
@@ -87,7 +94,7 @@
 
 @dataclass
 class RoutingContext:
-    """What all routers look at."""
+    """The state that all routers use."""
 
     load: LoadView
     health: Health
@@ -98,63 +105,67 @@
     rng: random.Random
 
     def __post_init__(self) -> None:
-        """Prepare the pools."""
+        """Create the pool cache."""
         self.pools = CandidatePoolCache(self.load)
 
-    def usable(self, found: Candidate, item: WorkItem, now: float) -> bool:
-        """Return whether a candidate may take this item now."""
-        name = found.row.name
+    def usable(self, candidate: Candidate, item: WorkItem, now: float) -> bool:
+        """Return whether a candidate may be sent this item now."""
+        name = candidate.row.name
         if name in item.exclude or self.plans.is_moving(name):
             return False
         if not self.health.usable(name, now):
             return False
-        if not found.limit:
+        if not candidate.limit:
             return True
-        return self.load.fleet_streams(name, item.fleet, now) < found.limit
+        return self.load.fleet_streams(name, item.fleet, now) < candidate.limit
 
     def prefill_inflow(self, pool: CandidatePool, work: WorkName, now: float) -> float:
-        """Return what each engine of a pool gets to prefill, in tokens a second."""
-        takers = pool.samplers[Role.MIXED].size + pool.samplers[Role.PREFILL].size
-        return self.meter.total(PoolName(work), now).prefill_rate / max(1, takers)
+        """Return the prefill demand on each engine of a pool, in tokens per second."""
+        engines = pool.samplers[Role.MIXED].size + pool.samplers[Role.PREFILL].size
+        return self.meter.total(PoolName(work), now).prefill_rate / max(1, engines)
 
     def sample(
         self, sampler: CandidateSampler, item: WorkItem, count: int, now: float
     ) -> list[Candidate]:
-        """Return up to ``count`` usable candidates, and the prefix's own."""
+        """Return usable candidates: up to ``count``, and the prefix's owner."""
         drawn = sampler.sample(self.rng, count)
         if item.prefixes:
             prefix_owner = sampler.prefix_owner(item.prefixes[0][1])
             if prefix_owner is not None and prefix_owner not in drawn:
                 drawn.append(prefix_owner)
-        usable = [found for found in drawn if self.usable(found, item, now)]
+        usable = [candidate for candidate in drawn if self.usable(candidate, item, now)]
         if usable:
             return usable
-        # All that were drawn are out: look at every one, which is rare.
-        rest = [found for found in sampler.candidates if self.usable(found, item, now)]
+        # Rare: none of the sample is usable, so check every candidate.
+        rest = [
+            candidate
+            for candidate in sampler.candidates
+            if self.usable(candidate, item, now)
+        ]
         return rest[:count]
 
 
 def no_target(pool: CandidatePool) -> Refusal:
-    """Return the refusal of a pool none of whose targets is usable."""
+    """Return the refusal for a pool without a usable target."""
     if not pool.size:
         return Refusal(Reason.NO_TARGET, MAX_RETRY_AFTER_SECONDS)
     return Refusal(Reason.AT_LIMIT, MIN_RETRY_AFTER_SECONDS)
 
 
 class LeastLateness:
-    """Chooses the least predicted end among few samples, and refuses late ones."""
+    """Chooses the earliest predicted end in a small sample; refuses late requests."""
 
     def __init__(self, context: RoutingContext, slack: float, prefill_rate: float):
-        """Refuse what is predicted to take over ``slack`` times the time left.
+        """Refuse requests predicted to take over ``slack`` times the time left.
 
-        ``prefill_rate`` is an engine's, in tokens a second.
+        ``prefill_rate`` is the rate of one engine, in tokens per second.
         """
         self._context = context
         self._slack = slack
         self._prefill_rate = prefill_rate
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
-        """Return the plan with the least predicted end."""
+        """Return the plan with the lowest score: predicted end plus side cost."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         resume_plan = self._resume_plan(pool, item, now)
         if resume_plan is not None:
@@ -174,25 +185,25 @@
     def _resume_plan(
         self, pool: CandidatePool, item: WorkItem, now: float
     ) -> Plan | None:
-        """Return the plan to resume on the engine that holds the prompt."""
+        """Return the plan to resume on the engine that still holds the KV cache."""
         if item.prefer is None:
             return None
-        found = pool.samplers[Role.MIXED].by_name(item.prefer)
-        if found is None or not self._context.usable(found, item, now):
+        candidate = pool.samplers[Role.MIXED].by_name(item.prefer)
+        if candidate is None or not self._context.usable(candidate, item, now):
             return None
         inflow = self._context.prefill_inflow(pool, item.work, now)
         return _with_reason(
-            self._single_engine_plan(found, item, inflow, None, now),
+            self._single_engine_plan(candidate, item, inflow, None, now),
             [],
             "resume on the same engine",
         )
 
     def _score(self, plan: Plan, item: WorkItem) -> float:
-        """Return a plan's predicted end plus what its prefill costs the others.
+        """Return a plan's predicted end plus what its prefill costs other streams.
 
-        Prefill holds up every stream of a mixed engine. The prefix's own engine
-        gets a small bonus, so that a prefix that is cached nowhere yet is not
-        prefilled on each engine in turn.
+        Prefill stalls every stream of a mixed engine. The prefix's owner gets a small
+        bonus, so that a prefix that is not cached anywhere yet is not prefilled on one
+        engine after another.
         """
         blocked_seconds = PREFILL_COST_FACTOR * plan.prefill_tokens / self._prefill_rate
         end = plan.prediction.end + blocked_seconds
@@ -211,8 +222,8 @@
             sampler.prefix_owner(item.prefixes[0][1]) if item.prefixes else None
         )
         plans = [
-            self._single_engine_plan(found, item, inflow, prefix_owner, now)
-            for found in mixed
+            self._single_engine_plan(candidate, item, inflow, prefix_owner, now)
+            for candidate in mixed
         ]
         if prefill and decode:
             plans.append(self._disaggregated_plan(prefill, decode, item, now))
@@ -220,26 +231,26 @@
 
     def _single_engine_plan(
         self,
-        found: Candidate,
+        candidate: Candidate,
         item: WorkItem,
         inflow: float,
         prefix_owner: Candidate | None,
         now: float,
     ) -> Plan:
         context = self._context
-        name = found.row.name
+        name = candidate.row.name
         load = context.load.estimate(name, now)
         cached = context.prefixes.cached_tokens(name, item.prefixes)
         prefill = max(1, item.prompt_tokens - cached)
         prediction = context.cost.predict(load, prefill, item.output_tokens, inflow)
         return Plan(
-            found.row,
+            candidate.row,
             prediction,
             prefill,
             [],
             "",
             output_tokens=item.output_tokens,
-            is_prefix_owner=found is prefix_owner,
+            is_prefix_owner=candidate is prefix_owner,
             load=load,
         )
 
@@ -250,18 +261,18 @@
         item: WorkItem,
         now: float,
     ) -> Plan:
-        """Return the best plan of prefill on one engine and decode on another."""
+        """Return the best plan to prefill on one engine and decode on another."""
         cost = self._context.cost
-        first = min(
-            (self._prefill_estimate(found, item, now) for found in prefill),
-            key=lambda part: part[1],
+        best_prefill = min(
+            (self._prefill_estimate(candidate, item, now) for candidate in prefill),
+            key=lambda estimate: estimate[1],
         )
-        source, ready, tokens = first
+        source, ready, tokens = best_prefill
         ready += cost.transfer_seconds(item.prompt_tokens)
         ends = [
-            (cost.decode_seconds(load, item.output_tokens, 0.0), found.row, load)
-            for found in decode
-            for load in [self._context.load.estimate(found.row.name, now)]
+            (cost.decode_seconds(load, item.output_tokens, 0.0), candidate.row, load)
+            for candidate in decode
+            for load in [self._context.load.estimate(candidate.row.name, now)]
         ]
         seconds, target, load = min(ends, key=lambda end: end[0])
         prediction = Prediction(ready, ready + seconds)
@@ -277,13 +288,13 @@
         )
 
     def _prefill_estimate(
-        self, found: Candidate, item: WorkItem, now: float
+        self, candidate: Candidate, item: WorkItem, now: float
     ) -> tuple[Candidate, float, int]:
-        name = found.row.name
+        name = candidate.row.name
         cached = self._context.prefixes.cached_tokens(name, item.prefixes)
         tokens = max(1, item.prompt_tokens - cached)
         load = self._context.load.estimate(name, now)
-        return found, self._context.cost.prefill_seconds(load, tokens), tokens
+        return candidate, self._context.cost.prefill_seconds(load, tokens), tokens
 
 
 def _estimate_of(plan: Plan) -> CandidateEstimate:
@@ -302,25 +313,25 @@
 
 
 class ReplicaChooser:
-    """Chooses a replica of a plain service: the less busy of two samples."""
+    """Chooses a replica of a plain service: the less busy of two random ones."""
 
     def __init__(self, context: RoutingContext):
-        """Look at the loads in ``know``."""
+        """Use the loads in ``context``."""
         self._context = context
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
-        """Return the replica with the least open work for its weight."""
+        """Return the sampled replica with the fewest open calls for its weight."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         sampler = pool.samplers[Role.MIXED]
         drawn = self._context.sample(sampler, item, INITIAL_SAMPLE_SIZE, now)
         if not drawn:
             return Failure(no_target(pool))
         estimates = [
-            CandidateEstimate(found.row.name, streams=load.streams)
-            for found in drawn
-            for load in [self._context.load.estimate(found.row.name, now)]
+            CandidateEstimate(candidate.row.name, streams=load.streams)
+            for candidate in drawn
+            for load in [self._context.load.estimate(candidate.row.name, now)]
         ]
         loads = zip(estimates, drawn, strict=True)
         _, best = min(loads, key=lambda pair: (pair[0].streams + 1) / pair[1].weight)
-        nothing = Prediction(0.0, 0.0)
-        return Success(Plan(best.row, nothing, 0, estimates, "least open work"))
+        no_prediction = Prediction(0.0, 0.0)
+        return Success(Plan(best.row, no_prediction, 0, estimates, "least open work"))
--- a/berylshift/request/router_baselines.py
+++ b/berylshift/request/router_baselines.py
@@ -1,4 +1,4 @@
-"""The baselines that the placement is compared with."""
+"""Baseline routers for comparison with ``LeastLateness``."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 
 
 class RoundRobin:
-    """Baseline: each target in turn."""
+    """Baseline: chooses the targets in turn."""
 
     def __init__(self, context: RoutingContext):
         """Start with the first target."""
@@ -28,15 +28,15 @@
         self._turn += 1
         return _place(self._context, pool, item, now, self._next)
 
-    def _next(self, found: list[Candidate]) -> Candidate:
-        return found[self._turn % len(found)]
+    def _next(self, candidates: list[Candidate]) -> Candidate:
+        return candidates[self._turn % len(candidates)]
 
 
 class LeastReported:
-    """Baseline: the least load by the last report, with nothing added."""
+    """Baseline: chooses the least load in the last reports, without estimates."""
 
     def __init__(self, context: RoutingContext):
-        """Look at the reports in ``know``."""
+        """Use the reports in ``context``."""
         self._context = context
 
     def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
@@ -44,8 +44,8 @@
         pool = self._context.pools.get(table, item.fleet, item.work)
         return _place(self._context, pool, item, now, self._least)
 
-    def _least(self, found: list[Candidate]) -> Candidate:
-        return min(found, key=lambda candidate: self._reported(candidate.row.name))
+    def _least(self, candidates: list[Candidate]) -> Candidate:
+        return min(candidates, key=lambda candidate: self._reported(candidate.row.name))
 
     def _reported(self, name: TargetName) -> tuple[int, int]:
         report = self._context.load.report(name)
@@ -57,23 +57,25 @@
 def _place(
     context: RoutingContext, pool: CandidatePool, item: WorkItem, now: float, pick: Pick
 ) -> Result[Plan, Refusal]:
-    """Place an item by ``pick`` in each role that it needs."""
+    """Place an item with ``pick`` in each role that it needs."""
     usable = {
-        role: [c for c in sampler.candidates if context.usable(c, item, now)]
+        role: [cand for cand in sampler.candidates if context.usable(cand, item, now)]
         for role, sampler in pool.samplers.items()
     }
-    unknown = Prediction(0.0, 0.0)
+    no_prediction = Prediction(0.0, 0.0)
     split = usable[Role.PREFILL] and usable[Role.DECODE]
     if usable[Role.MIXED] and not (
         split and context.rng.random() < _split_share(usable)
     ):
         row = pick(usable[Role.MIXED]).row
-        return Success(Plan(row, unknown, item.prompt_tokens, [], "baseline"))
+        return Success(Plan(row, no_prediction, item.prompt_tokens, [], "baseline"))
     if not split:
         return Failure(no_target(pool))
     source = pick(usable[Role.PREFILL]).row
     row = pick(usable[Role.DECODE]).row
-    plan = Plan(row, unknown, item.prompt_tokens, [], "baseline", prefill_on=source)
+    plan = Plan(
+        row, no_prediction, item.prompt_tokens, [], "baseline", prefill_on=source
+    )
     return Success(plan)
 
 
--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which tries count as the same request."""
+"""Which attempts count as the same request."""
 
 import unittest
 
@@ -15,21 +15,21 @@
 
 
 def make_request(
-    body: bytes = b"hello", target: bytes = b"/note/x", **more
+    body: bytes = b"hello", target: bytes = b"/note/x", **fields
 ) -> RoutedRequest:
-    """Return a request as a host reads it."""
+    """Return a request as a host parses it."""
     headers = [
-        (b"host", more.pop("host", b"shop.example")),
-        (names.ATTEMPT_ID, more.pop("request", b"r1")),
-        (names.TIME_LEFT_MS, more.pop("left_ms", b"3000")),
-        *more.pop("headers", prompt_headers()),
+        (b"host", fields.pop("host", b"shop.example")),
+        (names.ATTEMPT_ID, fields.pop("request", b"r1")),
+        (names.TIME_LEFT_MS, fields.pop("left_ms", b"3000")),
+        *fields.pop("headers", prompt_headers()),
     ]
-    language = PlatformCodec()
-    return language.parse_request(b"POST", target, headers, RequestBody.of(body))
+    codec = PlatformCodec()
+    return codec.parse_request(b"POST", target, headers, RequestBody.of(body))
 
 
 class FingerprintTest(unittest.TestCase):
-    """The same path, caller and body make the same request."""
+    """Requests with the same path, caller and body have the same fingerprint."""
 
     def setUp(self):
         self.fingerprinter = RequestFingerprinter()
@@ -37,8 +37,8 @@
         self.first = self.fingerprinter.of(make_request())
 
     def test_ids_and_times_do_not_matter(self):
-        again = make_request(request=b"r2", left_ms=b"1200")
-        self.assertEqual(self.fingerprinter.of(again), self.first)
+        retry = make_request(request=b"r2", left_ms=b"1200")
+        self.assertEqual(self.fingerprinter.of(retry), self.first)
 
     def test_a_resumed_stream_is_the_same_request(self):
         headers = (*prompt_headers(), (names.LAST_EVENT_ID, b"7"))
@@ -46,8 +46,8 @@
             self.fingerprinter.of(make_request(headers=headers)), self.first
         )
 
-    def test_what_is_asked_for_and_by_whom_matters(self):
-        others = (
+    def test_the_resource_and_the_caller_matter(self):
+        variants = (
             make_request(body=b"hullo"),
             make_request(target=b"/note/y"),
             make_request(target=b"/note/x?page=2"),
@@ -55,32 +55,32 @@
             make_request(headers=prompt_headers(part="b2")),
             make_request(headers=(*prompt_headers(), (b"authorization", b"Bearer b"))),
         )
-        found = {self.fingerprinter.of(req) for req in others}
-        self.assertEqual(len(found | {self.first}), 7)
+        fingerprints = {self.fingerprinter.of(req) for req in variants}
+        self.assertEqual(len(fingerprints | {self.first}), 7)
 
-    def test_none_while_the_body_still_comes(self):
+    def test_none_while_the_body_is_arriving(self):
         body = RequestBody(5)
         body.add(b"he")
         req = RoutedRequest(RequestId("r1"), b"POST", b"/note/x", (), body)
         self.assertIsNone(self.fingerprinter.of(req))
         self.assertIsNone(fingerprint_hex(None))
 
-    def test_the_start_of_a_long_body_does(self):
-        """Its head is known before: a request that begins alike may be held back."""
+    def test_the_start_of_a_long_body_is_enough(self):
+        """The head hash is known earlier, to quarantine requests with the same head."""
         long = b"x" * MAX_HASHED_BODY_BYTES
-        whole, coming = (
+        whole, arriving = (
             make_request(body=long + b"end"),
             RequestBody(2 * MAX_HASHED_BODY_BYTES),
         )
-        coming.add(long)
-        partly = msgspec.structs.replace(whole, body=coming)
-        self.assertEqual(self.fingerprinter.of(partly), self.fingerprinter.of(whole))
+        arriving.add(long)
+        partial = msgspec.structs.replace(whole, body=arriving)
+        self.assertEqual(self.fingerprinter.of(partial), self.fingerprinter.of(whole))
         self.assertEqual(
             head_hash_of(self.fingerprinter.of(whole)),
             self.fingerprinter.head_hash(whole),
         )
 
-    def test_nobody_without_the_key_can_tell_them_beforehand(self):
-        others = RequestFingerprinter()
-        others.use_key("another key")
-        self.assertNotEqual(others.of(make_request()), self.first)
+    def test_fingerprints_cannot_be_predicted_without_the_key(self):
+        other = RequestFingerprinter()
+        other.use_key("another key")
+        self.assertNotEqual(other.of(make_request()), self.first)
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -1,4 +1,4 @@
-"""Where requests go on that ran on a replica as it ended."""
+"""Retries of suspect requests, which ran on a replica when it crashed."""
 
 import unittest
 
@@ -27,53 +27,56 @@
     ]
 
 
-class SetAsideTest(unittest.TestCase):
-    """Which replicas suspects may go to."""
+class IsolationReplicasTest(unittest.TestCase):
+    """The replicas that suspect requests may be sent to."""
 
-    def test_they_are_few_and_never_all(self):
-        """Guards against several suspects that end all replicas at once."""
+    def test_isolation_replicas_are_few_and_never_all(self):
+        """Guards against several suspects that crash all replicas at once."""
         for count in range(2, 81):
-            aside = isolation_replicas(replicas(count))
+            isolated = isolation_replicas(replicas(count))
             self.assertLessEqual(
-                len(aside), max(1, count // REPLICAS_PER_ISOLATION_REPLICA)
+                len(isolated), max(1, count // REPLICAS_PER_ISOLATION_REPLICA)
             )
-            self.assertLess(len(aside), count)
-            self.assertTrue(aside)
+            self.assertLess(len(isolated), count)
+            self.assertTrue(isolated)
 
     def test_all_hosts_choose_alike(self):
-        found = replicas(20)
-        self.assertEqual(isolation_replicas(found), isolation_replicas(found[::-1]))
+        listed = replicas(20)
+        self.assertEqual(isolation_replicas(listed), isolation_replicas(listed[::-1]))
 
-    def test_the_last_of_several_is_known(self):
-        found = replicas(3)
-        left = remaining_replicas(found, [found[0].instance, found[1].instance])
-        self.assertTrue(is_last_remaining(left, found))
-        self.assertFalse(is_last_remaining(found[:1], found[:1]))
-        self.assertFalse(is_last_remaining(found[:2], found))
+    def test_the_last_of_several_is_detected(self):
+        listed = replicas(3)
+        remaining = remaining_replicas(listed, [listed[0].instance, listed[1].instance])
+        self.assertTrue(is_last_remaining(remaining, listed))
+        self.assertFalse(is_last_remaining(listed[:1], listed[:1]))
+        self.assertFalse(is_last_remaining(listed[:2], listed))
 
 
-class EndedTest(unittest.TestCase):
-    """What is known of a replica that broke off."""
+class CrashedReplicaTest(unittest.TestCase):
+    """When a replica that broke connections counts as crashed."""
 
     def setUp(self):
         self.quarantine = Quarantine(HEARTBEAT_SECONDS)
         self.target = InstanceId("i1")
 
-    def test_one_broken_connection_is_no_end(self):
-        """Guards against a replica given up for one connection that was reset."""
+    def test_one_broken_connection_is_not_a_crash(self):
+        """Guards against excluding a replica because one connection was reset."""
         self.quarantine.broke_off(Fingerprint(1), self.target, 1.0)
         self.assertFalse(self.quarantine.has_ended(self.target, 1.1))
         self.quarantine.broke_off(Fingerprint(2), self.target, 1.0)
         self.assertTrue(self.quarantine.has_ended(self.target, 1.1))
 
-    def test_a_replica_that_is_back_under_its_name_gets_work_again(self):
-        """Guards against a replica that nobody asks, and so never clears itself."""
+    def test_a_restarted_replica_of_the_same_name_gets_work_again(self):
+        """Guards against excluding a restarted replica for good.
+
+        Only a response shows that a replica is alive, and an excluded one gets none.
+        """
         for number in (1, 2):
             self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
         back_at = 1.0 + ENDED_HEARTBEATS * HEARTBEAT_SECONDS
         self.assertFalse(self.quarantine.has_ended(self.target, back_at))
 
-    def test_a_replica_that_answers_has_not_ended(self):
+    def test_a_replica_that_responds_has_not_crashed(self):
         for number in (1, 2):
             self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
         self.quarantine.lives(self.target, 1.1)
@@ -81,14 +84,14 @@
 
 
 class SuspectsTest(unittest.TestCase):
-    """Whole path: engines that end under their streams."""
+    """End to end: engines that crash while they stream responses."""
 
     def end(self, world, number: int):
-        """Return the engine that is to end."""
+        """Return the engine that is to crash."""
         return list(world.replicas.values())[-number]
 
     async def streams(self, world, count: int):
-        """Open streams that last for seconds; return their links."""
+        """Open streams that last for seconds; return their connections."""
         links = []
         for number in range(count):
             link = world.connect()
@@ -99,59 +102,59 @@
         await trio.sleep(0.3)
         return links
 
-    def test_streams_of_an_ended_engine_go_on_at_one_engine(self):
-        """Guards against one end that puts all other engines under suspects."""
+    def test_streams_of_a_crashed_engine_resume_on_one_engine(self):
+        """Guards against one crash that spreads suspects over all other engines."""
 
         async def task(world):
             await self.streams(world, 12)
             engines = list(world.replicas.values())[-4:]
-            ended = max(engines, key=lambda engine: len(engine.runs))
-            others = [engine for engine in engines if engine is not ended]
+            crashed = max(engines, key=lambda engine: len(engine.runs))
+            others = [engine for engine in engines if engine is not crashed]
             before = {engine.instance: len(engine.runs) for engine in others}
-            await ended.crash("/brief/0")
+            await crashed.crash("/brief/0")
             await trio.sleep(0.4)
-            return [len(e.runs) - before[e.instance] for e in others], len(ended.runs)
+            return [len(e.runs) - before[e.instance] for e in others], len(crashed.runs)
 
-        more, broken = run_entry(task, engines="dddd")
-        self.assertGreater(broken, 1)
-        self.assertEqual(sorted(more), [0, 0, broken])
+        new_runs, crashed_streams = run_entry(task, engines="dddd")
+        self.assertGreater(crashed_streams, 1)
+        self.assertEqual(sorted(new_runs), [0, 0, crashed_streams])
 
-    def test_a_new_request_does_not_go_to_an_engine_that_has_ended(self):
-        """Guards against sends to what is listed for seconds after its end.
+    def test_a_new_request_is_not_sent_to_a_crashed_engine(self):
+        """Guards against sends to an engine that is still listed after its crash.
 
-        Another host saw it end.
+        Its entry stays for seconds. The crash was seen by another host.
         """
 
         async def task(world):
             await self.streams(world, 8)
-            ended = list(world.replicas.values())[-1]
-            await ended.crash("/brief/0")
+            crashed = list(world.replicas.values())[-1]
+            await crashed.crash("/brief/0")
             await trio.sleep(0.3)
             world.dialed.clear()
             for number in range(6):
                 headers = prompt_headers(pieces=2, shared=0)
                 path = f"/note/{number}"
                 await world.ask(path, f"n{number}", host=1, headers=headers)
-            return ended.address in world.dialed
+            return crashed.address in world.dialed
 
         self.assertFalse(run_entry(task, hosts=2, engines="dd"))
 
-    def test_a_suspect_that_has_not_begun_leaves_the_last_engine_alone(self):
-        """Guards against the loss of all engines of a service to the same requests."""
+    def test_a_suspect_without_output_is_not_sent_to_the_last_engine(self):
+        """Guards against losing all engines of a service to the same requests."""
 
         async def task(world):
             for engine in list(world.replicas.values())[-2:]:
                 engine.piece_seconds = 1.0
             links = await self.streams(world, 8)
-            ended, last = list(world.replicas.values())[-2:]
+            crashed, last = list(world.replicas.values())[-2:]
             before = len(last.runs)
-            await ended.crash("/brief/0")
+            await crashed.crash("/brief/0")
             await trio.sleep(0.3)
             replies = [await links[0].read()]
             return len(last.runs) - before, replies[0]
 
-        more, reply = run_entry(task, engines="dd")
-        self.assertEqual(more, 0)
+        new_runs, reply = run_entry(task, engines="dd")
+        self.assertEqual(new_runs, 0)
         if reply.status == 503:
             self.assertGreaterEqual(reply.again, LAST_SECONDS)
 
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -1,4 +1,4 @@
-"""Whose key a caller shows, and what it is told; header lists of any kind."""
+"""API key authentication, also with arbitrary header lists."""
 
 import unittest
 
@@ -18,29 +18,29 @@
 from berylshift.version.routes import CallerLimits, RouteKind, RouteTable
 
 KEY = b"m82thhkmgjqnirth5mgj"
-HOLDER = Customer(CustomerName("hobart"), 0)
-IN_FORCE = 3.0
-LOOK = route("look", RouteKind.IDEMPOTENT)
-OPEN = route("open", RouteKind.IDEMPOTENT, public=True)
-LANGUAGE = PlatformCodec()
+KEY_OWNER = Customer(CustomerName("hobart"), 0)
+PROPAGATION_SECONDS = 3.0
+KEYED_ROUTE = route("look", RouteKind.IDEMPOTENT)
+PUBLIC_ROUTE = route("open", RouteKind.IDEMPOTENT, public=True)
+CODEC = PlatformCodec()
 HEADER_NAMES = st.sampled_from(
     [b"host", names.AUTHORIZATION, names.CUSTOMER, b"connection", b"x-other"]
 )
 SCHEMES = st.sampled_from([b"Bearer", b"bearer", b"BEARER", b"Basic", b"", b"Bearer,"])
-WORDS = st.one_of(
+CREDENTIALS = st.one_of(
     st.sampled_from([KEY, KEY[:-1], KEY + b",", b'"' + KEY + b'"', b"\xff\xfe"]),
     st.binary(max_size=40),
 )
 VALUES = st.one_of(
-    st.builds(lambda scheme, word: scheme + b" " + word, SCHEMES, WORDS),
+    st.builds(lambda scheme, word: scheme + b" " + word, SCHEMES, CREDENTIALS),
     st.sampled_from([b"authorization", names.CUSTOMER, KEY, b""]),
 )
 
 
-def keys(*held: tuple[bytes, Customer]) -> CustomerKeys:
-    """Return customers that hold keys."""
+def customer_keys(*key_owners: tuple[bytes, Customer]) -> CustomerKeys:
+    """Return the keys of some customers."""
     found = CustomerKeys()
-    for secret, customer in held:
+    for secret, customer in key_owners:
         found.add(customer, [ApiKey(secret)])
     return found
 
@@ -48,91 +48,104 @@
 def table(customers: CustomerKeys | None, version: int = 1) -> RouteTable:
     """Return a version of the routes."""
     limits = CallerLimits()
-    return RouteTable(TableVersion(version), (LOOK, OPEN), (), limits, customers)
+    return RouteTable(
+        TableVersion(version), (KEYED_ROUTE, PUBLIC_ROUTE), (), limits, customers
+    )
 
 
 def request(*headers: tuple[bytes, bytes]):
     """Return a caller's request."""
     found = [(names.ATTEMPT_ID, b"r1"), *headers]
-    return LANGUAGE.parse_request(b"GET", b"/look/x", found, NO_BODY)
+    return CODEC.parse_request(b"GET", b"/look/x", found, NO_BODY)
 
 
-def shown(key: bytes):
-    """Return a request that shows a key."""
+def keyed_request(key: bytes):
+    """Return a request that presents a key."""
     return request((names.AUTHORIZATION, b"Bearer " + key))
 
 
 class KeyGateTest(unittest.TestCase):
-    """What becomes of a request."""
+    """The verdict on a request."""
 
     def setUp(self):
         self.routes = RouteHolder()
-        self.routes.take(table(keys((KEY, HOLDER))), 0.0)
-        self.gate = KeyGate(self.routes, IN_FORCE)
+        self.routes.take(table(customer_keys((KEY, KEY_OWNER))), 0.0)
+        self.gate = KeyGate(self.routes, PROPAGATION_SECONDS)
 
-    def verdict(self, req, asked=LOOK, now=1.0):
-        return self.gate.admit(req, asked, now).verdict
+    def verdict(self, req, requested_route=KEYED_ROUTE, now=1.0):
+        return self.gate.admit(req, requested_route, now).verdict
 
-    def test_a_key_leads_to_its_customer(self):
-        found = self.gate.admit(shown(KEY), LOOK, 1.0)
-        self.assertEqual((found.verdict, found.customer), (KeyVerdict.ADMITTED, HOLDER))
+    def test_a_key_identifies_its_customer(self):
+        found = self.gate.admit(keyed_request(KEY), KEYED_ROUTE, 1.0)
+        self.assertEqual(
+            (found.verdict, found.customer), (KeyVerdict.ADMITTED, KEY_OWNER)
+        )
 
-    def test_a_missing_key_and_a_wrong_one_are_denied(self):
+    def test_missing_and_invalid_keys_are_denied(self):
         self.assertEqual(self.verdict(request()), KeyVerdict.NO_KEY)
-        self.assertEqual(self.verdict(shown(b"wrong")), KeyVerdict.UNKNOWN_KEY)
-
-    def test_a_public_route_takes_all(self):
-        for req in (request(), shown(b"wrong"), shown(KEY)):
-            self.assertEqual(self.verdict(req, OPEN), KeyVerdict.ADMITTED)
-        self.assertIsNone(self.gate.admit(shown(b"wrong"), OPEN, 1.0).customer)
-
-    def test_a_host_with_old_routes_denies_no_key_that_may_be_new(self):
-        """Guards against the first callers of a new key being sent away for good."""
-        late = IN_FORCE + 1
-        self.assertEqual(self.verdict(shown(b"new"), now=late), KeyVerdict.STALE_ROUTES)
-        self.assertEqual(self.verdict(shown(KEY), now=late), KeyVerdict.ADMITTED)
+        self.assertEqual(self.verdict(keyed_request(b"wrong")), KeyVerdict.UNKNOWN_KEY)
+
+    def test_a_public_route_admits_every_request(self):
+        for req in (request(), keyed_request(b"wrong"), keyed_request(KEY)):
+            self.assertEqual(self.verdict(req, PUBLIC_ROUTE), KeyVerdict.ADMITTED)
+        self.assertIsNone(
+            self.gate.admit(keyed_request(b"wrong"), PUBLIC_ROUTE, 1.0).customer
+        )
+
+    def test_a_host_with_stale_routes_does_not_deny_unknown_keys(self):
+        """Guards against denying the first callers of a new key, who never retry."""
+        late = PROPAGATION_SECONDS + 1
+        self.assertEqual(
+            self.verdict(keyed_request(b"new"), now=late), KeyVerdict.STALE_ROUTES
+        )
+        self.assertEqual(
+            self.verdict(keyed_request(KEY), now=late), KeyVerdict.ADMITTED
+        )
         self.assertEqual(self.verdict(request(), now=late), KeyVerdict.NO_KEY)
 
-    def test_known_keys_expire_with_the_routes_where_operators_ask_for_it(self):
-        """Guards against a leaked key at a host that is cut off from the store."""
-        gate = KeyGate(self.routes, IN_FORCE, expires=5.0)
+    def test_known_keys_expire_with_the_routes_if_configured(self):
+        """Guards against a leaked key that a host cut off from the store accepts."""
+        gate = KeyGate(self.routes, PROPAGATION_SECONDS, key_expiry_seconds=5.0)
         self.assertEqual(
-            [gate.admit(shown(KEY), LOOK, now).verdict for now in (4.9, 5.1)],
+            [
+                gate.admit(keyed_request(KEY), KEYED_ROUTE, now).verdict
+                for now in (4.9, 5.1)
+            ],
             [KeyVerdict.ADMITTED, KeyVerdict.STALE_ROUTES],
         )
 
-    def test_a_key_that_was_taken_away_holds_no_more(self):
-        """Guards against a request that waited and is sent by a key without holder."""
-        req = LANGUAGE.strip_key(shown(KEY), HOLDER.name)
-        self.assertTrue(self.gate.is_still_authorized(req, LOOK))
-        self.routes.take(table(keys(), 2), 1.0)
-        self.assertFalse(self.gate.is_still_authorized(req, LOOK))
-        self.assertTrue(self.gate.is_still_authorized(req, OPEN))
-
-    def test_a_key_that_changed_hands_holds_no_more(self):
-        """Guards against a request that runs on the account of the former holder."""
-        req = LANGUAGE.strip_key(shown(KEY), HOLDER.name)
+    def test_a_revoked_key_is_no_longer_authorized(self):
+        """Guards against a waiting request that is sent after its key was revoked."""
+        req = CODEC.strip_key(keyed_request(KEY), KEY_OWNER.name)
+        self.assertTrue(self.gate.is_still_authorized(req, KEYED_ROUTE))
+        self.routes.take(table(customer_keys(), 2), 1.0)
+        self.assertFalse(self.gate.is_still_authorized(req, KEYED_ROUTE))
+        self.assertTrue(self.gate.is_still_authorized(req, PUBLIC_ROUTE))
+
+    def test_a_reassigned_key_is_no_longer_authorized(self):
+        """Guards against a request that runs on the account of the former owner."""
+        req = CODEC.strip_key(keyed_request(KEY), KEY_OWNER.name)
         other = Customer(CustomerName("other"))
-        self.routes.take(table(keys((KEY, other)), 2), 1.0)
-        self.assertFalse(self.gate.is_still_authorized(req, LOOK))
+        self.routes.take(table(customer_keys((KEY, other)), 2), 1.0)
+        self.assertFalse(self.gate.is_still_authorized(req, KEYED_ROUTE))
 
-    def test_without_customers_all_is_as_sent(self):
-        """Guards against a change for deployments that know no customers."""
+    def test_without_customers_headers_are_forwarded_unchanged(self):
+        """Guards against a change of behaviour in deployments without customers."""
         self.routes.take(table(None, 2), 1.0)
         req = request((names.AUTHORIZATION, b"Basic x"), (names.CUSTOMER, b"y"))
-        found = self.gate.admit(req, LOOK, 1.0)
+        found = self.gate.admit(req, KEYED_ROUTE, 1.0)
         self.assertEqual(
             (found.verdict, found.keys_configured), (KeyVerdict.ADMITTED, False)
         )
-        sent = LANGUAGE.forward_headers(req, Dispatch(ReplicaName("i"), 1.0, 5))
+        sent = CODEC.forward_headers(req, Dispatch(ReplicaName("i"), 1.0, 5))
         self.assertIn((names.AUTHORIZATION, b"Basic x"), sent)
         self.assertIn((names.CUSTOMER, b"y"), sent)
 
 
 class HeaderTest(unittest.TestCase):
-    """One rule for how a key is shown."""
+    """The form in which a key must be presented."""
 
-    def test_one_word_behind_the_scheme(self):
+    def test_a_key_is_one_word_after_the_scheme(self):
         for value in (b"Bearer " + KEY, b"bearer  " + KEY, b"BEARER\t" + KEY + b" "):
             found = request((names.AUTHORIZATION, value))
             self.assertEqual(found.key, ApiKey(KEY), value)
@@ -148,30 +161,30 @@
         ):
             self.assertIsNone(request((names.AUTHORIZATION, value)).key, value[:20])
 
-    def test_two_keys_are_none(self):
-        """Guards against host and replica going by a different one of two keys."""
+    def test_two_keys_count_as_no_key(self):
+        """Guards against host and replica each using a different one of two keys."""
         pair = (names.AUTHORIZATION, b"Bearer " + KEY)
         self.assertIsNone(request(pair, pair).key)
 
     @EXPLORE
     @given(st.lists(st.tuples(HEADER_NAMES, VALUES), max_size=6))
-    def test_no_header_list_passes_a_key_or_a_false_customer_on(self, headers):
-        """Guards against a replica that hears a key, or a made-up customer."""
+    def test_no_key_or_forged_customer_is_forwarded(self, headers):
+        """Guards against a replica that receives a key or a forged customer."""
         routes = RouteHolder()
-        routes.take(table(keys((KEY, HOLDER))), 0.0)
+        routes.take(table(customer_keys((KEY, KEY_OWNER))), 0.0)
         req = request(*headers)
-        found = KeyGate(routes, IN_FORCE).admit(req, LOOK, 0.0)
-        wanted = [(names.AUTHORIZATION, b"Bearer " + KEY)]
-        said = [pair for pair in headers if pair[0] == names.AUTHORIZATION]
-        if said == wanted:
+        found = KeyGate(routes, PROPAGATION_SECONDS).admit(req, KEYED_ROUTE, 0.0)
+        valid = [(names.AUTHORIZATION, b"Bearer " + KEY)]
+        authorizations = [pair for pair in headers if pair[0] == names.AUTHORIZATION]
+        if authorizations == valid:
             self.assertIs(found.verdict, KeyVerdict.ADMITTED)
         if found.verdict is not KeyVerdict.ADMITTED:
             return
-        self.assertEqual(len(said), 1)
-        named = LANGUAGE.strip_key(req, found.customer.name)
-        sent = LANGUAGE.forward_headers(named, Dispatch(ReplicaName("i"), 1.0, 5))
-        told = [value for name, value in sent if name == names.CUSTOMER]
-        self.assertEqual(told, [HOLDER.name.encode()])
+        self.assertEqual(len(authorizations), 1)
+        forwarded = CODEC.strip_key(req, found.customer.name)
+        sent = CODEC.forward_headers(forwarded, Dispatch(ReplicaName("i"), 1.0, 5))
+        sent_customers = [value for name, value in sent if name == names.CUSTOMER]
+        self.assertEqual(sent_customers, [KEY_OWNER.name.encode()])
         self.assertFalse([name for name, _ in sent if name == names.AUTHORIZATION])
 
 
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -1,4 +1,4 @@
-"""The gate that all calls to replicas pass."""
+"""Flow control of all calls to replicas."""
 
 import random
 import unittest
@@ -47,30 +47,30 @@
             await answer.read(1000)
             return answer.status
 
-    def play(self, task):
-        """Run ``task(client)`` before the replica."""
+    def run_with_client(self, task):
+        """Run ``task(client)`` against the replica."""
 
         async def main():
             async with trio.open_nursery() as nursery:
 
                 async def dial(address):
                     self.dials += 1
-                    near, far = pipe_pair()
-                    nursery.start_soon(self.replica.serve, far)
-                    return near
+                    client_end, replica_end = pipe_pair()
+                    nursery.start_soon(self.replica.serve, replica_end)
+                    return client_end
 
                 client = TargetClient(0.3, dial)
-                language, clock = PlatformCodec(), LoopClock()
-                gate = ReplicaGate(language, self.throttle, self.replicas, clock)
+                codec, clock = PlatformCodec(), LoopClock()
+                gate = ReplicaGate(codec, self.throttle, self.replicas, clock)
                 client.guard_by(gate)
-                found = await task(client)
+                result = await task(client)
                 nursery.cancel_scope.cancel()
-                return found
+                return result
 
         return self.run_virtual(main)
 
     def test_a_throttled_call_opens_no_connection(self):
-        """Guards against a call that is held back and has been sent all the same."""
+        """Guards against sending a call that has been rejected as throttled."""
 
         async def task(client):
             control = FlowControl(retry_after=3.0)
@@ -79,29 +79,32 @@
             with self.assertRaises(ThrottledError):
                 await self.call(client)
 
-        self.play(task)
+        self.run_with_client(task)
         self.assertEqual(self.dials, 0)
 
-    def test_answers_to_calls_of_every_kind_are_heard(self):
-        """Guards against words that come with a freed cache, a report or an order."""
+    def test_flow_control_of_every_kind_of_call_is_applied(self):
+        """Guards against ignoring flow control in responses to control calls.
+
+        These release a KV cache, fetch a report or send an order.
+        """
         for path in (b"/x", b"/v1/kv-handle/a", names.REPORT_PATH):
             with self.subTest(path=path):
                 self.setUp()
                 self.replica.rate_limit = 2.0
-                self.play(lambda client, path=path: self.call(client, path))
+                self.run_with_client(lambda client, path=path: self.call(client, path))
                 self.assertEqual(len(self.throttle), 1)
 
-    def test_a_call_to_a_replica_that_leaves_is_held_back(self):
+    def test_a_call_to_a_draining_replica_is_rejected(self):
         async def task(client):
             self.replica.says_leaving = True
             await self.call(client)
             with self.assertRaises(ThrottledError):
                 await self.call(client)
 
-        self.play(task)
+        self.run_with_client(task)
 
-    def test_a_report_does_not_wait_for_a_turn(self):
-        """Guards against orders that would relieve a pool and are never given."""
+    def test_a_report_needs_no_send_slot(self):
+        """Guards against throttled reports, without which a pool gets no orders."""
 
         async def task(client):
             self.replica.rate_limit = 0.1
@@ -112,16 +115,16 @@
             return await PlatformEngines(client, 0.5).report(entry)
 
         self.replica.phase = EnginePhase.DECODE
-        self.assertIsNotNone(self.play(task))
+        self.assertIsNotNone(self.run_with_client(task))
 
-    def test_a_late_answer_that_is_passed_over_is_heard_too(self):
+    def test_flow_control_in_a_discarded_late_response_is_applied(self):
         async def task(client):
             self.replica.faults = [Fault.EXTRA]
             self.replica.rate_limit = 2.0
             await self.call(client)
             return len(self.throttle)
 
-        self.assertEqual(self.play(task), 1)
+        self.assertEqual(self.run_with_client(task), 1)
 
 
 if __name__ == "__main__":
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -52,14 +52,14 @@
         "request/relay.py",
         "not self._out.started and not self._key_holds()",
         "False",
-        f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
+        f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
         "a stream that has begun is finished for any key",
         "request/relay.py",
         "not self._out.started and not self._key_holds()",
         "not self._key_holds()",
-        f"{KEYS}.ChangeTest.test_a_stream_that_has_begun_is_finished",
+        f"{KEYS}.KeyChangeTest.test_a_started_stream_is_completed",
     ),
     Proof(
         "two keys in one request are none",
@@ -129,7 +129,7 @@
         "request/isolation.py",
         "return ranked[: max(1, len(remaining) // REPLICAS_PER_ISOLATION_REPLICA)]",
         "return ranked",
-        f"{ISOLATION}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
+        f"{ISOLATION}.SuspectsTest.test_streams_of_a_crashed_engine_resume_on_one_engine",
     ),
     Proof(
         "the last engine takes no suspect",
@@ -723,7 +723,7 @@
         "            # A replica may have ended under another try of it meanwhile.\n"
         "            self._check_may_go()\n",
         "",
-        f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
+        f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
         "two replicas are enough",
@@ -807,7 +807,7 @@
         "key=self._key",
         'key=b""',
         "test_request_fingerprint.FingerprintTest."
-        "test_nobody_without_the_key_can_tell_them_beforehand",
+        "test_fingerprints_cannot_be_predicted_without_the_key",
     ),
     Proof(
         "the store keeps what all hosts may forget",
