--- a/berylshift/messages/routed.py
+++ b/berylshift/messages/routed.py
@@ -98,12 +98,12 @@
     slots: int
 
 
-class AnswerHead(msgspec.Struct, frozen=True):
+class ResponseHead(msgspec.Struct, frozen=True):
     """The head of a replica's response.
 
     ``genuine``: it carries the replica's signature and no content encoding added on the
     way; ``not_run``: the replica states that it did not run the request;
-    ``keep_seconds``: its keep-alive timeout for idle connections, if it states one.
+    ``keep_alive_seconds``: its timeout for idle connections, if it states one.
     """
 
     status: int
@@ -111,7 +111,7 @@
     genuine: bool
     not_run: bool
     load: ReportedLoad | None
-    keep_seconds: float | None
+    keep_alive_seconds: float | None
     headers: tuple[Header, ...]
     length: int | None = None
 
@@ -163,7 +163,7 @@
     def forward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
         """Return the headers of one attempt."""
 
-    def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
+    def parse_response_head(self, status: int, headers: list[Header]) -> ResponseHead:
         """Parse the head of a replica's response."""
 
     def parse_flow_control(
--- a/berylshift/platform/exchange.py
+++ b/berylshift/platform/exchange.py
@@ -5,7 +5,6 @@
 from berylshift.ids import CustomerName, PartId, ReplicaName, RequestId
 from berylshift.messages.retry_after import seconds_of
 from berylshift.messages.routed import (
-    AnswerHead,
     Body,
     ControlCall,
     Dispatch,
@@ -15,6 +14,7 @@
     Prompt,
     PromptBlock,
     ReportedLoad,
+    ResponseHead,
     RoutedRequest,
 )
 from berylshift.platform import names
@@ -122,19 +122,19 @@
             headers.append((names.KV_SOURCE, dispatch.kv_source.encode()))
         return headers
 
-    def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
+    def parse_response_head(self, status: int, headers: list[Header]) -> ResponseHead:
         """Return the head of a replica's answer."""
         found = dict(headers)
         echoed = found.get(names.ATTEMPT_ID)
         request = None if echoed is None else RequestId(echoed.decode("latin-1"))
         self._unknown.note(headers, request)
-        return AnswerHead(
+        return ResponseHead(
             status=status,
             request=request,
             genuine=names.SIGNATURE in found and b"content-encoding" not in found,
             not_run=names.NOT_RUN in found or status == STATUS_WRONG_INSTANCE,
             load=_load(found.get(names.LOAD)),
-            keep_seconds=_keep_seconds(found.get(b"keep-alive")),
+            keep_alive_seconds=_keep_seconds(found.get(b"keep-alive")),
             headers=tuple(header for header in headers if header[0] not in HOP_BY_HOP),
             length=_length(found.get(b"content-length")),
         )
--- a/berylshift/request/answer_stream.py
+++ b/berylshift/request/answer_stream.py
@@ -2,7 +2,7 @@
 
 from berylshift.clock import Clock
 from berylshift.connection.responder import Responder
-from berylshift.messages.routed import AnswerHead
+from berylshift.messages.routed import ResponseHead
 from berylshift.request.event_splitter import EventSplitter, EventTooLongError
 
 
@@ -21,7 +21,7 @@
         """Answer through ``responder``."""
         self._responder = responder
         self._clock = clock
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._splitter = EventSplitter()
         self.started = False
         self.last_event: bytes | None = None
@@ -34,12 +34,12 @@
         """Have no write last beyond ``until`` on the loop's clock."""
         self._responder.late_until = until
 
-    async def whole(self, head: AnswerHead, body: bytes) -> None:
+    async def whole(self, head: ResponseHead, body: bytes) -> None:
         """Send a whole answer."""
         self.started = True
         await self._responder.full_raw(head.status, list(head.headers), body)
 
-    def open(self, head: AnswerHead) -> None:
+    def open(self, head: ResponseHead) -> None:
         """Take the head of a stream; a resumed one keeps its first head."""
         self._splitter = EventSplitter()
         if self._head is None or not self.started:
--- a/berylshift/request/call_watching.py
+++ b/berylshift/request/call_watching.py
@@ -25,9 +25,7 @@
         caller = call.caller
         fields = (caller.fleet, caller.customer, call.model, str(call.max_tokens))
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.fingerprint_call(
-            fields, call.prompt.encode()
-        )
+        watch.fingerprint = self.fingerprints.hash_call(fields, call.prompt.encode())
         return watch
 
     def of_plain(self, call: PlainCall) -> CrashWatch:
@@ -41,7 +39,7 @@
             call.path,
         )
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.fingerprint_call(fields, call.body)
+        watch.fingerprint = self.fingerprints.hash_call(fields, call.body)
         return watch
 
     def instance(self, target: TargetName) -> InstanceId:
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -19,11 +19,11 @@
     CompletionParts,
 )
 from berylshift.request.messages import (
-    AnswerSink,
     Ending,
     ModelCall,
     Outcome,
     Reason,
+    ResponseSink,
 )
 from berylshift.request.retry_rule import SendEnd, SendHistory, Sent
 from berylshift.request.router import Plan, Refusal, WorkItem
@@ -42,7 +42,7 @@
 class Completion:
     """One model call."""
 
-    def __init__(self, parts: CompletionParts, call: ModelCall, sink: AnswerSink):
+    def __init__(self, parts: CompletionParts, call: ModelCall, sink: ResponseSink):
         """Make ``call``'s answer and pass it to ``sink``."""
         self._parts = parts
         self._call = call
--- a/berylshift/request/fingerprint.py
+++ b/berylshift/request/fingerprint.py
@@ -39,14 +39,14 @@
             (req.method, req.target, *_identity_fields(req), _prompt_text(req.prompt))
         )
 
-    def of(self, req: RoutedRequest) -> Fingerprint | None:
+    def hash_request(self, req: RoutedRequest) -> Fingerprint | None:
         """Return the fingerprint; ``None`` until enough of the body has arrived."""
         start = req.body.start(MAX_HASHED_BODY_BYTES)
         if start is None:
             return None
         return combine_hashes(self.head_hash(req), self._hash_body(start))
 
-    def fingerprint_call(self, fields: Iterable[str], body: bytes) -> Fingerprint:
+    def hash_call(self, fields: Iterable[str], body: bytes) -> Fingerprint:
         """Return the fingerprint of a call that has been received completely."""
         head = self._hash_fields(field.encode() for field in fields)
         return combine_hashes(head, self._hash_body(body[:MAX_HASHED_BODY_BYTES]))
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -103,7 +103,7 @@
     body: bytes = b""
 
 
-class AnswerSink(Protocol):
+class ResponseSink(Protocol):
     """Receives the text of a response while it is generated."""
 
     async def text(self, text: str) -> None:
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -90,8 +90,8 @@
         self._loads.sent(instance, place.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
-                async with self._client.exchange(out) as answer:
-                    return await self._parse_response(request, place.target, answer)
+                async with self._client.exchange(out) as response:
+                    return await self._parse_response(request, place.target, response)
             return PrefillResult(SendEnd.SILENT)
         except ThrottledError:
             return PrefillResult(SendEnd.THROTTLED)
@@ -104,19 +104,19 @@
             self._loads.ended(instance)
 
     async def _parse_response(
-        self, request: RequestId, engine: Replica, answer: TargetAnswer
+        self, request: RequestId, engine: Replica, response: TargetAnswer
     ) -> PrefillResult:
-        head = self._codec.parse_answer_head(answer.status, answer.headers)
+        head = self._codec.parse_response_head(response.status, response.headers)
         if head.request is not None and head.request != request:
             # A late response to an earlier request on a reused connection.
-            answer.usable = False
+            response.usable = False
             return PrefillResult(SendEnd.BROKEN)
-        if head.keep_seconds is not None:
-            answer.keep_seconds = head.keep_seconds
+        if head.keep_alive_seconds is not None:
+            response.keep_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._clock.monotonic()
             self._loads.heard(engine.instance, head.load, now)
-        body = await answer.read(MAX_CONTROL_BYTES)
+        body = await response.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
         handle = self._codec.parse_kv_handle(body)
@@ -136,8 +136,8 @@
     async def _send_release(self, out: TargetRequest) -> None:
         with trio.move_on_after(RELEASE_SECONDS):
             try:
-                async with self._client.exchange(out) as answer:
-                    await answer.read(MAX_CONTROL_BYTES)
+                async with self._client.exchange(out) as response:
+                    await response.read(MAX_CONTROL_BYTES)
             except ConnectionLayerError as exc:
                 logger.info(
                     "KV cache not released",
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -29,28 +29,35 @@
         """Return the service's replicas that take new work."""
         return self._parts.replicas.pool(self._service)
 
-    def choose_plain(self, begun: bool) -> Placement | None:
+    def choose_plain(self, response_started: bool) -> Placement | None:
         """Return the placement of a request without a prompt.
 
-        ``begun`` says whether its caller has already received part of the response.
+        ``response_started`` says whether its caller has received part of the response.
         """
         return self._parts.placer.choose_plain(
-            self.pool(), self.avoided(begun), self._now()
+            self.pool(), self.avoided(response_started), self._now()
         )
 
     def choose_decode(
-        self, prompt: Prompt, prefill_engine: Replica | None, begun: bool
+        self, prompt: Prompt, prefill_engine: Replica | None, response_started: bool
     ) -> Placement | None:
         """Return the engine that should decode after ``prefill_engine``."""
         return self._parts.placer.choose_decode(
-            self.pool(), prompt, prefill_engine, self.avoided(begun), self._now()
+            self.pool(),
+            prompt,
+            prefill_engine,
+            self.avoided(response_started),
+            self._now(),
         )
 
-    def avoided(self, begun: bool) -> list[InstanceId]:
+    def avoided(self, response_started: bool) -> list[InstanceId]:
         """Return the replicas that the request may not be sent to."""
-        closed = self._parts.throttle.closed(self._now())
-        avoided = [*self._tried, *(name for name in closed if name != self._reserved)]
-        return self._watch.avoided(self.pool(), avoided, begun)
+        throttled = self._parts.throttle.closed(self._now())
+        avoided = [
+            *self._tried,
+            *(name for name in throttled if name != self._reserved),
+        ]
+        return self._watch.avoided(self.pool(), avoided, response_started)
 
     def reserve(self, instance: InstanceId) -> None:
         """Reserve a throttled replica's send slot while another engine prefills.
@@ -70,10 +77,10 @@
     def check_not_throttled(self) -> None:
         """Raise ``NoRoomError`` if all decode engines that are left are throttled."""
         throttle, now = self._parts.throttle, self._now()
-        closed = set(throttle.closed(now)).difference(self._tried)
+        throttled = set(throttle.closed(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().answerers]
         waits = [
-            throttle.retry_after(name, now) for name in answerers if name in closed
+            throttle.retry_after(name, now) for name in answerers if name in throttled
         ]
         if waits:
             raise NoRoomError(min(waits))
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -24,17 +24,17 @@
         self._crash_watch = sender.watching.of_plain(call)
         self._history = SendHistory()
         self._refusal: Ending | None = None
-        self._answer: ServiceAnswer | None = None
+        self._response: ServiceAnswer | None = None
 
     async def run(self) -> PlainEnding:
         """Run the call and return how it ended."""
         end = await send_until_done(
             self, ATTEMPT_BOUNDS, self._history, self._budget, self._clock
         )
-        if self._answer is not None:
-            answer = self._answer
+        if self._response is not None:
+            response = self._response
             ending = Ending(Outcome.COMPLETE)
-            return PlainEnding(ending, answer.status, answer.headers, answer.body)
+            return PlainEnding(ending, response.status, response.headers, response.body)
         return PlainEnding(self._failed(end))
 
     def shutdown_ending(self) -> PlainEnding:
@@ -56,7 +56,7 @@
         watch = self._crash_watch
         result = await self._sender.run(placed, self._call, attempt, watch)
         self._history.open = False
-        self._answer = result.answer
+        self._response = result.answer
         return Sent(placed.target.name, result.end)
 
     def is_late(self) -> bool:
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_front.py
@@ -190,7 +190,7 @@
             "turned away",
             extra={
                 "request": req.id,
-                "same": fingerprint_hex(self._parts.fingerprints.of(req)),
+                "same": fingerprint_hex(self._parts.fingerprints.hash_request(req)),
                 "reason": reason,
                 "outcome": refusal.status,
                 "again": refusal.retry_after,
--- a/berylshift/request/routed_watch.py
+++ b/berylshift/request/routed_watch.py
@@ -37,7 +37,7 @@
     def fingerprint(self) -> Fingerprint | None:
         """Return what the tries of one request share, once the body is there."""
         if self._watch.fingerprint is None:
-            self._watch.fingerprint = self._parts.fingerprints.of(self._req)
+            self._watch.fingerprint = self._parts.fingerprints.hash_request(self._req)
         return self._watch.fingerprint
 
     async def identify(self) -> None:
--- a/berylshift/request/router.py
+++ b/berylshift/request/router.py
@@ -108,7 +108,7 @@
         """Create the pool cache."""
         self.pools = CandidatePoolCache(self.load)
 
-    def usable(self, candidate: Candidate, item: WorkItem, now: float) -> bool:
+    def is_usable(self, candidate: Candidate, item: WorkItem, now: float) -> bool:
         """Return whether a candidate may be sent this item now."""
         name = candidate.row.name
         if name in item.exclude or self.plans.is_moving(name):
@@ -133,14 +133,16 @@
             prefix_owner = sampler.prefix_owner(item.prefixes[0][1])
             if prefix_owner is not None and prefix_owner not in drawn:
                 drawn.append(prefix_owner)
-        usable = [candidate for candidate in drawn if self.usable(candidate, item, now)]
+        usable = [
+            candidate for candidate in drawn if self.is_usable(candidate, item, now)
+        ]
         if usable:
             return usable
         # Rare: none of the sample is usable, so check every candidate.
         rest = [
             candidate
             for candidate in sampler.candidates
-            if self.usable(candidate, item, now)
+            if self.is_usable(candidate, item, now)
         ]
         return rest[:count]
 
@@ -189,7 +191,7 @@
         if item.prefer is None:
             return None
         candidate = pool.samplers[Role.MIXED].by_name(item.prefer)
-        if candidate is None or not self._context.usable(candidate, item, now):
+        if candidate is None or not self._context.is_usable(candidate, item, now):
             return None
         inflow = self._context.prefill_inflow(pool, item.work, now)
         return _with_reason(
--- a/berylshift/request/router_baselines.py
+++ b/berylshift/request/router_baselines.py
@@ -59,7 +59,9 @@
 ) -> Result[Plan, Refusal]:
     """Place an item with ``pick`` in each role that it needs."""
     usable = {
-        role: [cand for cand in sampler.candidates if context.usable(cand, item, now)]
+        role: [
+            cand for cand in sampler.candidates if context.is_usable(cand, item, now)
+        ]
         for role, sampler in pool.samplers.items()
     }
     no_prediction = Prediction(0.0, 0.0)
--- a/berylshift/request/single_send.py
+++ b/berylshift/request/single_send.py
@@ -13,7 +13,7 @@
 from berylshift.connection.target_client import TargetAnswer, TargetRequest
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
-from berylshift.messages.routed import AnswerHead, RoutedRequest
+from berylshift.messages.routed import ResponseHead, RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.answer_stream import AnswerStream, StreamBrokenError
 from berylshift.request.relay_parts import RelayParts
@@ -39,7 +39,7 @@
 class FailedAnswer(msgspec.Struct, frozen=True):
     """A replica's own failure, which its caller may be given as it is."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -129,15 +129,17 @@
         limit: SilenceLimit,
         reading: Reading,
     ) -> SendEnd:
-        head = self._parts.language.parse_answer_head(answer.status, answer.headers)
+        head = self._parts.language.parse_response_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             await limit.bound(answer.skip())
-            head = self._parts.language.parse_answer_head(answer.status, answer.headers)
+            head = self._parts.language.parse_response_head(
+                answer.status, answer.headers
+            )
         if head.request is not None and head.request != self._req.id:
             answer.usable = False
             return SendEnd.BROKEN
-        if head.keep_seconds is not None:
-            answer.keep_seconds = head.keep_seconds
+        if head.keep_alive_seconds is not None:
+            answer.keep_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._parts.clock.monotonic()
             self._parts.loads.heard(instance, head.load, now)
@@ -153,7 +155,7 @@
         return await self._take_whole(answer, head, limit)
 
     async def _take_whole(
-        self, answer: TargetAnswer, head: AnswerHead, limit: SilenceLimit
+        self, answer: TargetAnswer, head: ResponseHead, limit: SilenceLimit
     ) -> SendEnd:
         body = await limit.bound(answer.read(MOST_WHOLE_BYTES))
         if head.status >= FIRST_SERVER_ERROR or self._out.started:
@@ -165,7 +167,7 @@
     async def _take_stream(
         self,
         answer: TargetAnswer,
-        head: AnswerHead,
+        head: ResponseHead,
         limit: SilenceLimit,
         reading: Reading,
     ) -> SendEnd:
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -318,7 +318,7 @@
     """Heads of replicas' answers."""
 
     def read(self, status: int, *headers):
-        return PlatformCodec().parse_answer_head(status, list(headers))
+        return PlatformCodec().parse_response_head(status, list(headers))
 
     def test_signed_answer_is_genuine(self):
         head = self.read(200, (names.SIGNATURE, b"s"), (names.ATTEMPT_ID, b"r1"))
@@ -346,20 +346,20 @@
         self.assertEqual(
             (head.load.running, head.load.waiting, head.load.slots), (3, 1, 8)
         )
-        self.assertEqual(head.keep_seconds, 4.0)
+        self.assertEqual(head.keep_alive_seconds, 4.0)
 
     def test_nonsense_is_none(self):
         head = self.read(200, (names.LOAD, b"many"), (b"keep-alive", b"timeout=soon"))
         self.assertIsNone(head.load)
-        self.assertIsNone(head.keep_seconds)
+        self.assertIsNone(head.keep_alive_seconds)
 
     def test_headers_that_are_not_known_are_named_once(self):
         language = PlatformCodec()
         headers = [(b"x-news", b"secret"), (b"content-type", b"text/plain")]
         headers += [(names.ATTEMPT_ID, b"r1"), (names.SIGNATURE, b"s")]
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
-            language.parse_answer_head(200, headers)
-            language.parse_answer_head(200, headers)
+            language.parse_response_head(200, headers)
+            language.parse_response_head(200, headers)
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(logs.records[0].headers, ["x-news"])
         self.assertNotIn("secret", str(vars(logs.records[0])))
@@ -368,7 +368,7 @@
         language = PlatformCodec()
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
             for number in range(2 * MOST_NAMES):
-                language.parse_answer_head(200, [(b"x-%d" % number, b"1")])
+                language.parse_response_head(200, [(b"x-%d" % number, b"1")])
         self.assertEqual(len(logs.records), MOST_NAMES)
 
     def test_a_limit_is_a_number_of_requests_a_second(self):
--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -34,16 +34,16 @@
     def setUp(self):
         self.fingerprinter = RequestFingerprinter()
         self.fingerprinter.use_key("shared by all hosts")
-        self.first = self.fingerprinter.of(make_request())
+        self.first = self.fingerprinter.hash_request(make_request())
 
     def test_ids_and_times_do_not_matter(self):
         retry = make_request(request=b"r2", left_ms=b"1200")
-        self.assertEqual(self.fingerprinter.of(retry), self.first)
+        self.assertEqual(self.fingerprinter.hash_request(retry), self.first)
 
     def test_a_resumed_stream_is_the_same_request(self):
         headers = (*prompt_headers(), (names.LAST_EVENT_ID, b"7"))
         self.assertEqual(
-            self.fingerprinter.of(make_request(headers=headers)), self.first
+            self.fingerprinter.hash_request(make_request(headers=headers)), self.first
         )
 
     def test_the_resource_and_the_caller_matter(self):
@@ -55,14 +55,14 @@
             make_request(headers=prompt_headers(part="b2")),
             make_request(headers=(*prompt_headers(), (b"authorization", b"Bearer b"))),
         )
-        fingerprints = {self.fingerprinter.of(req) for req in variants}
+        fingerprints = {self.fingerprinter.hash_request(req) for req in variants}
         self.assertEqual(len(fingerprints | {self.first}), 7)
 
     def test_none_while_the_body_is_arriving(self):
         body = RequestBody(5)
         body.add(b"he")
         req = RoutedRequest(RequestId("r1"), b"POST", b"/note/x", (), body)
-        self.assertIsNone(self.fingerprinter.of(req))
+        self.assertIsNone(self.fingerprinter.hash_request(req))
         self.assertIsNone(fingerprint_hex(None))
 
     def test_the_start_of_a_long_body_is_enough(self):
@@ -74,13 +74,16 @@
         )
         arriving.add(long)
         partial = msgspec.structs.replace(whole, body=arriving)
-        self.assertEqual(self.fingerprinter.of(partial), self.fingerprinter.of(whole))
         self.assertEqual(
-            head_hash_of(self.fingerprinter.of(whole)),
+            self.fingerprinter.hash_request(partial),
+            self.fingerprinter.hash_request(whole),
+        )
+        self.assertEqual(
+            head_hash_of(self.fingerprinter.hash_request(whole)),
             self.fingerprinter.head_hash(whole),
         )
 
     def test_fingerprints_cannot_be_predicted_without_the_key(self):
         other = RequestFingerprinter()
         other.use_key("another key")
-        self.assertNotEqual(other.of(make_request()), self.first)
+        self.assertNotEqual(other.hash_request(make_request()), self.first)
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -86,7 +86,7 @@
 class SuspectsTest(unittest.TestCase):
     """End to end: engines that crash while they stream responses."""
 
-    def end(self, world, number: int):
+    def engine_to_crash(self, world, number: int):
         """Return the engine that is to crash."""
         return list(world.replicas.values())[-number]
 
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -39,10 +39,10 @@
 
 def customer_keys(*key_owners: tuple[bytes, Customer]) -> CustomerKeys:
     """Return the keys of some customers."""
-    found = CustomerKeys()
+    result = CustomerKeys()
     for secret, customer in key_owners:
-        found.add(customer, [ApiKey(secret)])
-    return found
+        result.add(customer, [ApiKey(secret)])
+    return result
 
 
 def table(customers: CustomerKeys | None, version: int = 1) -> RouteTable:
@@ -55,8 +55,8 @@
 
 def request(*headers: tuple[bytes, bytes]):
     """Return a caller's request."""
-    found = [(names.ATTEMPT_ID, b"r1"), *headers]
-    return CODEC.parse_request(b"GET", b"/look/x", found, NO_BODY)
+    all_headers = [(names.ATTEMPT_ID, b"r1"), *headers]
+    return CODEC.parse_request(b"GET", b"/look/x", all_headers, NO_BODY)
 
 
 def keyed_request(key: bytes):
@@ -76,9 +76,9 @@
         return self.gate.admit(req, requested_route, now).verdict
 
     def test_a_key_identifies_its_customer(self):
-        found = self.gate.admit(keyed_request(KEY), KEYED_ROUTE, 1.0)
+        admission = self.gate.admit(keyed_request(KEY), KEYED_ROUTE, 1.0)
         self.assertEqual(
-            (found.verdict, found.customer), (KeyVerdict.ADMITTED, KEY_OWNER)
+            (admission.verdict, admission.customer), (KeyVerdict.ADMITTED, KEY_OWNER)
         )
 
     def test_missing_and_invalid_keys_are_denied(self):
@@ -133,9 +133,9 @@
         """Guards against a change of behaviour in deployments without customers."""
         self.routes.take(table(None, 2), 1.0)
         req = request((names.AUTHORIZATION, b"Basic x"), (names.CUSTOMER, b"y"))
-        found = self.gate.admit(req, KEYED_ROUTE, 1.0)
+        admission = self.gate.admit(req, KEYED_ROUTE, 1.0)
         self.assertEqual(
-            (found.verdict, found.keys_configured), (KeyVerdict.ADMITTED, False)
+            (admission.verdict, admission.keys_configured), (KeyVerdict.ADMITTED, False)
         )
         sent = CODEC.forward_headers(req, Dispatch(ReplicaName("i"), 1.0, 5))
         self.assertIn((names.AUTHORIZATION, b"Basic x"), sent)
@@ -147,8 +147,8 @@
 
     def test_a_key_is_one_word_after_the_scheme(self):
         for value in (b"Bearer " + KEY, b"bearer  " + KEY, b"BEARER\t" + KEY + b" "):
-            found = request((names.AUTHORIZATION, value))
-            self.assertEqual(found.key, ApiKey(KEY), value)
+            req = request((names.AUTHORIZATION, value))
+            self.assertEqual(req.key, ApiKey(KEY), value)
 
     def test_anything_else_is_no_key(self):
         for value in (
@@ -173,15 +173,15 @@
         routes = RouteHolder()
         routes.take(table(customer_keys((KEY, KEY_OWNER))), 0.0)
         req = request(*headers)
-        found = KeyGate(routes, PROPAGATION_SECONDS).admit(req, KEYED_ROUTE, 0.0)
+        admission = KeyGate(routes, PROPAGATION_SECONDS).admit(req, KEYED_ROUTE, 0.0)
         valid = [(names.AUTHORIZATION, b"Bearer " + KEY)]
         authorizations = [pair for pair in headers if pair[0] == names.AUTHORIZATION]
         if authorizations == valid:
-            self.assertIs(found.verdict, KeyVerdict.ADMITTED)
-        if found.verdict is not KeyVerdict.ADMITTED:
+            self.assertIs(admission.verdict, KeyVerdict.ADMITTED)
+        if admission.verdict is not KeyVerdict.ADMITTED:
             return
         self.assertEqual(len(authorizations), 1)
-        forwarded = CODEC.strip_key(req, found.customer.name)
+        forwarded = CODEC.strip_key(req, admission.customer.name)
         sent = CODEC.forward_headers(forwarded, Dispatch(ReplicaName("i"), 1.0, 5))
         sent_customers = [value for name, value in sent if name == names.CUSTOMER]
         self.assertEqual(sent_customers, [KEY_OWNER.name.encode()])
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -46,12 +46,12 @@
 
     def test_round_robin_rotates(self):
         policy = PLACEMENT_POLICIES["round-robin"](self.context)
-        found = [
+        placed = [
             policy.choose_prefill(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
             for _ in PREFILL_ENGINES
         ]
         self.assertEqual(
-            {rep.instance for rep in found}, {r.instance for r in PREFILL_ENGINES}
+            {rep.instance for rep in placed}, {r.instance for r in PREFILL_ENGINES}
         )
 
     def test_least_reported_uses_the_last_report(self):
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -192,7 +192,7 @@
             out = AnswerStream(responder, LoopClock())
             with trio.CancelScope() as scope:
                 scope.cancel()
-                await write(out, PlatformCodec().parse_answer_head(200, []))
+                await write(out, PlatformCodec().parse_response_head(200, []))
 
         async def task():
             near, far = pipe_pair()
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -955,8 +955,8 @@
     Proof(
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
-        "        closed = self._parts.throttle.closed(self._now())\n        avoided",
-        "        closed = []\n        avoided",
+        "        throttled = self._parts.throttle.closed(self._now())\n        avoided",
+        "        throttled = []\n        avoided",
         f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
     ),
     Proof(
