--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -105,7 +105,7 @@
         if now + choice.seconds > self._first_until:
             self._refuse(choice.seconds - self._kind.patience)
             return
-        place = choice.place
+        place = choice.placement
         self._reads += 1
         self._sent_at = now
         host.readings.sent(ask, choice, now)
--- a/berylshift/request/candidate_pool.py
+++ b/berylshift/request/candidate_pool.py
@@ -25,8 +25,10 @@
     def __init__(self, candidates: list[Candidate]):
         """Prepare for sampling; the candidates' weights must be above 0."""
         self.candidates = candidates
-        self._by_name = {item.row.name: item for item in candidates}
-        self._sums = list(accumulate(item.weight for item in candidates))
+        self._by_name = {candidate.row.name: candidate for candidate in candidates}
+        self._cumulative_weights = list(
+            accumulate(candidate.weight for candidate in candidates)
+        )
         self._ring: HashRing | None = None
 
     @property
@@ -44,9 +46,11 @@
             return rng.sample(self.candidates, len(self.candidates))
         sampled: dict[str, Candidate] = {}
         for _ in range(3 * count):
-            position = bisect(self._sums, rng.random() * self._sums[-1])
-            item = self.candidates[min(position, len(self.candidates) - 1)]
-            sampled[item.row.target] = item
+            position = bisect(
+                self._cumulative_weights, rng.random() * self._cumulative_weights[-1]
+            )
+            candidate = self.candidates[min(position, len(self.candidates) - 1)]
+            sampled[candidate.row.target] = candidate
             if len(sampled) == count:
                 break
         return list(sampled.values())
@@ -61,8 +65,8 @@
             return None
         if self._ring is None:
             nodes = {
-                item.row.name: {"weight": 1, "vnodes": VNODES_PER_TARGET}
-                for item in self.candidates
+                candidate.row.name: {"weight": 1, "vnodes": VNODES_PER_TARGET}
+                for candidate in self.candidates
             }
             self._ring = HashRing(nodes=nodes)
         return self._by_name[self._ring.get_node(str(prefix))]
@@ -74,10 +78,10 @@
     def __init__(self, candidates: list[Candidate], load: LoadView):
         """Group ``candidates`` by the roles in ``load``."""
         by_role: dict[Role, list[Candidate]] = {role: [] for role in Role}
-        for item in candidates:
-            is_service = item.row.kind is RowKind.SERVICE
-            role = Role.MIXED if is_service else load.role(item.row.name)
-            by_role[role].append(item)
+        for candidate in candidates:
+            is_service = candidate.row.kind is RowKind.SERVICE
+            role = Role.MIXED if is_service else load.role(candidate.row.name)
+            by_role[role].append(candidate)
         self.size = len(candidates)
         self.samplers = {
             role: CandidateSampler(items) for role, items in by_role.items()
@@ -95,10 +99,10 @@
 
     def get(self, table: Table, fleet: FleetName, work: WorkName) -> CandidatePool:
         """Return the pool for a fleet's model or service."""
-        current = (table.version, self._load.roles_version)
-        if current != self._pools_versions:
+        versions = (table.version, self._load.roles_version)
+        if versions != self._pools_versions:
             self._pools.clear()
-            self._pools_versions = current
+            self._pools_versions = versions
         pool = self._pools.get((fleet, work))
         if pool is None:
             pool = CandidatePool(table.candidates(fleet, work), self._load)
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -36,9 +36,9 @@
         no_target = TargetName("")
         self._add(request, kind, no_target, refusal.reason, refusal.estimates)
 
-    def failed(self, request: RequestId, target: TargetName, fault: str) -> None:
+    def failed(self, request: RequestId, target: TargetName, error: str) -> None:
         """Record a failed attempt."""
-        self._add(request, "failure", target, fault, [])
+        self._add(request, "failure", target, error, [])
 
     def ended(self, request: RequestId, ending: Ending) -> None:
         """Record how a request ended."""
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -29,7 +29,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request did not complete; the values are sent to callers."""
+    """Why a request ended as it did; the values are sent to callers."""
 
     OK = "ok"
     BAD_REQUEST = "bad request"
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -23,8 +23,8 @@
 from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.telling.peer_loads import PeerLoads
 
-# Shorter prefixes have no home engine: prefilling them again takes less time than a hop
-# to the home engine saves.
+# Shorter prefixes have no home engine: prefilling them again takes so little time that
+# a hop to a home engine is not worth it.
 HOME_TOKENS = 1000
 # Replicas considered per decision; in a larger pool this many are sampled. Two samples
 # already avoid long queues; a dozen make the longest ones unlikely.
@@ -71,7 +71,7 @@
 JITTER_SECONDS = 0.002
 
 
-class Reason(StrEnum):
+class PlacementReason(StrEnum):
     """Why a replica was chosen, as logged."""
 
     HOME = "home"
@@ -91,7 +91,7 @@
     """
 
     target: Replica
-    reason: Reason
+    reason: PlacementReason
     seconds: float
     tokens: int = 0
     cost: float = 0.0
@@ -127,7 +127,7 @@
     ) -> Placement | None:
         """Return the engine that should decode after ``prefill_engine``."""
 
-    def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
+    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
 
 
@@ -155,11 +155,11 @@
         self, pool: Pool, avoid: Iterable[InstanceId], now: float
     ) -> Placement | None:
         """Return the placement of a request without a prompt."""
-        places = [
+        placements = [
             self._plain_placement(rep, now)
             for rep in self._sample(_excluding(pool.replicas, avoid))
         ]
-        return min(places, key=lambda place: place.cost, default=None)
+        return min(placements, key=lambda placement: placement.cost, default=None)
 
     def choose_prefill(
         self,
@@ -175,11 +175,11 @@
         max_cached = max(
             (self._cached_tokens(rep, prompt) for rep in candidates), default=0
         )
-        places = [
+        placements = [
             self._prefill_placement(rep, prompt, urgency, homes, max_cached, now)
             for rep in _excluding(candidates, avoid)
         ]
-        best = min(places, key=lambda place: place.cost, default=None)
+        best = min(placements, key=lambda placement: placement.cost, default=None)
         if best is None or prompt.tokens > DIRECT_TOKENS:
             return best
         direct = self.choose_decode(pool, prompt, None, avoid, now)
@@ -200,11 +200,11 @@
 
         Without a prefill engine it prefills the prompt itself.
         """
-        places = [
+        placements = [
             self._decode_placement(rep, prompt, prefill_engine, now)
             for rep in self._sample(_excluding(pool.answerers, avoid))
         ]
-        return min(places, key=lambda place: place.cost, default=None)
+        return min(placements, key=lambda placement: placement.cost, default=None)
 
     def _homes(self, pool: Pool, prompt: Prompt) -> tuple[Replica, ...]:
         """Return the home engines of a prompt's prefix; a short prefix has none."""
@@ -266,7 +266,7 @@
 
     def _reason(
         self, replica: Replica, homes: tuple[Replica, ...], caches_all: bool
-    ) -> Reason:
+    ) -> PlacementReason:
         """Return why an engine is considered.
 
         An engine is warm only if it has all prefix blocks cached. The leading blocks
@@ -275,26 +275,30 @@
         would prefill that prefix again.
         """
         if homes and replica is homes[0]:
-            return Reason.HOME
+            return PlacementReason.HOME
         if homes and caches_all:
-            return Reason.WARM
-        return Reason.SECOND_HOME if replica in homes else Reason.LEAST_LOADED
+            return PlacementReason.WARM
+        return (
+            PlacementReason.SECOND_HOME
+            if replica in homes
+            else PlacementReason.LEAST_LOADED
+        )
 
     def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
         """Return the leading tokens of a prompt that an engine probably has cached."""
         cached = 0
-        room = self._speeds.memory_tokens(replica.service)
+        capacity_tokens = self._speeds.memory_tokens(replica.service)
         for block in prompt.prefix_blocks:
-            if not self._warm.keeps(block.id, replica.instance, room):
+            if not self._warm.keeps(block.id, replica.instance, capacity_tokens):
                 break
             cached += block.tokens
         return cached
 
-    def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
+    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._warm.sent(block.id, block.tokens, place.target.instance, now)
+                self._warm.sent(block.id, block.tokens, placement.target.instance, now)
 
     def _queued_tokens(self, replica: Replica, urgency: Urgency, now: float) -> float:
         """Return the known tokens that are prefilled before a new prompt."""
@@ -332,14 +336,16 @@
         )
         cost = seconds + self._distance_cost(replica, prompt.tokens)
         cost += self._failure_cost(replica, now)
-        return Placement(replica, Reason.LEAST_LOADED, seconds, tokens, cost, running)
+        return Placement(
+            replica, PlacementReason.LEAST_LOADED, seconds, tokens, cost, running
+        )
 
     def _plain_placement(self, replica: Replica, now: float) -> Placement:
         load = self._loads.of(replica.instance)
         request_count = self._running_requests(replica, load, now) + load.waiting(now)
         seconds = PLAIN_SECONDS * request_count / max(1, replica.slots)
         cost = seconds + self._distance_cost(replica) + self._failure_cost(replica, now)
-        return Placement(replica, Reason.LEAST_LOADED, seconds, 0, cost)
+        return Placement(replica, PlacementReason.LEAST_LOADED, seconds, 0, cost)
 
     def _running_requests(
         self, replica: Replica, load: TargetLoad, now: float
@@ -367,16 +373,18 @@
 
 
 def _cost_to_others(
-    prompt: Prompt, cached: int, max_cached: int, reason: Reason
+    prompt: Prompt, cached: int, max_cached: int, reason: PlacementReason
 ) -> float:
     """Return what a prefill costs other prompts, in tokens of prefill work."""
     min_tokens = prefill_work(prompt.tokens, max_cached)
     extra_tokens = SHARED_WEIGHT * (prefill_work(prompt.tokens, cached) - min_tokens)
     if prompt.prefix_tokens < HOME_TOKENS:
         return extra_tokens
-    if reason is Reason.SECOND_HOME:
+    if reason is PlacementReason.SECOND_HOME:
         return extra_tokens + SECOND_TOKENS
-    return extra_tokens + (AWAY_TOKENS if reason is Reason.LEAST_LOADED else 0.0)
+    return extra_tokens + (
+        AWAY_TOKENS if reason is PlacementReason.LEAST_LOADED else 0.0
+    )
 
 
 def prefill_work(tokens: int, cached: int) -> int:
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -9,7 +9,12 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.placement import Placement, Placer, Reason, prefill_work
+from berylshift.request.placement import (
+    Placement,
+    PlacementReason,
+    Placer,
+    prefill_work,
+)
 
 Pick = Callable[[list[Replica], float], Replica]
 
@@ -51,7 +56,7 @@
         work = 0 if prefill_engine is not None else prefill_work(prompt.tokens, 0)
         return self._place(pool.answerers, avoid, now, work)
 
-    def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
+    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Do nothing: the policy does not track prompts."""
 
     def _place(
@@ -65,7 +70,9 @@
         untried = [rep for rep in replicas if rep.instance not in tried]
         if not untried:
             return None
-        return Placement(self._pick(untried, now), Reason.LEAST_LOADED, 0.0, tokens)
+        return Placement(
+            self._pick(untried, now), PlacementReason.LEAST_LOADED, 0.0, tokens
+        )
 
 
 class RoundRobinPick:
@@ -108,5 +115,5 @@
     def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
         return 0
 
-    def note_sent(self, place: Placement, prompt: Prompt, now: float) -> None:
+    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Do nothing: cached prefixes are ignored."""
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -77,7 +77,7 @@
     async def prefill(
         self,
         request: RequestId,
-        place: Placement,
+        placement: Placement,
         urgency: Urgency,
         out: TargetRequest,
         seconds: float,
@@ -86,12 +86,14 @@
 
         The call times out after ``seconds``.
         """
-        instance = place.target.instance
-        self._loads.sent(instance, place.tokens, urgency)
+        instance = placement.target.instance
+        self._loads.sent(instance, placement.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as response:
-                    return await self._parse_response(request, place.target, response)
+                    return await self._parse_response(
+                        request, placement.target, response
+                    )
             return PrefillResult(SendEnd.SILENT)
         except ThrottledError:
             return PrefillResult(SendEnd.THROTTLED)
@@ -100,7 +102,7 @@
         except ConnectionLayerError:
             return PrefillResult(SendEnd.BROKEN)
         finally:
-            self._loads.read(instance, place.tokens, urgency)
+            self._loads.read(instance, placement.tokens, urgency)
             self._loads.ended(instance)
 
     async def _parse_response(
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -38,7 +38,7 @@
 class PrefillDecision(msgspec.Struct, frozen=True):
     """The engine to prefill a prompt, its SLO status and the seconds to first token."""
 
-    place: Placement
+    placement: Placement
     slo_status: SloStatus
     seconds: float
 
@@ -67,22 +67,22 @@
         A prompt that would be late even ahead of all less urgent prompts is queued
         behind those that can be on time.
         """
-        place = self._place(job, SloStatus.ON_TIME, now)
-        if place is None:
+        placement = self._place(job, SloStatus.ON_TIME, now)
+        if placement is None:
             return None
-        seconds = place.seconds + self._decode_seconds(job, place, now)
+        seconds = placement.seconds + self._decode_seconds(job, placement, now)
         if slo_status_of(job.route, job.waited_seconds + seconds) is SloStatus.ON_TIME:
-            return PrefillDecision(place, SloStatus.ON_TIME, seconds)
-        place = self._place(job, SloStatus.LATE, now) or place
-        wait = late_prefill_seconds(place.seconds, self._on_time_share(job, now))
-        seconds = wait + self._decode_seconds(job, place, now)
-        return PrefillDecision(place, SloStatus.LATE, seconds)
+            return PrefillDecision(placement, SloStatus.ON_TIME, seconds)
+        placement = self._place(job, SloStatus.LATE, now) or placement
+        wait = late_prefill_seconds(placement.seconds, self._on_time_share(job, now))
+        seconds = wait + self._decode_seconds(job, placement, now)
+        return PrefillDecision(placement, SloStatus.LATE, seconds)
 
     def sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
         """Record that a prompt is sent as decided."""
-        self._placer.note_sent(decision.place, job.prompt, now)
+        self._placer.note_sent(decision.placement, job.prompt, now)
         if decision.slo_status is SloStatus.ON_TIME:
-            self._flow.sent(job.service, decision.place.tokens, now)
+            self._flow.sent(job.service, decision.placement.tokens, now)
 
     def _place(
         self, job: PrefillJob, slo_status: SloStatus, now: float
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -134,7 +134,7 @@
         """Return whose time ended the request."""
         if self._parts.shutdown.comes_before(self._until - ANSWER_SECONDS):
             return TimeoutSource.STOP
-        return self._allowance.bound
+        return self._allowance.source
 
     def _hopeless(self, exc: HopelessError) -> Result:
         """Return the end of a request that no engine can answer in time.
@@ -279,8 +279,8 @@
             if self._reads and not self._budget.take(self._now()):
                 return False
             self._parts.readings.sent(self._ask(prompt, tried), choice, self._now())
-            tried.append(choice.place.target.instance)
-            end = await self._read_at(choice.place)
+            tried.append(choice.placement.target.instance)
+            end = await self._read_at(choice.placement)
             if end is SendEnd.DONE:
                 return True
             if self._reads == 1 and end not in NEVER_SENT:
--- a/berylshift/request/request_timeout.py
+++ b/berylshift/request/request_timeout.py
@@ -9,7 +9,7 @@
 
 
 class TimeoutSource(StrEnum):
-    """Which limit ends a request."""
+    """What ends a request that runs out of time; ``STOP`` is this host's shutdown."""
 
     CALLER = "caller"
     ROUTE = "route"
@@ -20,7 +20,7 @@
     """The seconds that a request may take from its arrival, and what sets them."""
 
     seconds: float
-    bound: TimeoutSource
+    source: TimeoutSource
 
 
 def request_timeout(route: Route, req: RoutedRequest) -> RequestTimeout:
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -16,8 +16,8 @@
     BEGUN_TOKENS,
     DIRECT_TOKENS,
     LOOKED_AT,
+    PlacementReason,
     Placer,
-    Reason,
     prefill_work,
 )
 
@@ -39,7 +39,7 @@
 DECODE_ENGINES = [replica(n, EnginePhase.DECODE) for n in range(11, 14)]
 ENGINES = PREFILL_ENGINES + DECODE_ENGINES
 
-LEAST_LOADED = Reason.LEAST_LOADED
+LEAST_LOADED = PlacementReason.LEAST_LOADED
 
 
 def home_of(wanted: Prompt, prefill_engines: list[Replica]) -> Replica:
@@ -113,20 +113,20 @@
 
     def fill_home_cache(self) -> Replica:
         """Send a prompt to its home engine, which is returned."""
-        place = self.choose_prefill(prompt())
-        self.placer.note_sent(place, prompt(), 0.0)
-        return place.target
+        placement = self.choose_prefill(prompt())
+        self.placer.note_sent(placement, prompt(), 0.0)
+        return placement.target
 
     def test_an_uncached_prefix_goes_to_its_home_engine(self):
-        place = self.choose_prefill(prompt())
-        self.assertEqual(place.target, home_of(prompt(), PREFILL_ENGINES))
-        self.assertEqual(place.tokens, prefill_work(16_000, 0))
+        placement = self.choose_prefill(prompt())
+        self.assertEqual(placement.target, home_of(prompt(), PREFILL_ENGINES))
+        self.assertEqual(placement.tokens, prefill_work(16_000, 0))
 
     def test_a_prefix_that_was_sent_counts_as_cached(self):
         """Also at the home engine: one that has just become home has cached nothing."""
         home = self.fill_home_cache()
         again = self.choose_prefill(prompt())
-        self.assertEqual((again.target, again.reason), (home, Reason.HOME))
+        self.assertEqual((again.target, again.reason), (home, PlacementReason.HOME))
         self.assertEqual(again.tokens, prefill_work(16_000, 13_000))
 
     def test_a_normal_queue_does_not_move_a_prompt(self):
@@ -138,18 +138,20 @@
     def test_a_queue_of_seconds_moves_a_prompt(self):
         home = self.fill_home_cache()
         self.report_queue(home.instance, 200_000)
-        place = self.choose_prefill(prompt())
-        self.assertNotEqual(place.target, home)
-        self.assertIs(place.reason, Reason.SECOND_HOME)
+        placement = self.choose_prefill(prompt())
+        self.assertNotEqual(placement.target, home)
+        self.assertIs(placement.reason, PlacementReason.SECOND_HOME)
 
     def test_a_spilled_prefix_is_cached_where_it_was_sent(self):
         home = self.fill_home_cache()
         self.report_queue(home.instance, 200_000)
-        place = self.choose_prefill(prompt())
-        self.placer.note_sent(place, prompt(), 0.0)
+        placement = self.choose_prefill(prompt())
+        self.placer.note_sent(placement, prompt(), 0.0)
         again = self.choose_prefill(prompt())
-        self.assertEqual((again.target, again.reason), (place.target, Reason.WARM))
-        self.assertLess(again.tokens, place.tokens / 2)
+        self.assertEqual(
+            (again.target, again.reason), (placement.target, PlacementReason.WARM)
+        )
+        self.assertLess(again.tokens, placement.tokens / 2)
 
     def test_leading_blocks_alone_are_cached_too(self):
         root = PromptBlock("root", 2_500)
@@ -159,10 +161,10 @@
         two = Prompt(
             (root, PromptBlock("b", 4_000), PromptBlock("y", 1_000)), 7_500, 80
         )
-        place = self.choose_prefill(one)
-        self.placer.note_sent(place, one, 0.0)
+        placement = self.choose_prefill(one)
+        self.placer.note_sent(placement, one, 0.0)
         other = self.placer.choose_prefill(
-            Pool([place.target]), two, Urgency.USUAL, (), 0.0
+            Pool([placement.target]), two, Urgency.USUAL, (), 0.0
         )
         self.assertEqual(other.tokens, prefill_work(7_500, 2_500))
 
@@ -179,8 +181,10 @@
         for engine in PREFILL_ENGINES:
             self.warm.sent("root", 2_500, engine.instance, 0.0)
         self.report_queue(home.instance, 5_000)
-        place = self.choose_prefill(wanted)
-        self.assertEqual((place.target, place.reason), (home, Reason.HOME))
+        placement = self.choose_prefill(wanted)
+        self.assertEqual(
+            (placement.target, placement.reason), (home, PlacementReason.HOME)
+        )
 
     def test_load_of_silent_hosts_expires(self):
         home = self.fill_home_cache()
@@ -202,10 +206,10 @@
         engines = PREFILL_ENGINES[:2]
         self.loads.sent(engines[0].instance, 20_000, Urgency.PATIENT)
         short = prompt("p9", prefix_tokens=200, own_tokens=2_500)
-        place = self.placer.choose_prefill(
+        placement = self.placer.choose_prefill(
             Pool(engines), short, Urgency.URGENT, (), 0.0
         )
-        self.assertIs(place.target, engines[1])
+        self.assertIs(placement.target, engines[1])
 
 
 class LargePoolTest(PlacerTestCase):
@@ -217,15 +221,17 @@
         pool = Pool(self.LARGE_POOL)
         for number in range(50):
             wanted = prompt(f"p{number}")
-            place = self.placer.choose_prefill(pool, wanted, Urgency.USUAL, (), 0.0)
-            self.assertIs(place.reason, Reason.HOME)
+            placement = self.placer.choose_prefill(pool, wanted, Urgency.USUAL, (), 0.0)
+            self.assertIs(placement.reason, PlacementReason.HOME)
 
     def test_engines_with_the_prefix_cached_are_candidates(self):
         home = home_of(prompt(), self.LARGE_POOL)
         caching_engine = next(rep for rep in self.LARGE_POOL if rep != home)
         self.warm.sent("p1", 13_000, caching_engine.instance, 0.0)
-        place = self.choose_prefill(prompt(), engines=self.LARGE_POOL)
-        self.assertEqual((place.target, place.reason), (caching_engine, Reason.WARM))
+        placement = self.choose_prefill(prompt(), engines=self.LARGE_POOL)
+        self.assertEqual(
+            (placement.target, placement.reason), (caching_engine, PlacementReason.WARM)
+        )
 
     def test_the_other_candidates_are_a_sample(self):
         candidates = self.placer._candidates(Pool(self.LARGE_POOL), prompt(), ())
@@ -255,8 +261,10 @@
 
     def test_without_prefill_engines_the_decode_engine_prefills(self):
         self.assertIsNone(self.choose_prefill(prompt(), engines=DECODE_ENGINES))
-        place = self.placer.choose_decode(Pool(DECODE_ENGINES), prompt(), None, (), 0.0)
-        self.assertEqual(place.tokens, prefill_work(16_000, 0))
+        placement = self.placer.choose_decode(
+            Pool(DECODE_ENGINES), prompt(), None, (), 0.0
+        )
+        self.assertEqual(placement.tokens, prefill_work(16_000, 0))
 
 
 class DecodeEngineTest(PlacerTestCase):
@@ -266,25 +274,25 @@
         for engine in DECODE_ENGINES[:-1]:
             for _ in range(10):
                 self.loads.sent(engine.instance, 0, Urgency.USUAL)
-        place = self.placer.choose_decode(
+        placement = self.placer.choose_decode(
             Pool(ENGINES), prompt(), PREFILL_ENGINES[0], (), 0.0
         )
-        self.assertEqual(place.target, DECODE_ENGINES[-1])
+        self.assertEqual(placement.target, DECODE_ENGINES[-1])
 
     def test_same_domain_as_the_cache(self):
         far = replica(21, EnginePhase.DECODE, "d2")
         near = replica(22, EnginePhase.DECODE, "d1")
-        place = self.placer.choose_decode(
+        placement = self.placer.choose_decode(
             Pool([far, near]), prompt(), PREFILL_ENGINES[0], (), 0.0
         )
-        self.assertEqual(place.target, near)
+        self.assertEqual(placement.target, near)
 
     def test_engines_that_were_tried_are_excluded(self):
         tried = [engine.instance for engine in DECODE_ENGINES]
-        place = self.placer.choose_decode(
+        placement = self.placer.choose_decode(
             Pool(ENGINES), prompt(), PREFILL_ENGINES[0], tried, 0.0
         )
-        self.assertIsNone(place)
+        self.assertIsNone(placement)
 
 
 class DistanceTest(PlacerTestCase):
@@ -296,10 +304,10 @@
         for _ in range(running):
             self.loads.sent(near.instance, 0, Urgency.USUAL)
         prefill_engine = replica(3, EnginePhase.PREFILL, "d3")
-        place = self.placer.choose_decode(
+        placement = self.placer.choose_decode(
             Pool([near, far]), wanted, prefill_engine, (), 0.0
         )
-        return place, place.target is near
+        return placement, placement.target is near
 
     def test_a_long_prompt_stays_in_its_domain_where_a_short_one_leaves(self):
         short, stays_short = self.choose_decode(
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -58,8 +58,10 @@
         for number, rep in enumerate(DECODE_ENGINES):
             self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         policy = PLACEMENT_POLICIES["least-reported"](self.context)
-        place = policy.choose_decode(self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0)
-        self.assertIs(place.target, DECODE_ENGINES[-1])
+        placement = policy.choose_decode(
+            self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0
+        )
+        self.assertIs(placement.target, DECODE_ENGINES[-1])
 
     def test_without_homes_a_cached_prefix_attracts_no_prompt(self):
         policy = PLACEMENT_POLICIES["no-homes"](self.context)
@@ -68,8 +70,8 @@
         for block in wanted.prefix_blocks:
             self.context.warm.sent(block.id, block.tokens, home.instance, 0.0)
         self.loads.sent(home.instance, 5_000, Urgency.USUAL)
-        place = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
-        self.assertIsNot(place.target, home)
+        placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
+        self.assertIsNot(placement.target, home)
         self.assertIs(self.choose_prefill("warm", wanted).target, home)
 
     def test_tried_replicas_are_excluded(self):
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -52,7 +52,7 @@
             if decision.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
             self.scheduler.sent(job, decision, self.now)
-            self.loads.sent(PREFILL_ENGINE.instance, decision.place.tokens, urgency)
+            self.loads.sent(PREFILL_ENGINE.instance, decision.placement.tokens, urgency)
         return decision
 
     def test_the_first_of_a_burst_are_on_time_and_the_last_are_refused(self):
@@ -83,8 +83,10 @@
         self.setUp()
         job = PrefillJob(ROUTE, "s", POOL, prompt(), 0.0)
         for _ in range(40):
-            place = self.scheduler.choose(job, self.now).place
-            self.scheduler.sent(job, PrefillDecision(place, slo_status, 0.0), self.now)
+            placement = self.scheduler.choose(job, self.now).placement
+            self.scheduler.sent(
+                job, PrefillDecision(placement, slo_status, 0.0), self.now
+            )
         self.loads.sent(PREFILL_ENGINE.instance, 2 * HALF_SECOND_TOKENS, Urgency.URGENT)
         return self.arrive().seconds
 
--- a/berylshift/tests/test_request_timeout.py
+++ b/berylshift/tests/test_request_timeout.py
@@ -15,7 +15,7 @@
     def timeout_for(self, seconds_left):
         req = RoutedRequest(RequestId("r1"), b"POST", b"/", (), None, seconds_left)
         timeout = request_timeout(route("look", RouteKind.IDEMPOTENT, timeout=4.0), req)
-        return timeout.seconds, timeout.bound
+        return timeout.seconds, timeout.source
 
     def test_the_shorter_timeout_applies(self):
         self.assertEqual(self.timeout_for(1.5), (1.5, TimeoutSource.CALLER))
