--- a/berylshift/platform/exchange.py
+++ b/berylshift/platform/exchange.py
@@ -1,26 +1,26 @@
 """Callers' and replicas' headers, turned into typed messages and back."""
 
-import msgspec
-
-from berylshift.ids import CustomerName, PartId, ReplicaName, RequestId
+from berylshift.ids import CustomerName
+from berylshift.ids import PartId
+from berylshift.ids import ReplicaName
+from berylshift.ids import RequestId
 from berylshift.messages.retry_after import parse_retry_after
-from berylshift.messages.routed import (
-    AnswerHead,
-    Body,
-    ControlCall,
-    Dispatch,
-    FlowControl,
-    Header,
-    KvHandle,
-    Prompt,
-    PromptBlock,
-    ReportedLoad,
-    RoutedRequest,
-)
+from berylshift.messages.routed import Body
+from berylshift.messages.routed import ControlCall
+from berylshift.messages.routed import Dispatch
+from berylshift.messages.routed import FlowControl
+from berylshift.messages.routed import Header
+from berylshift.messages.routed import KvHandle
+from berylshift.messages.routed import Prompt
+from berylshift.messages.routed import PromptBlock
+from berylshift.messages.routed import ReportedLoad
+from berylshift.messages.routed import ResponseHead
+from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
 from berylshift.platform.unknown_headers import UnknownHeaders
 from berylshift.request.errors import BadRequestError
 from berylshift.version.customers import ApiKey
+import msgspec
 
 # Headers that concern one connection only (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
@@ -122,19 +122,19 @@
             headers.append((names.KV_SOURCE, dispatch.kv_source.encode()))
         return headers
 
-    def parse_answer_head(self, status: int, headers: list[Header]) -> AnswerHead:
+    def parse_response_head(self, status: int, headers: list[Header]) -> ResponseHead:
         """Return the head of a replica's answer."""
         found = dict(headers)
         echoed = found.get(names.ATTEMPT_ID)
         request = None if echoed is None else RequestId(echoed.decode("latin-1"))
         self._unknown.note(headers, request)
-        return AnswerHead(
+        return ResponseHead(
             status=status,
             request=request,
             genuine=names.SIGNATURE in found and b"content-encoding" not in found,
             not_run=names.NOT_RUN in found or status == STATUS_WRONG_INSTANCE,
             load=_load(found.get(names.LOAD)),
-            keep_seconds=_keep_seconds(found.get(b"keep-alive")),
+            keep_alive_seconds=_keep_seconds(found.get(b"keep-alive")),
             headers=tuple(header for header in headers if header[0] not in HOP_BY_HOP),
             length=_length(found.get(b"content-length")),
         )
--- a/berylshift/request/crash_watch_factory.py
+++ b/berylshift/request/crash_watch_factory.py
@@ -1,14 +1,15 @@
 """Creates crash watches for calls of the native API."""
 
-from dataclasses import dataclass
-
 from berylshift.clock import Clock
-from berylshift.ids import InstanceId, TargetName
+from berylshift.ids import InstanceId
+from berylshift.ids import TargetName
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.request.crash_watch import CrashWatch
 from berylshift.request.fingerprint import RequestFingerprinter
-from berylshift.request.messages import ModelCall, PlainCall
+from berylshift.request.messages import ModelCall
+from berylshift.request.messages import PlainCall
+from dataclasses import dataclass
 
 
 @dataclass
@@ -25,9 +26,7 @@
         caller = call.caller
         fields = (caller.fleet, caller.customer, call.model, str(call.max_tokens))
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.fingerprint_call(
-            fields, call.prompt.encode()
-        )
+        watch.fingerprint = self.fingerprints.hash_call(fields, call.prompt.encode())
         return watch
 
     def for_service_call(self, call: PlainCall) -> CrashWatch:
@@ -45,7 +44,7 @@
             call.path,
         )
         watch = CrashWatch(self.quarantine, self.clock, call.request)
-        watch.fingerprint = self.fingerprints.fingerprint_call(fields, call.body)
+        watch.fingerprint = self.fingerprints.hash_call(fields, call.body)
         return watch
 
     def instance_id(self, target: TargetName) -> InstanceId:
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -1,22 +1,12 @@
 """Disaggregated prefill: one engine prefills a prompt, another one decodes it."""
 
-import logging
-from collections.abc import Callable
-
-import msgspec
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.errors import (
-    ConnectFailedError,
-    ConnectionLayerError,
-    ThrottledError,
-)
-from berylshift.connection.target_client import (
-    TargetAnswer,
-    TargetClient,
-    TargetRequest,
-)
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.errors import ThrottledError
+from berylshift.connection.target_client import TargetAnswer
+from berylshift.connection.target_client import TargetClient
+from berylshift.connection.target_client import TargetRequest
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -24,6 +14,10 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
 from berylshift.request.retry_policy import AttemptOutcome
+from collections.abc import Callable
+import logging
+import msgspec
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -77,7 +71,7 @@
     async def prefill(
         self,
         request: RequestId,
-        place: Placement,
+        placement: Placement,
         urgency: Urgency,
         out: TargetRequest,
         seconds: float,
@@ -86,12 +80,14 @@
 
         The call times out after ``seconds``.
         """
-        instance = place.target.instance
-        self._loads.sent(instance, place.tokens, urgency)
+        instance = placement.target.instance
+        self._loads.sent(instance, placement.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
-                async with self._client.exchange(out) as answer:
-                    return await self._parse_response(request, place.target, answer)
+                async with self._client.exchange(out) as response:
+                    return await self._parse_response(
+                        request, placement.target, response
+                    )
             return PrefillResult(AttemptOutcome.SILENT)
         except ThrottledError:
             return PrefillResult(AttemptOutcome.THROTTLED)
@@ -100,23 +96,23 @@
         except ConnectionLayerError:
             return PrefillResult(AttemptOutcome.BROKEN)
         finally:
-            self._loads.read(instance, place.tokens, urgency)
+            self._loads.read(instance, placement.tokens, urgency)
             self._loads.ended(instance)
 
     async def _parse_response(
-        self, request: RequestId, engine: Replica, answer: TargetAnswer
+        self, request: RequestId, engine: Replica, response: TargetAnswer
     ) -> PrefillResult:
-        head = self._codec.parse_answer_head(answer.status, answer.headers)
+        head = self._codec.parse_response_head(response.status, response.headers)
         if head.request is not None and head.request != request:
             # A late response to an earlier request on a reused connection.
-            answer.usable = False
+            response.usable = False
             return PrefillResult(AttemptOutcome.BROKEN)
-        if head.keep_seconds is not None:
-            answer.keep_seconds = head.keep_seconds
+        if head.keep_alive_seconds is not None:
+            response.keep_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._clock.monotonic()
             self._loads.heard(engine.instance, head.load, now)
-        body = await answer.read(MAX_CONTROL_BYTES)
+        body = await response.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(
                 AttemptOutcome.NOT_RUN if head.not_run else AttemptOutcome.FAILED
@@ -138,8 +134,8 @@
     async def _send_release(self, out: TargetRequest) -> None:
         with trio.move_on_after(RELEASE_SECONDS):
             try:
-                async with self._client.exchange(out) as answer:
-                    await answer.read(MAX_CONTROL_BYTES)
+                async with self._client.exchange(out) as response:
+                    await response.read(MAX_CONTROL_BYTES)
             except ConnectionLayerError as exc:
                 logger.info(
                     "KV cache not released",
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -1,24 +1,28 @@
 """One exchange with a replica: sends the request and relays the response."""
 
-from contextlib import AsyncExitStack, aclosing
-
-import msgspec
-
-from berylshift.connection.errors import (
-    ConnectFailedError,
-    ConnectionLayerError,
-    ThrottledError,
-)
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
-from berylshift.connection.target_client import TargetAnswer, TargetRequest
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.errors import ThrottledError
+from berylshift.connection.silence import NEVER
+from berylshift.connection.silence import SilenceLimit
+from berylshift.connection.silence import SilentError
+from berylshift.connection.target_client import TargetAnswer
+from berylshift.connection.target_client import TargetRequest
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
-from berylshift.messages.routed import AnswerHead, RoutedRequest
+from berylshift.messages.routed import ResponseHead
+from berylshift.messages.routed import RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.response_stream import ResponseStream, StreamBrokenError
-from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome
-from berylshift.version.routes import Route, RouteKind
+from berylshift.request.response_stream import ResponseStream
+from berylshift.request.response_stream import StreamBrokenError
+from berylshift.request.retry_policy import AttemptHistory
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.version.routes import Route
+from berylshift.version.routes import RouteKind
+from contextlib import AsyncExitStack
+from contextlib import aclosing
+import msgspec
 
 MIN_ERROR_STATUS = 400
 MIN_SERVER_ERROR_STATUS = 500
@@ -39,7 +43,7 @@
 class FailedResponse(msgspec.Struct, frozen=True):
     """An error response of a replica, which may be forwarded as it is."""
 
-    head: AnswerHead
+    head: ResponseHead
     body: bytes
 
 
@@ -137,15 +141,17 @@
         limit: SilenceLimit,
         prefill: PendingPrefill,
     ) -> AttemptOutcome:
-        head = self._deps.codec.parse_answer_head(answer.status, answer.headers)
+        head = self._deps.codec.parse_response_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
             await limit.bound(answer.skip())
-            head = self._deps.codec.parse_answer_head(answer.status, answer.headers)
+            head = self._deps.codec.parse_response_head(
+                answer.status, answer.headers
+            )
         if head.request is not None and head.request != self._req.id:
             answer.usable = False
             return AttemptOutcome.BROKEN
-        if head.keep_seconds is not None:
-            answer.keep_seconds = head.keep_seconds
+        if head.keep_alive_seconds is not None:
+            answer.keep_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._deps.clock.monotonic()
             self._deps.loads.heard(instance, head.load, now)
@@ -161,7 +167,7 @@
         return await self._receive_body(answer, head, limit)
 
     async def _receive_body(
-        self, answer: TargetAnswer, head: AnswerHead, limit: SilenceLimit
+        self, answer: TargetAnswer, head: ResponseHead, limit: SilenceLimit
     ) -> AttemptOutcome:
         body = await limit.bound(answer.read(MAX_BUFFERED_BODY_BYTES))
         if head.status >= MIN_SERVER_ERROR_STATUS or self._out.started:
@@ -173,7 +179,7 @@
     async def _receive_stream(
         self,
         answer: TargetAnswer,
-        head: AnswerHead,
+        head: ResponseHead,
         limit: SilenceLimit,
         prefill: PendingPrefill,
     ) -> AttemptOutcome:
--- a/berylshift/request/response_stream.py
+++ b/berylshift/request/response_stream.py
@@ -2,8 +2,9 @@
 
 from berylshift.clock import Clock
 from berylshift.connection.responder import Responder
-from berylshift.messages.routed import AnswerHead
-from berylshift.request.event_splitter import EventSplitter, EventTooLongError
+from berylshift.messages.routed import ResponseHead
+from berylshift.request.event_splitter import EventSplitter
+from berylshift.request.event_splitter import EventTooLongError
 
 
 class StreamBrokenError(Exception):
@@ -21,7 +22,7 @@
         """Write to ``responder``."""
         self._responder = responder
         self._clock = clock
-        self._head: AnswerHead | None = None
+        self._head: ResponseHead | None = None
         self._splitter = EventSplitter()
         self.started = False
         self.last_event_id: bytes | None = None
@@ -34,12 +35,12 @@
         """Let no write last beyond ``until`` on the event loop's clock."""
         self._responder.late_until = until
 
-    async def send_full(self, head: AnswerHead, body: bytes) -> None:
+    async def send_full(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response."""
         self.started = True
         await self._responder.full_raw(head.status, list(head.headers), body)
 
-    def set_head(self, head: AnswerHead) -> None:
+    def set_head(self, head: ResponseHead) -> None:
         """Set the head of a stream; a resumed stream keeps its first head."""
         self._splitter = EventSplitter()
         if self._head is None or not self.started:
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -1,8 +1,5 @@
 """The baseline placement policies do only what their names say."""
 
-import random
-import unittest
-
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.pools import Pool
@@ -10,14 +7,15 @@
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.warm_parts import WarmParts
-from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES
+from berylshift.request.placement_policies import PlacementContext
 from berylshift.settings import CHOICES
-from berylshift.tests.test_request_placement import (
-    DECODE_ENGINES,
-    ENGINES,
-    PREFILL_ENGINES,
-    prompt,
-)
+from berylshift.tests.test_request_placement import DECODE_ENGINES
+from berylshift.tests.test_request_placement import ENGINES
+from berylshift.tests.test_request_placement import PREFILL_ENGINES
+from berylshift.tests.test_request_placement import prompt
+import random
+import unittest
 
 
 class BaselineTest(unittest.TestCase):
@@ -46,20 +44,22 @@
 
     def test_round_robin_rotates(self):
         policy = PLACEMENT_POLICIES["round-robin"](self.context)
-        found = [
+        placed = [
             policy.choose_prefill(self.pool, prompt(), Urgency.USUAL, (), 0.0).target
             for _ in PREFILL_ENGINES
         ]
         self.assertEqual(
-            {rep.instance for rep in found}, {r.instance for r in PREFILL_ENGINES}
+            {rep.instance for rep in placed}, {r.instance for r in PREFILL_ENGINES}
         )
 
     def test_least_reported_uses_the_last_report(self):
         for number, rep in enumerate(DECODE_ENGINES):
             self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         policy = PLACEMENT_POLICIES["least-reported"](self.context)
-        place = policy.choose_decode(self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0)
-        self.assertIs(place.target, DECODE_ENGINES[-1])
+        placement = policy.choose_decode(
+            self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0
+        )
+        self.assertIs(placement.target, DECODE_ENGINES[-1])
 
     def test_without_homes_a_cached_prefix_attracts_no_prompt(self):
         policy = PLACEMENT_POLICIES["no-homes"](self.context)
@@ -68,8 +68,8 @@
         for block in wanted.prefix_blocks:
             self.context.warm.sent(block.id, block.tokens, home.instance, 0.0)
         self.loads.sent(home.instance, 5_000, Urgency.USUAL)
-        place = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
-        self.assertIsNot(place.target, home)
+        placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
+        self.assertIsNot(placement.target, home)
         self.assertIs(self.choose_prefill("warm", wanted).target, home)
 
     def test_tried_replicas_are_excluded(self):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -4,12 +4,12 @@
 berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
 """
 
+from dataclasses import dataclass
+from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
-from dataclasses import dataclass
-from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
@@ -52,14 +52,14 @@
         "request/relay.py",
         "not self._out.started and not self._is_key_valid()",
         "False",
-        f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
+        f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
         "a stream that has begun is finished for any key",
         "request/relay.py",
         "not self._out.started and not self._is_key_valid()",
         "not self._is_key_valid()",
-        f"{KEYS}.ChangeTest.test_a_stream_that_has_begun_is_finished",
+        f"{KEYS}.KeyChangeTest.test_a_started_stream_is_completed",
     ),
     Proof(
         "two keys in one request are none",
@@ -129,7 +129,7 @@
         "request/isolation.py",
         "return ranked[: max(1, len(remaining) // REPLICAS_PER_ISOLATION_REPLICA)]",
         "return ranked",
-        f"{ISOLATION}.SuspectsTest.test_streams_of_an_ended_engine_go_on_at_one_engine",
+        f"{ISOLATION}.SuspectsTest.test_streams_of_a_crashed_engine_resume_on_one_engine",
     ),
     Proof(
         "the last engine takes no suspect",
@@ -728,7 +728,7 @@
         " meanwhile.\n"
         "            self._check_allowed()\n",
         "",
-        f"{KEYS}.ChangeTest.test_a_request_that_waits_is_judged_again",
+        f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
         "two replicas are enough",
@@ -813,7 +813,7 @@
         "key=self._key",
         'key=b""',
         "test_request_fingerprint.FingerprintTest."
-        "test_nobody_without_the_key_can_tell_them_beforehand",
+        "test_fingerprints_cannot_be_predicted_without_the_key",
     ),
     Proof(
         "the store keeps what all hosts may forget",
@@ -961,8 +961,8 @@
     Proof(
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
-        "        closed = self._parts.throttle.closed(self._now())\n        avoided",
-        "        closed = []\n        avoided",
+        "        throttled = self._parts.throttle.closed(self._now())\n        avoided",
+        "        throttled = []\n        avoided",
         f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
     ),
     Proof(
