--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -1,4 +1,4 @@
-"""Whole-path tests: every caller gets the whole answer to its own request."""
+"""End-to-end tests: every caller gets the complete response to its own request."""
 
 import unittest
 
@@ -25,15 +25,15 @@
 
 
 class AssemblyTest(unittest.TestCase):
-    """Chunks that come late, crossed, twice or with gaps."""
+    """Chunks that arrive late, out of order, twice or with gaps."""
 
     def setUp(self):
         self.answer = ResponseAssembler()
         self.answer.begin_attempt(AttemptId("a1"))
 
-    def test_late_chunk_of_another_attempt_is_foreign(self):
-        # The first attempt was given up, its connection is reused, and its late
-        # chunk arrives first. The caller would see text of another answer.
+    def test_late_chunk_of_another_attempt_is_rejected(self):
+        # The first attempt was abandoned, its connection is reused, and its late chunk
+        # arrives first. The caller would see text of another response.
         self.answer.begin_attempt(AttemptId("a2"))
         self.assertIs(self.answer.add(chunk("a1", 0, "x")), ChunkStatus.OTHER_ATTEMPT)
         self.assertEqual(self.answer.full_text(), "")
@@ -53,17 +53,17 @@
         self.assertIs(self.answer.add(chunk("a1", 0, end=2)), ChunkStatus.TRUNCATED)
         self.assertIs(self.answer.add(chunk("a1", 0, end=1)), ChunkStatus.COMPLETE)
 
-    def test_text_is_passed_on_once(self):
+    def test_text_is_forwarded_once(self):
         self.answer.add(chunk("a1", 0, "a"))
         self.assertEqual(self.answer.take_new_text(), "a")
         self.assertEqual(self.answer.take_new_text(), "")
 
 
 class StreamFailureTest(unittest.TestCase):
-    """Engines and hosts that fail in the middle of an answer."""
+    """Engines and hosts that fail in the middle of a response."""
 
     def one_call(self, fail, rows=None, **call):
-        """Start a call, bring ``fail(world, engine)`` about, return its end."""
+        """Start a call, run ``fail(world, engine)``, return how the call ended."""
         results = []
 
         async def task(world):
@@ -88,17 +88,16 @@
         self.assertEqual(text, answer)
 
     def test_engine_killed_in_mid_stream(self):
-        # The caller has read about forty tokens when the engine dies. The rest
-        # comes from another engine, from the next token on; nothing twice.
+        # The caller has received about 40 tokens when the engine crashes. Another
+        # engine resumes at the next token.
         async def fail(world, engine):
             engine.crash(trio.current_time())
 
         self.assert_whole(self.one_call(fail))
 
-    def test_begun_answer_is_finished_although_retries_are_spent(self):
-        # Other requests have used up the budget for retries when the engine dies.
-        # The caller holds a part of its answer: the rest still comes, since ending
-        # it here would leave the caller with a cut answer.
+    def test_started_response_is_finished_when_the_retry_budget_is_spent(self):
+        # Other requests have spent the retry budget when the engine crashes. The
+        # response has started and is still resumed, since it would be truncated.
         async def fail(world, engine):
             retries = world.hosts["host-1"].app.handler._deps.completions.retries
             while retries.take(trio.current_time()):
@@ -107,9 +106,9 @@
 
         self.assert_whole(self.one_call(fail))
 
-    def test_both_engines_killed_one_after_the_other_and_back(self):
-        # Both engines die while the answer is under way. The host waits and
-        # finishes when one is back: the caller holds a half that must not be lost.
+    def test_both_engines_killed_and_restarted(self):
+        # Both engines crash in mid-response. The host waits for one to restart and
+        # resumes: the caller must not lose the part it has received.
         async def fail(world, engine):
             for each in world.engines.values():
                 each.crash(trio.current_time())
@@ -120,24 +119,24 @@
         self.assert_whole(self.one_call(fail))
 
     def test_link_to_the_engine_cut_in_mid_stream(self):
-        # No error comes: the stream just stops. After the token time-out the
-        # answer goes on elsewhere.
+        # The stream stops without an error. After the token timeout the response is
+        # resumed elsewhere.
         async def fail(world, engine):
             world.network.cut("host-1", engine.name)
 
         self.assert_whole(self.one_call(fail))
 
-    def test_role_order_of_a_stranger_cuts_the_engine(self):
-        # Something else orders the engine to change in mid-stream. The cut stream
-        # is resumed; the caller sees a pause.
+    def test_foreign_role_order_interrupts_the_engine(self):
+        # Another controller orders the engine to change its role in mid-stream. The
+        # broken stream is resumed; the caller sees a pause.
         async def fail(world, engine):
             engine._begin_change(role_order(Role.MIXED), trio.current_time())
 
         self.assert_whole(self.one_call(fail))
 
-    def test_late_tokens_of_a_given_up_attempt_change_nothing(self):
-        # The link is cut and heals after the answer has gone on elsewhere: the
-        # first engine's tokens arrive then, late.
+    def test_late_tokens_of_an_abandoned_attempt_are_ignored(self):
+        # The link is cut and heals after the response was resumed elsewhere; the first
+        # engine's tokens arrive late.
         async def fail(world, engine):
             world.network.cut("host-1", engine.name)
             await trio.sleep(7)
@@ -145,8 +144,8 @@
 
         self.assert_whole(self.one_call(fail, output=600, seconds=60.0))
 
-    def test_single_engine_that_stays_dead_ends_as_unknown(self):
-        # Nothing can finish the answer. The caller is told that it isn't whole.
+    def test_dead_single_engine_ends_as_unknown(self):
+        # Nothing can finish the response. The caller is told that it is incomplete.
         async def fail(world, engine):
             engine.crash(trio.current_time())
 
@@ -155,7 +154,7 @@
         self.assertNotEqual(text, answer)
         self.assertTrue(answer.startswith(text))
 
-    def test_crossed_answers_each_reach_their_own_caller(self):
+    def test_concurrent_responses_reach_their_own_callers(self):
         async def task(world):
             found = []
 
@@ -175,8 +174,8 @@
         found = run_world(task)
         self.assertEqual(found, [True] * 40)
 
-    def test_caller_that_asks_again_through_another_host(self):
-        # Its host is killed in mid-stream. The other host answers from the start.
+    def test_caller_that_retries_through_another_host(self):
+        # Its host is killed in mid-stream. The other host runs the call from the start.
         async def task(world):
             call = model_call(1)
             with trio.move_on_after(1.0):
@@ -186,9 +185,9 @@
 
         self.assert_whole(run_world(task))
 
-    def test_graceful_shutdown_cuts_no_answer(self):
-        # SIGTERM arrives while ten answers are under way. The process ends when
-        # they have ended, and takes new ones while the balancer learns of it.
+    def test_graceful_shutdown_truncates_no_response(self):
+        # SIGTERM arrives while ten responses are in progress. The process exits when
+        # they have finished, and accepts new ones until the balancer has noticed.
         async def task(world):
             host = world.hosts["host-1"]
             found = []
@@ -215,7 +214,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """Refusals come at once, with when to come back."""
+    """Refusals are immediate and have a Retry-After."""
 
     def test_deadline_that_cannot_be_met_is_refused_at_once(self):
         async def task(world):
@@ -231,9 +230,9 @@
         self.assertLess(took, 0.1)
         self.assertEqual(text, "")
 
-    def test_engine_in_nonsense_is_left_for_another(self):
-        # The engine answers with chunks of another attempt. Nothing of them may
-        # reach the caller.
+    def test_engine_with_invalid_chunks_is_avoided(self):
+        # The engine sends chunks of another attempt. None of them may reach the
+        # caller.
         async def task(world):
             first = world.engines["engine-1"]
             original = first.submit
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -1,4 +1,4 @@
-"""Targets of the own interface that refuse a call and ask to back off."""
+"""Tests of native API targets that refuse a call with a Retry-After."""
 
 import unittest
 
@@ -15,10 +15,10 @@
 
 
 class RefusingServiceTest(unittest.TestCase):
-    """One of three replicas refuses for the whole time."""
+    """One of three replicas refuses all calls."""
 
-    def test_a_replica_is_left_alone_until_its_retry_after(self):
-        """Guards against a refusal that weighs the same whatever it asks for."""
+    def test_replica_is_not_called_before_its_retry_after(self):
+        """Guards against ignoring the Retry-After of a refusal."""
 
         async def task(world):
             refusing = next(iter(world.replicas.values()))
@@ -37,30 +37,30 @@
 
 
 class HealthBackoffTest(unittest.TestCase):
-    """What is kept of a target's word."""
+    """How a target's Retry-After is stored."""
 
     def setUp(self):
         self.health = Health()
         self.health.back_off(TARGET, 3.0, 10.0)
 
-    def test_it_holds_whatever_else_ends_well(self):
+    def test_backoff_outlasts_later_successes(self):
         self.health.succeeded(TARGET)
         self.assertFalse(self.health.usable(TARGET, 12.9))
         self.assertEqual(self.health.suspended(12.9), [TARGET])
         self.assertTrue(self.health.usable(TARGET, 13.0))
 
-    def test_a_later_word_does_not_shorten_it(self):
+    def test_later_refusal_does_not_shorten_the_backoff(self):
         self.health.back_off(TARGET, 0.5, 10.5)
         self.assertFalse(self.health.usable(TARGET, 12.9))
 
-    def test_a_refusal_without_one_asks_for_none(self):
+    def test_refusal_without_retry_after_causes_no_backoff(self):
         health = Health()
         health.back_off(TARGET, 0.0, 10.0)
         self.assertTrue(health.usable(TARGET, 10.0))
 
 
 class RetryAfterTest(unittest.TestCase):
-    """The header's values."""
+    """Values of the Retry-After header."""
 
     def test_seconds(self):
         self.assertEqual(parse_retry_after("2.5"), 2.5)
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -1,4 +1,4 @@
-"""Interleavings of confirmations: arrivals, lost answers, outages, late calls."""
+"""Model-based test of confirmations: races, lost responses, outages, late calls."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 class Arrival:
-    """One arrival with a key, at some host."""
+    """One request with a key, at some host."""
 
     def __init__(self, number: int, key: str, now: float):
         self.key = key
@@ -51,7 +51,7 @@
 
 
 class ConfirmationMachine(RuleBasedStateMachine):
-    """Hosts, one store, one service; the service's own count is what matters."""
+    """Hosts, a store and a service, whose run count decides what is true."""
 
     def __init__(self):
         super().__init__()
@@ -71,23 +71,23 @@
 
     @rule(key=st.sampled_from(KEYS))
     def two_at_once(self, key):
-        """Let two hosts get the same key together, each on its way to send."""
+        """Let two hosts receive the same key at once and proceed towards sending."""
         self.arrive(key)
         self.arrive(key)
         for _ in range(4):
             for arrival in self.arrivals[-2:]:
                 if not arrival.ended and not arrival.sending:
-                    self._carry_out(arrival)
+                    self._run_step(arrival)
 
     @rule(place=st.integers(0, 4), lose=st.booleans(), down=st.booleans())
     def step(self, place, lose, down):
-        """Let one arrival do its next step."""
-        open_ones = [a for a in self.arrivals if not a.ended and not a.sending]
-        if not open_ones:
+        """Perform the next step of one request."""
+        open_arrivals = [a for a in self.arrivals if not a.ended and not a.sending]
+        if not open_arrivals:
             return
         self.platform.script.lose_answers = 1 if lose else 0
         self.platform.script.down = down and not lose
-        self._carry_out(open_ones[place % len(open_ones)])
+        self._run_step(open_arrivals[place % len(open_arrivals)])
         self.platform.script.lose_answers = 0
         self.platform.script.down = False
 
@@ -101,7 +101,7 @@
         end=st.sampled_from(["answered", "broken", "refused", "not reached", "late"]),
     )
     def deliver(self, place, end):
-        """Let the service take a call; ``late``: it runs, the host has given up."""
+        """Deliver a call to the service; ``late``: it runs after the host's timeout."""
         if not self.wire:
             return
         arrival = self.wire.pop(place % len(self.wire))
@@ -120,10 +120,10 @@
 
     @rule(place=st.integers(0, 4))
     def kill_host(self, place):
-        """Kill the host of an arrival; its call may still be on the wire."""
-        open_ones = [a for a in self.arrivals if not a.ended]
-        if open_ones:
-            open_ones[place % len(open_ones)].ended = True
+        """Kill the host of a request; its call may still be on the wire."""
+        open_arrivals = [a for a in self.arrivals if not a.ended]
+        if open_arrivals:
+            open_arrivals[place % len(open_arrivals)].ended = True
 
     @rule(seconds=st.sampled_from([0.5, DEADLINE + 1]))
     def advance(self, seconds):
@@ -131,7 +131,7 @@
 
     @rule()
     def upkeep(self):
-        """Write a result that could not be written before."""
+        """Write a queued result to the store."""
         item = self.pending.first()
         if item is None:
             return
@@ -161,7 +161,7 @@
             return Event.UNAVAILABLE
         return Event.COMMITTED if answer.committed else Event.CONFLICT
 
-    def _carry_out(self, arrival: Arrival) -> None:
+    def _run_step(self, arrival: Arrival) -> None:
         state, now = arrival.state, self.clock.monotonic()
         key = f"confirm/c/{arrival.key}"
         match state.step:
@@ -193,7 +193,7 @@
         state.on_read(row, stored.revision if stored else ABSENT, now)
 
     def _answer(self, arrival: Arrival, key: str) -> None:
-        """Tell the caller; what it is told must be true at that moment."""
+        """Respond to the caller; the outcome must be true at that moment."""
         arrival.ended = True
         state = arrival.state
         if state.needs_abandon:
@@ -211,6 +211,6 @@
 
 
 class ConfirmationsTest(ConfirmationMachine.TestCase):
-    """Confirmations run at most once, and outcomes are true."""
+    """Confirmations run at most once, and reported outcomes are true."""
 
     settings = MACHINE
--- a/berylshift/tests/test_confirmations.py
+++ b/berylshift/tests/test_confirmations.py
@@ -1,4 +1,4 @@
-"""Tests of confirmations: a call that may not be repeated runs at most once."""
+"""Tests of confirmations: a call that is not repeatable runs at most once."""
 
 import contextlib
 import unittest
@@ -27,7 +27,7 @@
 
 
 def other(state: RowState, digest="d", answer=None) -> ConfirmRow:
-    """Return a row that another arrival wrote."""
+    """Return a row that another request wrote."""
     return ConfirmRow(AttemptId("other"), state, digest, 1e9, answer)
 
 
@@ -37,25 +37,25 @@
     def setUp(self):
         self.state = Confirmation(AttemptId("mine"), "d", deadline=10.0, expires=1e9)
 
-    def test_sends_only_after_its_row_is_committed(self):
+    def test_call_is_sent_only_after_its_row_is_committed(self):
         self.assertIs(self.state.step, Step.INSERT)
         self.state.on_insert(Event.COMMITTED, 0.0)
         self.assertIs(self.state.step, Step.SEND)
 
-    def test_lost_insert_is_read_back_and_found_to_be_ours(self):
-        # The insert took effect, its answer was lost. Inserting again would fail
-        # on our own row, and the call would never run.
+    def test_lost_insert_is_read_back_and_recognized(self):
+        # The insert took effect, but its response was lost. Inserting again would
+        # conflict with the request's own row, and the call would never run.
         self.state.on_insert(Event.LOST, 0.0)
         self.assertIs(self.state.step, Step.READ)
         self.state.on_read(self.state.row(RowState.STARTED), 1, 0.1)
         self.assertIs(self.state.step, Step.SEND)
 
-    def test_lost_insert_that_did_not_land_is_tried_again(self):
+    def test_lost_insert_without_effect_is_retried(self):
         self.state.on_insert(Event.LOST, 0.0)
         self.state.on_read(None, 0, 0.1)
         self.assertIs(self.state.step, Step.INSERT)
 
-    def test_other_arrival_with_the_key_never_sends(self):
+    def test_second_request_with_the_key_is_not_sent(self):
         self.state.on_insert(Event.CONFLICT, 0.0)
         self.state.on_read(other(RowState.STARTED), 1, 0.1)
         self.assertIs(self.state.step, Step.WAIT)
@@ -64,7 +64,7 @@
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
         self.assertEqual(self.state.retry_after, RETRY_AFTER_SECONDS)
 
-    def test_other_arrival_gets_the_first_ones_answer(self):
+    def test_second_request_gets_the_first_ones_response(self):
         self.state.on_insert(Event.CONFLICT, 0.0)
         self.state.on_read(other(RowState.DONE, answer=ANSWER), 2, 0.1)
         self.assertIs(self.state.outcome, Outcome.COMPLETE)
@@ -84,14 +84,14 @@
         self.assertEqual(self.state.revision, 4)
 
     def test_process_paused_past_the_deadline_does_not_send(self):
-        # It was paused between the commit and the send. Its caller has long been
-        # told something else; the row is set to abandoned instead.
+        # The process was paused between the commit and the send, past the deadline.
+        # The row is set to abandoned instead of sending the call.
         self.state.on_insert(Event.COMMITTED, 11.0)
         self.assertIs(self.state.step, Step.RECORD)
         self.assertIs(self.state.record.state, RowState.ABANDONED)
         self.assertIs(self.state.outcome, Outcome.NOT_RUN)
 
-    def test_broken_answer_is_unknown_and_not_sent_again(self):
+    def test_broken_response_is_unknown_and_not_retried(self):
         self.state.on_insert(Event.COMMITTED, 0.0)
         self.state.on_attempt(
             AttemptRecord("replica", AttemptOutcome.BROKEN), None, 0.1
@@ -99,7 +99,7 @@
         self.assertIs(self.state.record.state, RowState.UNKNOWN)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
 
-    def test_unreached_target_lets_another_be_tried(self):
+    def test_call_is_retried_at_another_target_until_the_limit(self):
         self.state.on_insert(Event.COMMITTED, 0.0)
         self.state.on_attempt(
             AttemptRecord("replica", AttemptOutcome.NOT_REACHED), None, 0.1
@@ -113,9 +113,9 @@
         )
         self.assertIs(self.state.record.state, RowState.ABANDONED)
 
-    def test_store_down_to_the_deadline_can_not_be_called_not_run(self):
-        # This arrival sent nothing. But an earlier one with the key may have run
-        # at another host, and only the row could tell.
+    def test_store_outage_until_the_deadline_is_not_reported_as_not_run(self):
+        # This request sent nothing. But an earlier one with the key may have run at
+        # another host, which only the row can tell.
         self.state.on_insert(Event.UNAVAILABLE, 1.0)
         self.assertIs(self.state.step, Step.INSERT)
         self.state.on_insert(Event.UNAVAILABLE, 11.0)
@@ -123,7 +123,7 @@
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
         self.assertFalse(self.state.needs_abandon)
 
-    def test_unsure_insert_leaves_a_row_to_be_abandoned(self):
+    def test_uncertain_insert_must_be_abandoned(self):
         self.state.on_insert(Event.LOST, 1.0)
         self.state.on_read_failed(11.0)
         self.assertIs(self.state.outcome, Outcome.UNKNOWN)
@@ -131,11 +131,11 @@
 
 
 class WholePathTest(unittest.TestCase):
-    """Confirmations through real hosts, against the service's own count."""
+    """Confirmations through whole hosts, checked against the service's run count."""
 
     def test_two_hosts_with_one_key_at_once_run_it_once(self):
-        # A parent taps twice; the balancer takes the two to different hosts. Both
-        # get the same answer, and the booking runs once.
+        # A caller sends a request twice, and the balancer routes the two to different
+        # hosts. Both get the same response, and the booking runs once.
         async def task(world):
             found = []
 
@@ -152,7 +152,7 @@
         self.assertEqual({item.ending.outcome for item in found}, {Outcome.COMPLETE})
         self.assertEqual(found[0].body, found[1].body)
 
-    def test_every_answer_of_the_store_lost_still_runs_once(self):
+    def test_lost_store_responses_still_run_the_call_once(self):
         async def task(world):
             world.platform.script.lose_answers = 2
             found = await call_service(world.hosts["host-1"], plain_call("k"))
@@ -160,9 +160,9 @@
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, 1))
 
-    def test_service_answer_lost_is_unknown_and_stays_so(self):
-        # The booking ran, its answer was cut off. Nobody may run it again, and
-        # nobody may say that it was not run.
+    def test_lost_service_response_stays_unknown(self):
+        # The booking ran, but its response was lost. It must not be run again, nor be
+        # reported as not run.
         async def task(world):
             for replica in world.services.values():
                 replica.script.lose_answers = 1
@@ -173,10 +173,10 @@
         found = run_world(task)
         self.assertEqual(found, (Outcome.UNKNOWN, Outcome.UNKNOWN, 1))
 
-    def test_not_run_is_never_said_of_a_key_that_ran_elsewhere(self):
-        # The booking runs through host-1, which is killed before it answers. The
-        # store goes down; the caller asks host-2, which can't read the row. If it
-        # said "not run", the parent would book twice by telephone.
+    def test_key_that_ran_elsewhere_is_not_reported_as_not_run(self):
+        # The booking runs through host-1, which is killed before it responds. The
+        # store goes down, and the caller retries at host-2, which can't read the row.
+        # If it reported "not run", the caller would book a second time by other means.
         async def task(world):
             for replica in world.services.values():
                 replica.script.seconds = 1.0
@@ -197,9 +197,9 @@
         self.assertIs(ending.outcome, Outcome.UNKNOWN, ending)
         self.assertGreater(ending.retry_after, 0)
 
-    def test_refusal_at_the_door_reads_the_key_first(self):
-        # The customer's limit refuses the second asking. Its booking ran with the
-        # first one, so the refusal must not say "not run".
+    def test_refusal_at_admission_reads_the_key_first(self):
+        # The customer's limit refuses the second request. Its booking ran with the
+        # first one, so the refusal must not report "not run".
         async def task(world):
             first = await call_service(world.hosts["host-1"], plain_call("k"))
             app = world.hosts["host-2"].app
@@ -214,9 +214,9 @@
         self.assertIs(other.outcome, Outcome.NOT_RUN)
         self.assertIs(other.reason, Reason.CUSTOMER_LIMIT)
 
-    def test_store_down_at_the_result_still_answers_and_records_later(self):
-        # The outage begins while the service works. The caller gets the answer;
-        # the row gets its result when the store is back.
+    def test_store_outage_at_the_result_delays_only_the_record(self):
+        # The outage starts while the service runs the call. The caller gets the
+        # response; the result is written to the row when the store is back.
         async def task(world):
             for replica in world.services.values():
                 replica.script.seconds = 1.0
@@ -237,9 +237,9 @@
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, Outcome.COMPLETE, 1))
 
-    def test_host_killed_after_the_send_is_unknown_elsewhere(self):
-        # The row says started, and its writer is gone: nobody can read whether
-        # the call ran, so nobody runs it.
+    def test_call_of_a_killed_host_is_unknown_elsewhere(self):
+        # The row's state is "started", and the host that wrote it is gone. Nobody can
+        # tell whether the call ran, so it must not be run.
         async def task(world):
             for replica in world.services.values():
                 replica.script.seconds = 1.0
@@ -261,9 +261,9 @@
         self.assertIs(ending.outcome, Outcome.UNKNOWN, ending)
         self.assertLessEqual(ran, 1)
 
-    def test_refused_call_can_be_made_again_with_its_key(self):
-        # Every replica refuses, so the call was not run. The same key must work
-        # once they take calls again.
+    def test_refused_call_can_be_retried_with_its_key(self):
+        # Every replica refuses, so the call was not run. The same key must work once
+        # they accept calls again.
         async def task(world):
             for replica in world.services.values():
                 replica.script.refuse = True
@@ -285,7 +285,7 @@
 
         self.assertEqual(run_world(task), (Reason.KEY_REUSED, 1))
 
-    def test_rows_are_removed_after_their_life_and_not_before(self):
+    def test_rows_are_removed_after_their_ttl(self):
         async def task(world):
             for number in range(7):
                 await call_service(world.hosts["host-1"], plain_call(f"k{number}"))
@@ -300,7 +300,7 @@
 
         self.assertEqual(run_world(task), [7, 0])
 
-    def test_caller_that_leaves_does_not_stop_the_record(self):
+    def test_result_is_recorded_after_the_caller_disconnects(self):
         async def task(world):
             with trio.move_on_after(0.015):
                 await call_service(world.hosts["host-1"], plain_call("k"))
--- a/berylshift/tests/test_connection_targets.py
+++ b/berylshift/tests/test_connection_targets.py
@@ -47,7 +47,7 @@
 
         self.assertFalse(self.ask(task))
 
-    @patch("berylshift.request.target_check.CONNECT_SECONDS", SECONDS)
+    @patch("berylshift.request.target_check.PROBE_TIMEOUT_SECONDS", SECONDS)
     def test_the_own_interfaces_targets_are_asked_alike(self):
         """One that takes connections and answers nothing is busy, and lives."""
 
--- a/berylshift/tests/test_crashing_calls.py
+++ b/berylshift/tests/test_crashing_calls.py
@@ -1,4 +1,4 @@
-"""Calls of the own interface that end each target which runs them."""
+"""Tests of native API calls that crash each target that runs them."""
 
 import itertools
 import unittest
@@ -17,18 +17,18 @@
     wanted,
 )
 
-MOST_CRASHES = 3
-PLAY_SECONDS = 20.0
-# From the beginning of a run until it ends its target, and until that is back.
-LOOK_SECONDS = 0.02
-BACK_SECONDS = 3.0
+MAX_CRASHES = 3
+SCENARIO_SECONDS = 20.0
+# Time from the start of a run to its target's crash, and from there to the restart.
+CRASH_DELAY_SECONDS = 0.02
+RESTART_SECONDS = 3.0
 BAD_BODY = b"ends what runs it"
 
 
-async def come_again(ask: Callable[[int], Awaitable[Ending]]) -> list[Ending]:
-    """Have one caller come again every half a second, at each host in turn."""
+async def retry_repeatedly(ask: Callable[[int], Awaitable[Ending]]) -> list[Ending]:
+    """Have one caller retry every half second, at each host in turn."""
     endings = []
-    end = trio.current_time() + PLAY_SECONDS
+    end = trio.current_time() + SCENARIO_SECONDS
     for number in itertools.count():
         if trio.current_time() >= end:
             return endings
@@ -37,30 +37,30 @@
 
 
 class CrashingCompletionTest(unittest.TestCase):
-    """A prompt ends each engine that decodes it; its caller comes again.
+    """Guards against a prompt that crashes engine after engine.
 
-    Callers of all completions wait for engines that are back seconds later, and end
-    again. The hosts forgot the prompt with its call, and within a call, once a token of
-    the answer was there, waited for the next engine without end. Evidence: 88 ends in
-    20 s, of four engines that are back after 3 s each time.
+    The prompt crashes each engine that decodes it, and its caller retries. If hosts
+    forget the prompt after each call, or keep resuming a started response at further
+    engines, all callers wait for engines to restart. Without a quarantine, 88 crashes
+    were seen in 20 s, with four engines that restart after 3 s each.
     """
 
-    def play(self):
+    def run_scenario(self):
         async def task(world):
             bad = model_call(1)
             crashes = []
 
-            async def end_engines():
+            async def crash_engines():
                 while True:
-                    await trio.sleep(LOOK_SECONDS)
+                    await trio.sleep(CRASH_DELAY_SECONDS)
                     for engine in world.engines.values():
                         if engine.alive and engine.runs(bad.prompt):
                             crashes.append(engine.name)
                             engine.crash(trio.current_time())
-                            nursery.start_soon(back, engine)
+                            nursery.start_soon(restart, engine)
 
-            async def back(engine):
-                await trio.sleep(BACK_SECONDS)
+            async def restart(engine):
+                await trio.sleep(RESTART_SECONDS)
                 engine.restart(trio.current_time())
 
             async def ask(number):
@@ -69,9 +69,9 @@
                 return ending
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(end_engines)
-                endings = await come_again(ask)
-                await trio.sleep(BACK_SECONDS)
+                nursery.start_soon(crash_engines)
+                endings = await retry_repeatedly(ask)
+                await trio.sleep(RESTART_SECONDS)
                 other = model_call(2)
                 answer = await complete(world.hosts["host-1"], other)
                 nursery.cancel_scope.cancel()
@@ -79,20 +79,20 @@
 
         return run_world(task, small_rows(engines=4))
 
-    def test_it_ends_no_more_than_three_engines(self):
-        crashes, endings, (ending, text), answer = self.play()
+    def test_prompt_crashes_no_more_than_three_engines(self):
+        crashes, endings, (ending, text), answer = self.run_scenario()
         self.assertGreater(len(crashes), 0)
-        self.assertLessEqual(len(crashes), MOST_CRASHES)
+        self.assertLessEqual(len(crashes), MAX_CRASHES)
         self.assertEqual((ending.outcome, text), (Outcome.COMPLETE, answer))
         last = endings[-1]
         self.assertEqual(last.reason, Reason.QUARANTINED)
         self.assertIs(last.outcome, Outcome.NOT_RUN)
 
 
-class LivingTargetTest(unittest.TestCase):
-    """Targets that lose answers, and live."""
+class LiveTargetTest(unittest.TestCase):
+    """Targets that lose responses, but have not crashed."""
 
-    def test_a_lookup_whose_answers_are_lost_is_not_held_back(self):
+    def test_lookup_with_lost_responses_is_not_quarantined(self):
         async def task(world):
             for replica in world.replicas.values():
                 replica.script.lose_answers = 2
@@ -107,9 +107,9 @@
 
 
 class CrashingPlainCallTest(unittest.TestCase):
-    """The same for plain calls; each ends the replica that runs it."""
+    """The same for service calls; each crashes the replica that runs it."""
 
-    def play(self, keys: Callable[[int], str]):
+    def run_scenario(self, keys: Callable[[int], str]):
         async def task(world):
             for replica in world.replicas.values():
                 replica.script.crashes_on = BAD_BODY
@@ -119,19 +119,19 @@
                 call = plain_call(keys(number), BAD_BODY)
                 return (await call_service(host, call)).ending
 
-            endings = await come_again(ask)
-            ended = sum(not replica.alive for replica in world.replicas.values())
-            return ended, endings
+            endings = await retry_repeatedly(ask)
+            crashed = sum(not replica.alive for replica in world.replicas.values())
+            return crashed, endings
 
         return run_world(task, small_rows(replicas=6))
 
     def test_a_lookup(self):
-        ended, endings = self.play(lambda number: "")
-        self.assertLessEqual(ended, MOST_CRASHES)
+        crashed, endings = self.run_scenario(lambda number: "")
+        self.assertLessEqual(crashed, MAX_CRASHES)
         self.assertEqual(endings[-1].reason, Reason.QUARANTINED)
 
     def test_a_confirmation_under_a_new_key_each_time(self):
-        ended, endings = self.play(lambda number: f"key-{number}")
-        self.assertLessEqual(ended, MOST_CRASHES)
+        crashed, endings = self.run_scenario(lambda number: f"key-{number}")
+        self.assertLessEqual(crashed, MAX_CRASHES)
         self.assertEqual(endings[-1].reason, Reason.QUARANTINED)
         self.assertIs(endings[-1].outcome, Outcome.NOT_RUN)
--- a/berylshift/tests/test_entry_own_end.py
+++ b/berylshift/tests/test_entry_own_end.py
@@ -1,4 +1,4 @@
-"""Whatever one caller's connection does, the host's process goes on."""
+"""Tests that no single connection, request or task can stop the process."""
 
 import errno
 import unittest
@@ -16,15 +16,15 @@
     start_process,
 )
 
-# Requests that a play's hosts read at least; with fewer it would show little.
-LEAST_READ = 200
+# Requests that the hosts of a scenario read at least; fewer would show little.
+MIN_REQUESTS = 200
 
 
-class OwnEndTest(unittest.TestCase):
-    """Whatever one caller's connection does, the host's process goes on."""
+class ProcessSurvivalTest(unittest.TestCase):
+    """The process survives whatever one caller's connection does."""
 
-    def check_goes_on(self, disturb):
-        """Have a booking under way while ``disturb(process)`` runs."""
+    def check_survives(self, disturb):
+        """Check that a booking completes while ``disturb(process)`` runs."""
 
         async def task(world):
             for replica in world.replicas.values():
@@ -39,11 +39,11 @@
 
         self.assertEqual(run_ledger(task), (None, 200, True))
 
-    def test_a_target_that_is_no_address_costs_its_caller_alone(self):
-        """One caller asks for ``//[``, which no reader of addresses can take apart.
+    def test_invalid_request_target_affects_only_its_caller(self):
+        """Guards against a malformed request target that stops the process.
 
-        The fault passes through its connection to the listener and ends the process:
-        all callers' connections close, those with bookings under way too.
+        A caller requests ``//[``, which URL parsers reject. The exception would pass
+        through its connection to the listener, and close all callers' connections.
         """
 
         async def disturb(process):
@@ -53,14 +53,14 @@
             )
             await trio.sleep(0.1)
 
-        self.check_goes_on(disturb)
+        self.check_survives(disturb)
 
-    def test_a_refusal_that_can_not_be_written_costs_its_caller_alone(self):
-        """A fault in the host's own code meets a caller that has stopped to read.
+    def test_unwritable_refusal_affects_only_its_caller(self):
+        """Guards against an exception group that stops the listener and the process.
 
-        The refusal finds no room in the caller's window until the time for writes is
-        over. That leaves the connection's tasks as a group, which the connection does
-        not take for a broken one: the listener ends, and with it the process.
+        A handler fails for a caller that has stopped reading. The write of the error
+        response times out too, and the two exceptions leave the connection as a group,
+        which it does not treat as a broken connection.
         """
 
         async def disturb(process):
@@ -72,13 +72,13 @@
             await link.send("/book/x")
             await trio.sleep(process.app.server.limits.write_seconds + 1)
 
-        self.check_goes_on(disturb)
+        self.check_survives(disturb)
 
-    def test_a_host_without_a_free_descriptor_goes_on(self):
-        """Callers and replicas have used all descriptors when one more caller comes.
+    def test_host_without_free_descriptors_keeps_running(self):
+        """Guards against a failing ``accept`` that stops the listener and the process.
 
-        The system can't accept it now. The listener ends by the error and the process
-        with it, while callers' bookings are under way.
+        All file descriptors are in use when another caller connects, while bookings are
+        in progress.
         """
 
         async def disturb(process):
@@ -93,31 +93,32 @@
             process.connect()
             await trio.sleep(0.1)
 
-        self.check_goes_on(disturb)
+        self.check_survives(disturb)
 
-    def test_an_odd_handle_costs_its_request_alone(self):
-        """An engine that reads prompts gives its cache a name with a space in it.
+    def test_invalid_kv_handle_affects_only_its_request(self):
+        """Guards against an invalid KV cache handle that stops the process.
 
-        The engine that answers does not take the cache, so the host frees it: the name
-        fits into no target, and the fault ends the background work and the process.
+        A prefill engine returns a handle with a space in it. The decode engine does not
+        take the cache, so a background task frees it, but the handle does not form a
+        valid request target.
         """
 
         async def task(world):
             for replica in world.replicas.values():
                 if replica.phase is EnginePhase.DECODE:
                     replica.faults = [Fault.REFUSE] * 4
-            # The double names its caches after the request.
+            # The test double names its KV caches after the request.
             reply = await world.ask("/note/x", "r 1", headers=prompt_headers())
             await trio.sleep(1)
             return reply.whole, len(world.replicas)
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), (True, 2))
 
-    def test_a_background_task_costs_nothing_but_itself(self):
-        """A fault in work that no request waits for, and such work as the host ends.
+    def test_failed_background_task_affects_nothing_else(self):
+        """Guards against background tasks whose errors affect the process or requests.
 
-        The first would end the process. The second would be raised in the request that
-        gives it away, whose answer is ready.
+        A task that fails would stop the process. A task that is started while the host
+        stops would raise in the request that starts it, whose response is ready.
         """
 
         async def task(world):
@@ -136,9 +137,9 @@
 
         with self.assertLogs("berylshift.entry_application", "INFO") as logs:
             self.assertEqual(run_entry(task), 200)
-        told = [record.getMessage() for record in logs.records]
+        messages = [record.getMessage() for record in logs.records]
         self.assertEqual(
-            told[-2:], ["background task failed", "background task dropped"]
+            messages[-2:], ["background task failed", "background task dropped"]
         )
 
 
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -1,4 +1,4 @@
-"""What has come for a caller reaches it, whatever ends meanwhile."""
+"""Tests of writes to callers when a deadline or stop falls between two writes."""
 
 import unittest
 
@@ -18,15 +18,15 @@
 from berylshift.tests.test_entry_shutdown import FRONT_LOG, PROMPTED, endings
 from berylshift.version.routes import RouteKind
 
-# Requests that a play's hosts read at least; with fewer it would show little.
-LEAST_READ = 200
+# Requests that the hosts of a scenario read at least; fewer would show little.
+MIN_REQUESTS = 200
 
 
-class ReadyAnswerTest(unittest.TestCase):
-    """An answer that is there is delivered, whatever time ends between two writes."""
+class ReadyResponseTest(unittest.TestCase):
+    """A response that has arrived is delivered even if its deadline passes."""
 
-    def pass_time_after(self, link, mark: bytes, seconds: float) -> None:
-        """Have the host without processor time once it has written ``mark``."""
+    def stall_after(self, link, mark: bytes, seconds: float) -> None:
+        """Stall the host for ``seconds`` once it has written ``mark``."""
 
         def on_put(data: bytes) -> None:
             if mark in data:
@@ -36,9 +36,9 @@
         link.stream.peer.on_put = on_put
 
     def answer(self, work: float, left_ms: int, stop_at: float | None = None):
-        """Ask a service that works ``work`` seconds; 30 ms pass behind the head.
+        """Call a service that takes ``work`` seconds; stall for 30 ms after the head.
 
-        Return status and wholeness of the reply, and the caller's seconds until then.
+        Return the reply's status, whether it is complete, and the elapsed seconds.
         """
 
         async def task(world):
@@ -51,7 +51,7 @@
             link = process.connect()
             start = trio.current_time()
             await link.send("/long/x", left_ms=left_ms)
-            self.pass_time_after(link, b"HTTP/1.1 200", 0.03)
+            self.stall_after(link, b"HTTP/1.1 200", 0.03)
             if stop_at is not None:
                 await trio.sleep(stop_at)
                 process.stop.set()
@@ -60,31 +60,31 @@
 
         return run_ledger(task)
 
-    def test_the_body_follows_its_head_when_the_time_is_nearly_over(self):
-        """A booking is made, its answer is ready 30 ms before the caller's time ends.
+    def test_body_is_written_when_the_deadline_passes_after_the_head(self):
+        """Guards against a response head without its body.
 
-        The head is on its way when the host has no processor time for 30 ms. Then the
-        time that the host gives the request is over, and the body is not written: the
-        caller gets a head with the length of a body that never comes.
+        A booking's response is ready 30 ms before the caller's deadline. After the head
+        is written, the host is stalled for 30 ms, and the request's time is over before
+        the body is written.
         """
         status, whole, seconds = self.answer(work=0.965, left_ms=1000)
         self.assertLess(seconds, 1.0)
         self.assertEqual((status, whole), (200, True))
 
-    def test_the_body_follows_its_head_when_the_host_ends(self):
-        """The same as the last answers of a planned stop are written, 7 s after it.
+    def test_body_is_written_when_the_host_stops_after_the_head(self):
+        """The same for the last responses of a planned stop, 7 s after it began.
 
-        The caller has 12 s left, and the host 0.2 s that it keeps for last answers.
+        The caller has 12 s left, and the host the 0.2 s reserved for last responses.
         """
         status, whole, seconds = self.answer(work=8.98, left_ms=21000, stop_at=2.0)
         self.assertLess(seconds, 9.2)
         self.assertEqual((status, whole), (200, True))
 
-    def test_the_end_mark_follows_the_last_event(self):
-        """All events of a caller's stream are there, and the end mark with the last.
+    def test_end_marker_is_written_after_the_last_event(self):
+        """Guards against a complete stream that looks truncated to the caller.
 
-        The time that the host gives the stream ends as the last event is written, and
-        the end mark stays behind: the caller must take its whole answer for cut.
+        The end marker arrives with the last event, but the request's time is over once
+        that event is written, and the end marker is not sent.
         """
 
         async def task(world):
@@ -95,7 +95,7 @@
                 replica.piece_seconds = 0.24
             start = trio.current_time()
             await link.send("/note/x", headers=headers, left_ms=1000)
-            self.pass_time_after(link, b"piece-4", 0.03)
+            self.stall_after(link, b"piece-4", 0.03)
             reply = await link.read()
             return reply.body, reply.whole, trio.current_time() - start
 
@@ -104,8 +104,8 @@
         self.assertEqual((body, whole), (stream_body(1, 4), True))
 
 
-class HeadlessTest(unittest.TestCase):
-    """Requests for the head of an answer alone."""
+class HeadRequestTest(unittest.TestCase):
+    """HEAD requests."""
 
     def ask(self, path: bytes, stopping: bool = False) -> bytes:
         async def task(world):
@@ -124,10 +124,10 @@
         return run_ledger(task)
 
     def test_a_refusal_reaches_its_caller(self):
-        """Head and body of a refusal are one write, and HTTP has no body after HEAD.
+        """Guards against a connection that is closed without a response.
 
-        Refused as a whole, not even the head would leave, and the caller's connection
-        would close without a word.
+        The head and body of a refusal are one write, but a response to HEAD must not
+        have a body. If the write fails as a whole, the head is not sent either.
         """
         self.assertTrue(self.ask(b"/nowhere").startswith(b"HTTP/1.1 4"))
         found = self.ask(b"/long/x", stopping=True)
@@ -135,10 +135,10 @@
 
 
 class SlowCallerTest(unittest.TestCase):
-    """Callers that do not read their answers."""
+    """Callers that do not read their responses."""
 
     def stream(self, timeout: float, stopping: bool):
-        """Have a caller of a long stream read nothing; return its host's lines."""
+        """Have a caller of a long stream read nothing; return the host's log lines."""
 
         async def task(world):
             long = route("long", RouteKind.STREAM, timeout=timeout, **PROMPTED)
@@ -157,19 +157,19 @@
             run_ledger(task, engines="d")
         return endings(logs)
 
-    def test_the_stop_is_named_as_what_ended_the_stream(self):
-        """The write to a slow caller ends with the stop: the caller has not left."""
+    def test_stop_is_logged_as_the_timeout_source(self):
+        """A write to a slow caller that the stop ends is not a caller's disconnect."""
         self.assertEqual(self.stream(20.0, stopping=True)[0][:2], ("cut", "stop"))
 
-    def test_the_routes_time_is_named_as_what_ended_the_stream(self):
-        """The same, and no host stops: the route's time and a little is over."""
+    def test_route_timeout_is_logged_as_the_timeout_source(self):
+        """The same without a stop: the route's timeout plus the write grace is over."""
         self.assertEqual(self.stream(2.0, stopping=False), [("cut", "route", None)])
 
-    def test_a_caller_that_ends_its_side_frees_its_engine(self):
-        """A caller closes its sending side while the write to it waits for room.
+    def test_half_closed_caller_frees_its_engine(self):
+        """Guards against an engine slot that is held until the write timeout.
 
-        It is taken for one that left. The write must not hold its engine's slot until
-        the time for writes is over.
+        A caller closes its sending side while a write to it is blocked. It is treated
+        as disconnected.
         """
 
         async def task(world):
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' interface over HTTP, on in-memory connections."""
+"""Tests of the native API over HTTP, on in-memory connections."""
 
 import msgspec
 import trio
@@ -19,7 +19,7 @@
 
 
 class Callers:
-    """Callers of one host of a virtual fleet."""
+    """A client of one host of a virtual fleet."""
 
     def __init__(self, world, nursery):
         self.app = world.hosts["host-1"].app
@@ -45,8 +45,8 @@
         return await self.ask("/v1/completions", msgspec.json.encode(data))
 
 
-class FrontTest(VirtualTestCase):
-    """What callers send and are told."""
+class NativeHandlerTest(VirtualTestCase):
+    """Requests and responses of the native API."""
 
     def with_callers(self, use, **spec):
         async def task(world):
@@ -64,7 +64,7 @@
         self.assertEqual(headers["content-type"], "application/problem+json")
         self.assertEqual(msgspec.json.decode(body)["type"], f"urn:berylshift:{kind}")
 
-    def test_whole_answer_with_outcome_and_request_id(self):
+    def test_full_response_with_outcome_and_request_id(self):
         prompt = make_prompt("f", "1", 200, 30)
 
         async def use(callers, world):
@@ -92,9 +92,9 @@
         self.assertIs(received.fate, Fate.COMPLETE)
         self.assertEqual(received.text, answer_text(prompt, 256))
 
-    def test_stream_that_can_not_be_finished_is_seen_to_be_cut(self):
-        # All engines die for good in mid-stream. The last event says unknown, and
-        # the end marker is missing.
+    def test_unfinished_stream_has_no_end_marker(self):
+        # All engines crash in mid-stream and stay down. The last event has the outcome
+        # "unknown", and there is no end marker.
         async def use(callers, world):
             prompt = make_prompt("f", "1", 200, 300)
             body = {"model": MODEL, "prompt": prompt, "stream": True}
@@ -146,7 +146,7 @@
 
         self.assert_problem(self.with_callers(use), 404, "no-such-work")
 
-    def test_model_without_a_target_gets_503_and_when_to_come_back(self):
+    def test_model_without_a_target_gets_503_with_retry_after(self):
         async def use(callers, world):
             return await callers.complete(model="other")
 
@@ -204,7 +204,7 @@
         self.assertEqual(kinds, ["engine", "ending"])
         self.assertEqual(missing[0], 404)
 
-    def test_admin_gives_status_and_keeps_the_table_from_strangers(self):
+    def test_admin_serves_status_and_protects_the_table(self):
         async def use(callers, world):
             status = await callers.ask("/status", method="GET", address="admin")
             stranger = await callers.ask("/peer/table", method="GET", address="admin")
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Tests of outcomes: "not-run" is said only of calls that were not run."""
+"""Tests of outcomes: "not-run" is reported only for calls that were not run."""
 
 import unittest
 
@@ -31,7 +31,7 @@
 
 
 class ServiceClientTest(VirtualTestCase):
-    """How each end of a connection is read."""
+    """How each end of a connection is interpreted."""
 
     def call(self, answer: bytes | None, reads_request: bool = True):
         """Call a peer that sends ``answer`` and closes; ``None``: it refuses."""
@@ -68,7 +68,7 @@
         self.assertIsInstance(self.call(None), TargetNotReachedError)
 
     def test_reset_before_the_first_byte_of_the_answer_may_have_run(self):
-        # The target read the call and went down. Nobody can say whether it ran.
+        # The target read the call and went down, so the call may have run.
         self.assertIsInstance(self.call(b""), TargetBrokenError)
 
     def test_reset_before_the_request_was_read_may_have_run(self):
@@ -79,24 +79,24 @@
         half = b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhal"
         self.assertIsInstance(self.call(half), TargetBrokenError)
 
-    def test_nonsense_may_have_run(self):
+    def test_invalid_response_may_have_run(self):
         self.assertIsInstance(self.call(b"nonsense\r\n\r\n"), TargetBrokenError)
 
-    def test_own_refusal_was_not_run(self):
+    def test_refusal_by_the_target_was_not_run(self):
         head = f"HTTP/1.1 503 Busy\r\n{REFUSED_HEADER}: true\r\nContent-Length: 0\r\n"
         found = self.call(head.encode() + b"\r\n")
         self.assertIsInstance(found, TargetRefusedError)
 
-    def test_plain_503_is_the_services_own_answer(self):
+    def test_503_without_the_refusal_header_is_a_response(self):
         found = self.call(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
         self.assertEqual(found.status, 503)
 
 
 class ConfirmationOutcomeTest(unittest.TestCase):
-    """What a caller is told of a confirmation, against the service's count."""
+    """Reported outcomes of confirmations, checked against the service's run count."""
 
     def confirm(self, prepare):
-        """Confirm after ``prepare(world)``; return outcome and count."""
+        """Confirm after ``prepare(world)``; return outcome, run count and reason."""
 
         async def task(world):
             await prepare(world)
@@ -113,9 +113,9 @@
 
         self.assertEqual(self.confirm(prepare)[:2], (Outcome.NOT_RUN, 0))
 
-    def test_time_out(self):
-        # The service takes longer than the time-out: it runs, and the answer comes
-        # too late to be read.
+    def test_timeout_is_unknown(self):
+        # The service takes longer than the timeout: the call runs, but its response
+        # is too late to be read.
         async def prepare(world):
             for service in world.services.values():
                 service.script.seconds = 6.0
@@ -128,9 +128,9 @@
 
         self.assertEqual(self.confirm(prepare)[:2], (Outcome.COMPLETE, 1))
 
-    def test_view_that_turns_stale_before_the_send(self):
-        # The row is in, then the host finds that it can't confirm its table. It
-        # must not send by it; the key is free again.
+    def test_table_that_becomes_stale_before_sending(self):
+        # The row is committed, then the host finds that its table may be stale. It
+        # must not route by it; the key can be used again.
         async def prepare(world):
             app = world.hosts["host-1"].app
             app.services._deps.sender.may_route = lambda: False
@@ -159,9 +159,9 @@
 
 
 class LookupOutcomeTest(unittest.TestCase):
-    """Calls that may be repeated."""
+    """Repeatable calls."""
 
-    def test_lookup_is_repeated_at_the_other_replica(self):
+    def test_lookup_is_retried_at_the_other_replica(self):
         async def task(world):
             world.services["booking-1"].alive = False
             found = [
@@ -172,7 +172,7 @@
 
         self.assertEqual(run_world(task), {Outcome.COMPLETE})
 
-    def test_lookup_whose_answers_all_break_off_is_unknown(self):
+    def test_lookup_with_only_broken_responses_is_unknown(self):
         async def task(world):
             for service in world.services.values():
                 service.script.lose_answers = 100
@@ -183,9 +183,9 @@
 
 
 class WithdrawnTargetTest(unittest.TestCase):
-    """Engines that are withdrawn or replaced while they work."""
+    """Engines that are withdrawn or replaced while they run calls."""
 
-    def test_answer_under_way_is_not_cut(self):
+    def test_response_in_progress_is_not_truncated(self):
         for state in ("withdrawn", "replaced"):
             with self.subTest(state=state):
 
--- a/berylshift/tests/test_request_bodies.py
+++ b/berylshift/tests/test_request_bodies.py
@@ -1,4 +1,4 @@
-"""Long bodies: handed on as they come, at the pace of the slower side."""
+"""Tests of streamed request bodies and their flow control."""
 
 import unittest
 
@@ -18,14 +18,14 @@
 
 
 class Upload:
-    """A caller that sends a body piece by piece."""
+    """A caller that sends a body in parts."""
 
     def __init__(self, link: CallerLink):
         """Send on ``link``."""
         self.link = link
 
     async def begin(self, path: str, length: int | None = None) -> None:
-        """Send the head; ``None``: the body comes in chunks."""
+        """Send the head; ``length`` ``None``: use chunked transfer encoding."""
         framing = (b"transfer-encoding", b"chunked")
         if length is not None:
             framing = (b"content-length", b"%d" % length)
@@ -43,21 +43,21 @@
         await self.link.stream.send_all(self.link.conn.send(h11.Data(data=data)))
 
     async def end(self) -> Reply:
-        """Send the end and return the reply."""
+        """End the body and return the reply."""
         await self.link.stream.send_all(self.link.conn.send(h11.EndOfMessage()))
         return await self.link.read()
 
 
 def only(world):
-    """Return the one replica of a world."""
+    """Return the only replica of a world."""
     (replica,) = world.replicas.values()
     return replica
 
 
-class HandedOnTest(unittest.TestCase):
-    """Bodies that go on while they come."""
+class StreamedBodyTest(unittest.TestCase):
+    """Bodies that are forwarded while they arrive."""
 
-    def test_a_long_body_reaches_the_replica_while_it_comes(self):
+    def test_long_body_is_streamed_to_the_replica(self):
         for length in (None, 8 * len(PART)):
             with self.subTest(length=length):
 
@@ -78,9 +78,9 @@
                 self.assertEqual((reply.status, reply.whole), (200, True))
                 self.assertEqual(body, 8 * PART)
 
-    def test_a_short_body_is_read_before_a_replica_is_asked(self):
-        # A caller sends a few bytes and pauses. A replica asked now would hold a
-        # slot for it that other callers' requests wait for.
+    def test_short_body_is_buffered_before_connecting(self):
+        # A caller sends a few bytes and pauses. A replica that was called now would
+        # hold a slot that other callers' requests need.
         async def task(world):
             upload = Upload(world.connect())
             await upload.begin("/book/x")
@@ -92,8 +92,8 @@
 
         self.assertEqual(run_entry(task, plain=1), (0, 200))
 
-    def test_a_replica_that_reads_slowly_slows_its_caller(self):
-        # Without it, a host with many such callers holds all their bodies.
+    def test_slow_replica_applies_backpressure_to_its_caller(self):
+        # Without backpressure, a host would buffer the bodies of all such callers.
         async def task(world):
             only(world).read_pause = 10.0
             upload = Upload(world.connect())
@@ -106,12 +106,12 @@
             return sent
 
         sent = run_entry(task, plain=1)
-        # What the pipes on both sides hold comes on top.
+        # The pipes on both sides buffer some data too.
         self.assertLess(sent, 2 * AHEAD_BYTES + 4 * WINDOW_BYTES)
 
-    def test_an_early_answer_is_delivered_at_once(self):
-        # The replica rejects a body before it has come; its caller is told while it
-        # still sends, not after.
+    def test_early_response_is_forwarded_at_once(self):
+        # The replica rejects a body before it has arrived; the caller must receive the
+        # response while it is still sending.
         async def task(world):
             only(world).faults = [Fault.EARLY]
             upload = Upload(world.connect())
@@ -128,11 +128,11 @@
 
 
 class BrokenBodyTest(unittest.TestCase):
-    """Bodies that don't arrive whole."""
+    """Bodies that don't arrive completely."""
 
-    def test_a_body_that_breaks_off_runs_nowhere(self):
-        # The caller leaves in the middle. A replica that took what came for the
-        # whole body would book something that nobody asked for.
+    def test_truncated_body_is_not_run(self):
+        # The caller disconnects in mid-body. A replica that took the received part for
+        # the complete body would run a booking that nobody requested.
         async def task(world):
             upload = Upload(world.connect())
             await upload.begin("/book/x")
@@ -158,7 +158,7 @@
 
         self.assertEqual(run_entry(task, plain=1), (400, []))
 
-    def test_a_body_without_end_is_given_up(self):
+    def test_unfinished_body_times_out(self):
         async def task(world):
             upload = Upload(world.connect())
             await upload.begin("/book/x")
@@ -171,7 +171,7 @@
         self.assertIn(status, (408, 503, 504))
         self.assertEqual(runs, [])
 
-    def test_an_announced_body_over_the_bound_is_refused_at_once(self):
+    def test_content_length_over_the_limit_is_refused_at_once(self):
         async def task(world):
             upload = Upload(world.connect())
             await upload.begin("/book/x", 1 << 30)
@@ -180,7 +180,7 @@
 
         self.assertEqual(run_entry(task, plain=1), (413, 0))
 
-    def test_a_body_that_grows_over_the_bound_is_refused(self):
+    def test_chunked_body_over_the_limit_is_refused(self):
         async def task(world):
             upload = Upload(world.connect())
             bound = world.hosts[0].server.limits.body_bytes
@@ -194,9 +194,9 @@
 
         self.assertEqual(run_entry(task, plain=1), (413, []))
 
-    def test_another_replica_gets_the_body_from_its_start(self):
-        # The first replica resets its connection when most of the body has come; the
-        # request may be repeated, and the second one must get all of it.
+    def test_retry_sends_the_body_from_its_start(self):
+        # The first replica resets its connection after most of the body has arrived.
+        # The request is repeatable, and the second replica must get the complete body.
         async def task(world):
             for replica in world.replicas.values():
                 replica.faults = [Fault.RESET_EARLY]
@@ -219,7 +219,7 @@
 
 
 class ClientWorld:
-    """The client of replicas with one replica."""
+    """A target client with one replica."""
 
     def __init__(self, nursery: trio.Nursery):
         """Start both."""
@@ -260,11 +260,11 @@
 
 
 class ClientTest(unittest.TestCase):
-    """The client of replicas alone."""
+    """The target client alone."""
 
-    def test_half_a_body_does_not_look_whole(self):
-        # The caller breaks its body off. Nothing that the replica gets may say that
-        # the body is complete, or it would run half a request.
+    def test_truncated_body_is_not_sent_as_complete(self):
+        # The caller's body is truncated. The replica must not receive an end marker,
+        # or it would run a truncated request.
         async def task(world):
             body = RequestBody()
             body.add(PART)
@@ -286,9 +286,9 @@
 
         self.assertEqual(run_client(task), (True, len(PART), []))
 
-    def test_connection_whose_last_chunk_is_under_way_is_not_used_again(self):
-        # The replica answers before it reads, and the last chunk waits behind a full
-        # window. The next request would be read where that chunk is due.
+    def test_connection_with_an_unsent_chunk_is_not_reused(self):
+        # The replica responds before it reads, and the last chunk is blocked by a full
+        # window. On a reused connection, the next request would be read as that chunk.
         async def task(world):
             world.replica.faults = [Fault.EARLY]
             body = RequestBody()
--- a/berylshift/tests/test_request_event_splitter.py
+++ b/berylshift/tests/test_request_event_splitter.py
@@ -1,4 +1,4 @@
-"""Cutting streams into whole events."""
+"""Tests of the event splitter."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class SplitTest(unittest.TestCase):
-    """Events however their bytes arrive."""
+    """Events are the same however their bytes arrive."""
 
     def test_ids(self):
         found = EventSplitter().feed(b"".join(EVENTS))
@@ -25,7 +25,7 @@
 
     @EXPLORE
     @given(st.lists(st.integers(1, 7), max_size=40))
-    def test_any_cut_gives_the_same_events(self, cuts):
+    def test_any_split_gives_the_same_events(self, cuts):
         splitter, data, found = EventSplitter(), b"".join(EVENTS), []
         for size in cuts:
             found += splitter.feed(data[:size])
@@ -34,11 +34,11 @@
         self.assertEqual([event.data for event in found], EVENTS)
         self.assertEqual(splitter.buffered, b"")
 
-    def test_half_an_event_is_held(self):
+    def test_partial_event_is_buffered(self):
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 1\ndata:"), [])
         self.assertEqual(splitter.buffered, b"id: 1\ndata:")
 
-    def test_event_without_end_is_bounded(self):
+    def test_unterminated_event_is_limited(self):
         with self.assertRaises(EventTooLongError):
             EventSplitter().feed(b"x" * (MAX_EVENT_BYTES + 1))
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -1,4 +1,4 @@
-"""Whole path of routed requests under the faults of replicas."""
+"""End-to-end tests of routed requests with failing replicas."""
 
 import unittest
 
@@ -23,7 +23,7 @@
 class PlainAnswerTest(unittest.TestCase):
     """Requests without a prompt."""
 
-    def test_answer_is_passed_on_unchanged(self):
+    def test_response_is_forwarded_unchanged(self):
         async def task(world):
             return await world.ask("/look/x?y=1", "r7")
 
@@ -34,7 +34,7 @@
         self.assertIn(SIGNED, reply.headers)
 
     def test_unknown_path_is_404_and_no_routes_is_503(self):
-        """A host that knows no routes yet must not say that one is missing."""
+        """A host that has not loaded the routes yet must not answer 404."""
 
         async def task(world):
             missing = await world.ask("/nothing/here")
@@ -46,7 +46,7 @@
         self.assertEqual(early.status, 503)
         self.assertGreater(early.again, 0)
 
-    def test_every_answer_of_our_own_is_logged_with_its_id(self):
+    def test_own_responses_are_logged_with_request_id(self):
         async def task(world):
             with self.assertLogs("berylshift.request.routed_handler", "INFO") as logs:
                 await world.ask("/nothing/here", "r1")
@@ -61,7 +61,7 @@
             self.assertEqual(record["version"], 1)
             self.assertIsNotNone(record["routes_age"])
 
-    def test_a_send_without_an_end_is_named_in_the_log(self):
+    def test_unfinished_attempt_is_logged(self):
         async def task(world):
             for replica in world.replicas.values():
                 replica.faults = [Fault.MUTE]
@@ -79,11 +79,11 @@
         self.assertEqual(run_entry(task), [b"body of r0", b"body of r1", b"body of r2"])
 
     def test_two_lengths_are_rejected(self):
-        """A caller hides a second request in the body of a first.
+        """Guards against request smuggling in the body of a request.
 
-        The request says its length twice, in two ways. Whoever reads the other of the
-        two takes the rest for a request of its own. It is rejected, and the connection
-        ends, so that no byte of it reaches a replica.
+        The request has both Content-Length and Transfer-Encoding. A peer that goes by
+        the other one takes the rest of the body for a second request. The host rejects
+        it and closes the connection, so that no byte reaches a replica.
         """
 
         async def task(world):
@@ -108,7 +108,7 @@
 
 
 class NotRunTest(unittest.TestCase):
-    """When a caller is told that its request was not run, it was not."""
+    """A caller is told "not run" only if its request was not run."""
 
     def ask(self, fault: Fault, path: str = "/book/x"):
         async def task(world):
@@ -119,20 +119,20 @@
 
         return run_entry(task, plain=1)
 
-    def test_reset_after_the_send_is_not_called_not_run(self):
-        """The replica reads a booking, begins, and its connection is reset.
+    def test_reset_after_sending_is_not_reported_as_not_run(self):
+        """Guards against double bookings after a connection reset.
 
-        Nobody knows whether it was booked. The caller must not hear a status that
-        promises the opposite (429, 503), or it would book again.
+        The replica reads a booking and resets the connection, so the booking may have
+        run. A status that says it did not (429, 503) would make the caller retry.
         """
         reply, runs = self.ask(Fault.RESET)
         self.assertEqual((reply.status, runs), (502, 1))
 
-    def test_time_that_ends_while_a_replica_is_asked_whether_it_lives(self):
-        """A booking's replica breaks off; nothing answers at its address any more.
+    def test_deadline_during_crash_probe_is_not_reported_as_not_run(self):
+        """Guards against 503 for a booking that may have run.
 
-        The host waits to see whether it takes a new connection, and the caller's time
-        ends meanwhile. The booking may have run: 503 would say that it has not.
+        The replica resets the connection and becomes unreachable. The caller's deadline
+        passes while the host probes whether the replica accepts a new connection.
         """
 
         async def task(world):
@@ -147,18 +147,18 @@
 
         self.assertNotIn(run_entry(task), (0, 503))
 
-    def test_silence_is_not_called_not_run(self):
-        """The replica takes a booking and never says a word until the time is up."""
+    def test_timeout_is_not_reported_as_not_run(self):
+        """The replica accepts a booking and sends no response before the deadline."""
         reply, runs = self.ask(Fault.MUTE)
         self.assertEqual((reply.status, runs), (504, 1))
 
-    def test_replicas_own_refusal_is_not_run_with_a_time_to_return(self):
+    def test_refusal_by_replica_is_not_run_with_retry_after(self):
         reply, runs = self.ask(Fault.REFUSE)
         self.assertEqual((reply.status, runs), (503, 0))
         self.assertGreater(reply.again, 0)
 
-    def test_dark_replica_is_not_run(self):
-        """The connection is never made: no byte can have arrived."""
+    def test_unreachable_replica_is_not_run(self):
+        """The connection can't be established, so no byte can have arrived."""
 
         async def task(world):
             world.dark.add("10.0.0.1:80")
@@ -166,8 +166,8 @@
 
         self.assertEqual(run_entry(task, plain=1).status, 503)
 
-    def test_a_booking_runs_once_whatever_breaks(self):
-        """The first replica breaks in each way; the second must not run it too."""
+    def test_at_most_once_request_runs_once_after_failures(self):
+        """The first replica fails in each way; the second must not run it too."""
         for fault in (Fault.RESET, Fault.CUT, Fault.UNSIGNED, Fault.UNFRAMED_RESET):
             with self.subTest(fault=fault):
 
@@ -182,9 +182,9 @@
 
 
 class RetryTest(unittest.TestCase):
-    """Requests that may be repeated are answered by another replica."""
+    """Repeatable requests are retried at another replica."""
 
-    def test_broken_lookups_are_answered_elsewhere(self):
+    def test_failed_lookups_are_retried_elsewhere(self):
         faults = (
             Fault.RESET,
             Fault.CUT,
@@ -208,7 +208,7 @@
 
                 self.assertEqual(run_entry(task), [(200, True)] * 4)
 
-    def test_answer_without_length_that_ends_is_whole(self):
+    def test_response_without_length_is_complete_at_end_of_stream(self):
         async def task(world):
             only_replica(world).faults = [Fault.UNFRAMED]
             return await world.ask("/book/x")
@@ -216,11 +216,11 @@
         reply = run_entry(task, plain=1)
         self.assertEqual((reply.status, reply.body), (200, b"body of r1"))
 
-    def test_retries_keep_to_the_share_of_all_hosts(self):
-        """Both replicas fail everything: each lookup would be sent twice.
+    def test_retries_stay_within_the_budget_of_all_hosts(self):
+        """Guards against retry storms when both replicas fail every request.
 
-        All hosts do the same. The sum of further sends must stay below a fifth of the
-        requests and the burst, without a word between the hosts.
+        All hosts retry in the same way. Without coordination between them, the retries
+        must stay below a fifth of the requests plus the burst.
         """
 
         async def task(world):
@@ -232,12 +232,12 @@
 
         self.assertLessEqual(run_entry(task) - 60, 0.2 * 60 + 10)
 
-    def test_readings_count_as_sends(self):
-        """Engines read prompts and none of them answers: each request is refused.
+    def test_prefills_count_as_attempts(self):
+        """Guards against repeated prefills that bypass the retry budget.
 
-        A further send may have the prompt read once more, and that arrives at the
-        service as well. All hosts do the same: what arrives beyond each request and its
-        one reading stays within a host's share.
+        Engines prefill prompts, but all decode engines refuse. A retry may need another
+        prefill, which is load for the service too. What arrives beyond each request and
+        its first prefill must stay within one host's share of the retry budget.
         """
 
         async def task(world):
@@ -255,10 +255,11 @@
         self.assertLessEqual(run_entry(task, plain=0, engines="ppdddd"), share)
 
     def test_engines_that_all_failed_are_still_tried(self):
-        """All engines break off for a moment, then they are well again.
+        """Guards against refusals for seconds after all engines failed briefly.
 
-        What is held against them only orders them. Taken for a delay, it would have
-        every request refused as too late, for seconds, at engines that are idle.
+        Past failures only affect the order in which engines are chosen. If they were
+        added to the predicted delay, every request would be refused as too late while
+        the engines are idle.
         """
 
         async def task(world):
@@ -273,7 +274,7 @@
 
         self.assertEqual(run_entry(task, plain=0, engines="ppdd"), 200)
 
-    def test_nothing_is_read_when_no_engine_is_left_to_answer(self):
+    def test_no_prefill_without_a_decode_engine(self):
         async def task(world):
             reader, answerer = list(world.replicas.values())
             answerer.faults = [Fault.REFUSE] * 4
@@ -282,8 +283,8 @@
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), 1)
 
-    def test_a_cache_is_offered_to_a_second_engine(self):
-        """The first answering engine is full; the prompt need not be read again."""
+    def test_kv_cache_is_offered_to_a_second_engine(self):
+        """The first decode engine is full; the prompt need not be prefilled again."""
 
         async def task(world):
             reader, first, second = list(world.replicas.values())
@@ -295,11 +296,11 @@
         status, reads, handles = run_entry(task, plain=0, engines="pdd")
         self.assertEqual((status, reads, handles), (200, 1, {}))
 
-    def test_an_engine_whose_caches_are_gone_is_soon_avoided(self):
-        """One of two reading engines loses each cache at once and says nothing.
+    def test_engine_that_loses_its_caches_is_avoided(self):
+        """Guards against prefills at an engine that silently loses its KV caches.
 
-        Engines that should answer refuse what they can't fetch. If that is held against
-        them alone, all prompts go on being read for nothing.
+        Decode engines refuse caches that they can't fetch. If only they were blamed,
+        prompts would continue to be prefilled at the faulty engine.
         """
 
         async def task(world):
@@ -317,14 +318,14 @@
         self.assertLessEqual(lost_reads, 12)
 
 
-class KeptConnectionTest(unittest.TestCase):
-    """Connections to replicas that are used again."""
+class ConnectionReuseTest(unittest.TestCase):
+    """Reuse of connections to replicas."""
 
-    def test_late_second_answer_reaches_nobody(self):
-        """A replica sends a second answer after its first one, to someone else's id.
+    def test_unexpected_second_response_is_discarded(self):
+        """Guards against a response that reaches the wrong caller.
 
-        The next request goes out on the kept connection and finds that answer waiting.
-        The caller must get its own answer, not the stranger's.
+        A replica sends a second response, with another request's id, after its first.
+        The next request on the reused connection finds it and must skip it.
         """
 
         async def task(world):
@@ -337,7 +338,7 @@
 
         self.assertEqual(run_entry(task, plain=1), (b"body of r1", b"body of r2"))
 
-    def test_connections_are_kept(self):
+    def test_connections_are_reused(self):
         async def task(world):
             for number in range(5):
                 await world.ask("/book/x", f"r{number}")
@@ -345,10 +346,10 @@
 
         self.assertEqual(run_entry(task, plain=1), 1)
 
-    def test_connection_after_an_early_answer_is_not_used_again(self):
-        """A replica rejects a long body before it has read it, and reads on later.
+    def test_connection_is_not_reused_after_an_early_response(self):
+        """Guards against a request that is read as the rest of an earlier body.
 
-        The next request on that connection would be taken for the rest of the body.
+        A replica rejects a long body before it has read it, and reads on later.
         """
 
         async def task(world):
@@ -362,13 +363,14 @@
 
 
 class InstanceTest(unittest.TestCase):
-    """Addresses are used again by other services."""
+    """Addresses that other services reuse."""
 
     def test_request_for_a_gone_replica_is_not_run_by_its_successor(self):
-        """A replica is gone and its address serves something else; the list lags.
+        """Guards against requests that are run by another service at a reused address.
 
-        The request names the instance it is for; the stranger says that it is another
-        and runs nothing; the request goes to the replica that is left.
+        A replica is gone, its address serves something else, and the list is stale. The
+        request names its target instance; the other service refuses it, and it is
+        retried at the remaining replica.
         """
 
         async def task(world):
@@ -381,9 +383,9 @@
 
 
 class TimeLeftTest(unittest.TestCase):
-    """A replica is told what is left of the caller's time."""
+    """Replicas receive the time left until the caller's deadline."""
 
-    def test_second_send_is_told_less(self):
+    def test_second_attempt_is_sent_less_time(self):
         async def task(world):
             for replica in world.replicas.values():
                 replica.faults = [Fault.RESET]
@@ -395,17 +397,17 @@
                 await world.ask("/look/x", f"r{number}", left_ms=2000)
             runs = [run for rep in world.replicas.values() for run in rep.runs]
             muted = first.runs[0].request
-            told = [
+            sent_ms = [
                 int(run.headers[names.TIME_LEFT_MS])
                 for run in sorted(runs, key=lambda run: run.started)
                 if run.request == muted
             ]
-            return told
+            return sent_ms
 
-        told = run_entry(task)
-        self.assertEqual(len(told), 2)
-        self.assertLessEqual(told[0], 2000)
-        self.assertLess(told[1], told[0] - 500)
+        sent_ms = run_entry(task)
+        self.assertEqual(len(sent_ms), 2)
+        self.assertLessEqual(sent_ms[0], 2000)
+        self.assertLess(sent_ms[1], sent_ms[0] - 500)
 
     def test_route_bounds_a_caller_without_a_deadline(self):
         async def task(world):
@@ -419,8 +421,8 @@
         self.assertAlmostEqual(seconds, 4.0, delta=0.1)
 
 
-class CallerLeavesTest(unittest.TestCase):
-    """A caller closes its connection while its request is under way."""
+class CallerDisconnectTest(unittest.TestCase):
+    """A caller closes its connection while its request is in progress."""
 
     def test_replica_stops_within_half_a_second(self):
         async def task(world):
--- a/berylshift/tests/test_request_retry_loop.py
+++ b/berylshift/tests/test_request_retry_loop.py
@@ -1,4 +1,4 @@
-"""The loop that sends until a request is done or may not be sent again."""
+"""Tests of the retry loop."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 class ScriptedSender:
-    """Sends that end as told; ``None`` stands for no place."""
+    """Attempts with scripted outcomes; ``None``: no target is available."""
 
     def __init__(self, *ends: AttemptOutcome | None):
         self.ends = list(ends)
@@ -38,7 +38,7 @@
 
 
 class CountedBudget:
-    """Allows so many further sends."""
+    """Allows a number of retries."""
 
     def __init__(self, room: int):
         self.room = room
@@ -52,8 +52,8 @@
         return self.room >= 0
 
 
-class SendLoopTest(unittest.TestCase):
-    """The loop over scripted sends."""
+class RetryLoopTest(unittest.TestCase):
+    """The loop over scripted attempts."""
 
     def setUp(self):
         self.history = AttemptHistory()
@@ -69,28 +69,28 @@
         self.assertEqual(self.budget.requests, 1)
         self.assertEqual(self.budget.room, 1)
 
-    def test_a_connection_never_made_costs_nothing(self):
+    def test_unreached_target_costs_no_budget(self):
         sender = ScriptedSender(AttemptOutcome.NOT_REACHED, AttemptOutcome.DONE)
         self.assertIs(self.run_loop(sender, ONCE), StopReason.DONE)
         self.assertEqual(self.budget.room, 2)
 
-    def test_what_may_have_run_once_ends_as_unknown(self):
-        # The caller's booking went out and its connection was reset. It may have
-        # run: it is not sent again, and it is not called "not run".
+    def test_request_that_may_have_run_ends_as_unknown(self):
+        # The connection was reset after a booking was sent. It may have run, so it
+        # must not be retried or reported as "not run".
         sender = ScriptedSender(
             AttemptOutcome.NOT_RUN, AttemptOutcome.BROKEN, AttemptOutcome.DONE
         )
         self.assertIs(self.run_loop(sender, ONCE), StopReason.NOT_RETRYABLE)
         self.assertIs(self.history.outcome, Outcome.UNKNOWN)
 
-    def test_no_place_after_refusals_is_not_run(self):
+    def test_no_target_after_refusals_is_not_run(self):
         sender = ScriptedSender(AttemptOutcome.NOT_RUN, None)
         self.assertIs(self.run_loop(sender, ONCE), StopReason.NO_PLACEMENT)
         self.assertIs(self.history.outcome, Outcome.NOT_RUN)
 
-    def test_the_budget_ends_it_unless_the_answer_has_begun(self):
-        # All targets fail at once. A caller without a piece of its answer is told
-        # to come back; one that holds a piece would be cut, so its answer goes on.
+    def test_spent_budget_ends_it_unless_the_response_has_started(self):
+        # All targets fail at once. A caller without any output is told to retry later;
+        # a response that has started would be truncated, so it is resumed.
         self.budget.room = 0
         ends = (AttemptOutcome.BROKEN, AttemptOutcome.DONE)
         self.assertIs(
@@ -101,13 +101,13 @@
         self.history = AttemptHistory()
         self.assertIs(self.run_loop(begun, TWICE), StopReason.DONE)
 
-    def test_a_late_request_is_not_sent_again(self):
+    def test_request_past_its_deadline_is_not_retried(self):
         sender = ScriptedSender(AttemptOutcome.NOT_RUN, AttemptOutcome.DONE)
         sender.past_deadline = True
         self.assertIs(self.run_loop(sender, TWICE), StopReason.DEADLINE_PASSED)
         self.assertEqual(self.budget.room, 2)
 
-    def test_starting_over_keeps_that_it_may_have_run(self):
+    def test_clearing_attempts_keeps_that_one_may_have_run(self):
         self.history.add(AttemptRecord("replica", AttemptOutcome.BROKEN))
         self.history.clear_attempts()
         self.assertEqual(self.history.possible_runs, 0)
--- a/berylshift/tests/test_request_retry_policy.py
+++ b/berylshift/tests/test_request_retry_policy.py
@@ -1,4 +1,4 @@
-"""When a request may go out once more."""
+"""Tests of the retry policy."""
 
 import unittest
 
@@ -18,17 +18,17 @@
 
 
 def after(*ends: AttemptOutcome) -> AttemptHistory:
-    """Return a history of ended sends."""
+    """Return a history of finished attempts."""
     history = AttemptHistory()
     for end in ends:
         history.add(AttemptRecord("replica", end))
     return history
 
 
-class RetryRuleTest(unittest.TestCase):
-    """The rule alone."""
+class RetryPolicyTest(unittest.TestCase):
+    """Which requests may be retried."""
 
-    def test_what_may_have_run_is_not_sent_again(self):
+    def test_request_that_may_have_run_is_not_retried(self):
         not_run = (
             AttemptOutcome.NOT_REACHED,
             AttemptOutcome.NOT_RUN,
@@ -39,7 +39,7 @@
                 allowed = end in not_run
                 self.assertEqual(may_retry(ONCE, after(end)), allowed)
 
-    def test_repeatable_requests_run_on_so_many_replicas_at_most(self):
+    def test_runs_of_repeatable_requests_are_limited(self):
         self.assertTrue(may_retry(AGAIN, after(AttemptOutcome.BROKEN)))
         self.assertFalse(
             may_retry(AGAIN, after(AttemptOutcome.BROKEN, AttemptOutcome.SILENT))
@@ -51,11 +51,11 @@
         )
         self.assertTrue(may_retry(AGAIN, history))
 
-    def test_sends_are_bounded(self):
+    def test_attempts_are_limited(self):
         history = after(*[AttemptOutcome.NOT_RUN] * MAX_ATTEMPTS)
         self.assertFalse(may_retry(ONCE, history))
 
-    def test_an_open_send_may_have_run(self):
+    def test_open_attempt_may_have_run(self):
         history = after(AttemptOutcome.NOT_RUN)
         self.assertFalse(history.may_have_run)
         history.has_open_attempt = True
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -1,4 +1,4 @@
-"""A target's time to speak ends while its caller is being written to."""
+"""Tests of timeouts on a target that expire during a write to the caller."""
 
 import random
 import unittest
@@ -28,15 +28,15 @@
 
 EVENT = b"id: 1\ndata: piece-1\n\n"
 OBJECTIVE = 0.5
-# Longer than any time that an engine is given.
+# Longer than any timeout on an engine.
 LONG = 10.0
 
 
-async def word_at_the_last_moment() -> None:
-    """Come back with a word just as all limits on waiting for it run out.
+async def wait_until_timeouts_expire() -> None:
+    """Return just as all timeouts on waiting for it expire.
 
-    The clock moves on while the word is at hand: the limit ends in the same turn of
-    the loop in which the waiting task is woken by the word.
+    The clock jumps while the data is available: the timeout expires in the same event
+    loop iteration in which the waiting task is woken by the data.
     """
     trio.lowlevel.current_clock().jump(LONG)
     with trio.CancelScope(shield=True):
@@ -44,7 +44,7 @@
 
 
 class LateAnswer:
-    """An engine's answer whose ``late`` part comes at the last moment."""
+    """An engine's response whose ``late`` part arrives as the timeout expires."""
 
     usable = True
     keep_seconds = 1.0
@@ -52,27 +52,27 @@
     headers = ((names.SIGNATURE, b"s"),)
 
     def __init__(self, late: str):
-        """Delay the ``head``, an ``event``, the ``end`` mark or the ``whole`` body."""
+        """Delay the ``head``, an ``event``, the ``end`` marker or ``whole`` body."""
         self._late = late
 
     async def chunks(self):
         """Yield one event."""
         yield EVENT
         if self._late == "event":
-            await word_at_the_last_moment()
+            await wait_until_timeouts_expire()
         yield EVENT.replace(b"1", b"2")
         if self._late == "end":
-            await word_at_the_last_moment()
+            await wait_until_timeouts_expire()
 
     async def read(self, most: int) -> bytes:
         """Return the whole body."""
         if self._late == "whole":
-            await word_at_the_last_moment()
+            await wait_until_timeouts_expire()
         return b"body"
 
 
 class LateClient:
-    """Gives one answer."""
+    """A target client that returns one late response."""
 
     def __init__(self, late: str):
         """Delay the ``late`` part."""
@@ -80,25 +80,25 @@
 
     @asynccontextmanager
     async def exchange(self, out):
-        """Give the answer."""
+        """Yield the response."""
         if self._late == "head":
-            await word_at_the_last_moment()
+            await wait_until_timeouts_expire()
         yield LateAnswer(self._late)
 
 
 class SlowCaller:
-    """Writes down what reaches a caller; each write waits for the caller's window."""
+    """Records what reaches a caller; each write blocks for a short time."""
 
     def __init__(self):
         """Start with nothing written."""
-        self.got: list[bytes] = []
+        self.received: list[bytes] = []
 
     async def start_raw(self, status, headers):
         """Write a head."""
         await self._write(b"head")
 
     async def full_raw(self, status, headers, body):
-        """Write a whole answer."""
+        """Write a complete response."""
         await self._write(b"head" + body + b"end")
 
     async def send(self, data: bytes):
@@ -106,16 +106,16 @@
         await self._write(data)
 
     async def end(self):
-        """Write the end mark."""
+        """Write the end marker."""
         await self._write(b"end")
 
     async def _write(self, data: bytes) -> None:
         await trio.sleep(0.01)
-        self.got.append(data)
+        self.received.append(data)
 
 
 def relay_dependencies(late: str) -> RelayDependencies:
-    """Return parts whose client gives a late answer."""
+    """Return dependencies with a client whose response is late."""
     return RelayDependencies(
         clock=LoopClock(),
         codec=PlatformLanguage(),
@@ -135,58 +135,59 @@
     )
 
 
-async def send_once(late: str, kind: RouteKind) -> tuple[AttemptOutcome, list[bytes]]:
-    """Send once; return how it ended and what the caller got."""
+async def run_attempt(late: str, kind: RouteKind) -> tuple[AttemptOutcome, list[bytes]]:
+    """Make one attempt; return its outcome and what the caller received."""
     deps = relay_dependencies(late)
     caller = SlowCaller()
     body = SimpleNamespace(ended=True)
     req = RoutedRequest(RequestId("r1"), b"POST", b"/x", (), body)
-    way = route("x", kind, resumable=True, most_attempts=2, objective=OBJECTIVE)
+    relayed_route = route(
+        "x", kind, resumable=True, most_attempts=2, objective=OBJECTIVE
+    )
     out = ResponseStream(caller, deps.clock)
-    send = ReplicaExchange(deps, req, way, out, AttemptHistory())
+    exchange = ReplicaExchange(deps, req, relayed_route, out, AttemptHistory())
     engine = InstanceId("engine-1")
     call = TargetRequest(engine, "10.0.0.1:80", b"POST", b"/x", [])
-    end = await send.run(call, PendingPrefill(deps.loads, engine, 0, 0))
-    return end, caller.got
+    outcome = await exchange.run(call, PendingPrefill(deps.loads, engine, 0, 0))
+    return outcome, caller.received
 
 
-class RoutedAnswerTest(unittest.TestCase):
-    """The caller gets chunks without a head, or half an answer and then another.
+class RoutedResponseTest(unittest.TestCase):
+    """Guards against chunks without a head, and against two mixed responses.
 
-    An engine's word comes at the moment at which its time is over. The word is
-    passed on, the time's end cuts the write, the request goes to the next engine,
-    and that one's answer is written behind what is left of the first.
+    Data arrives from an engine in the moment its timeout expires. If the timeout
+    cancelled the write to the caller, the request would be retried, and the next
+    engine's response would follow the partial output of the first.
     """
 
     def check_stream(self, late: str):
-        end, got = run_virtual(send_once, late, RouteKind.STREAM)
-        self.assertEqual(end, AttemptOutcome.DONE)
-        self.assertEqual(got, [b"head", EVENT, EVENT.replace(b"1", b"2"), b"end"])
+        outcome, received = run_virtual(run_attempt, late, RouteKind.STREAM)
+        self.assertEqual(outcome, AttemptOutcome.DONE)
+        self.assertEqual(received, [b"head", EVENT, EVENT.replace(b"1", b"2"), b"end"])
 
-    def test_the_head_is_written_whole(self):
+    def test_head_is_written_completely(self):
         self.check_stream("head")
 
-    def test_an_event_is_written_whole(self):
+    def test_event_is_written_completely(self):
         self.check_stream("event")
 
-    def test_the_end_mark_is_written(self):
+    def test_end_marker_is_written(self):
         self.check_stream("end")
 
-    def test_a_whole_answer_is_written_whole(self):
-        end, got = run_virtual(send_once, "whole", RouteKind.IDEMPOTENT)
-        self.assertEqual((end, got), (AttemptOutcome.DONE, [b"headbodyend"]))
+    def test_full_response_is_written_completely(self):
+        outcome, received = run_virtual(run_attempt, "whole", RouteKind.IDEMPOTENT)
+        self.assertEqual((outcome, received), (AttemptOutcome.DONE, [b"headbodyend"]))
 
 
-class GivenUpTest(unittest.TestCase):
-    """A caller's own time ends at the moment at which its answer begins.
+class DeadlineDuringWriteTest(unittest.TestCase):
+    """Guards against a caller that gets no bytes of a response that has arrived.
 
-    The answer is there, and the time's end is met by its write: the answer counts as
-    begun without a byte of it on its way, and its caller gets nothing at all. What has
-    come is written all the same.
+    The request's deadline passes in the moment its response starts. If it cancelled the
+    write, the response would count as started without a byte sent.
     """
 
     def answer(self, write):
-        """Have a handler ``write`` past its time; return what its caller got."""
+        """Run ``write`` in a handler past its deadline; return the caller's reply."""
 
         async def handle(http, responder):
             out = ResponseStream(responder, LoopClock())
@@ -204,13 +205,13 @@
 
         return run_virtual(task)
 
-    def test_a_whole_answer_is_delivered(self):
+    def test_full_response_is_delivered(self):
         async def write(out, head):
             await out.send_full(head, b"body")
 
         self.assertEqual(self.answer(write), (200, b"body", True))
 
-    def test_a_streams_first_and_last_event_are_delivered(self):
+    def test_first_and_last_event_of_a_stream_are_delivered(self):
         async def write(out, head):
             out.set_head(head)
             await out.feed(EVENT)
@@ -220,30 +221,31 @@
 
 
 class LateEngine:
-    """An engine of the own interface whose chunks come at the last moment."""
+    """A native API engine whose chunks arrive as the timeout expires."""
 
     @asynccontextmanager
     async def generate(self, address, call):
-        """Give two batches, each at the last moment."""
+        """Yield two batches, each as the timeout expires."""
         yield self._batches()
 
     async def _batches(self):
         for number in range(2):
-            await word_at_the_last_moment()
+            await wait_until_timeouts_expire()
             yield [EngineChunk(AttemptId("a1"), number, [str(number)])]
 
     async def cancel(self, address, attempt):
-        """Take the word that nobody waits any more."""
+        """Ignore the cancellation."""
 
 
-class OwnInterfaceTest(unittest.TestCase):
-    """A part of the text is missing from the caller's answer.
+class NativeApiTest(unittest.TestCase):
+    """Guards against text that is missing from the caller's response.
 
-    The engine's chunk comes at the moment at which its time is over. The chunk
-    counts as passed on, its write is cut, and the next engine goes on behind it.
+    A chunk arrives in the moment the engine's timeout expires. If the timeout cancelled
+    its write, the chunk would count as forwarded, and the next engine would resume
+    after it.
     """
 
-    def test_a_chunk_that_came_is_passed_on(self):
+    def test_received_chunk_is_forwarded(self):
         async def task():
             got: list[str] = []
 
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -1,4 +1,4 @@
-"""Whole path of streams: prompts read apart, cuts, resumed streams."""
+"""End-to-end tests of streams: disaggregated prefill, failures and resumption."""
 
 import unittest
 
@@ -15,7 +15,7 @@
 class StreamTest(unittest.TestCase):
     """Streams of events."""
 
-    def test_events_come_as_they_are_made(self):
+    def test_events_are_forwarded_as_they_arrive(self):
         async def task(world):
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers(pieces=6))
@@ -28,11 +28,11 @@
         self.assertTrue(body.startswith(stream_body(1, 3)))
         self.assertFalse(body.endswith(stream_body(6, 6)))
 
-    def test_cut_stream_never_looks_whole(self):
-        """A stream that may not be repeated is cut after two events.
+    def test_truncated_stream_has_no_end_marker(self):
+        """Guards against a truncated stream that looks complete to the caller.
 
-        What came is passed on; the connection then breaks without the end mark, so that
-        the caller knows the answer is not whole.
+        A stream that is not resumable breaks after two events. They are forwarded, and
+        the connection is closed without an end marker.
         """
 
         async def task(world):
@@ -45,11 +45,11 @@
         reply, runs = run_entry(task, engines="d")
         self.assertEqual((reply.body, reply.whole, runs), (stream_body(1, 2), False, 1))
 
-    def test_resumable_stream_goes_on_elsewhere_without_gap_or_repeat(self):
-        """A replica breaks off in the middle of the third event.
+    def test_resumed_stream_has_no_gap_or_repeat(self):
+        """Guards against a gap or repeated events in a resumed stream.
 
-        Half an event can't be taken back: it is held until whole. Another replica goes
-        on after the second, and the caller sees one stream.
+        A replica fails in the middle of the third event. A partial event must not be
+        forwarded; another replica resumes after the second event.
         """
 
         async def task(world):
@@ -67,7 +67,7 @@
         for body, whole in run_entry(task, engines="dd"):
             self.assertEqual((body, whole), (stream_body(1, 5), True))
 
-    def test_prompt_is_read_apart_and_its_cache_is_used(self):
+    def test_disaggregated_prefill_uses_the_kv_cache(self):
         async def task(world):
             reply = await world.ask("/note/x", headers=prompt_headers())
             return reply, [len(rep.runs) for rep in world.replicas.values()], world.kept
@@ -77,10 +77,11 @@
         self.assertEqual(runs, [0, 1])
         self.assertEqual(kept.handles, {})
 
-    def test_cache_of_a_caller_that_left_is_freed(self):
-        """The prompt is read, the answering engine is dark, and the caller leaves.
+    def test_kv_cache_is_freed_when_the_caller_disconnects(self):
+        """Guards against a leaked KV cache that occupies engine memory for seconds.
 
-        The cache would hold the engine's memory for seconds that others need.
+        The prompt is prefilled, the decode engine is unreachable, and the caller
+        disconnects.
         """
 
         async def task(world):
@@ -94,11 +95,11 @@
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), {})
 
-    def test_prompt_that_no_engine_reads_in_time_is_refused_at_once(self):
-        """The queue before the only reading engine is longer than callers wait.
+    def test_prompt_that_is_prefilled_too_late_is_refused_at_once(self):
+        """Guards against requests that wait for a prefill they can't get in time.
 
-        Holding the request until its caller leaves would serve nobody; it is told at
-        once, truly, that it was not run, and when the queue will have room.
+        The queue of the only prefill engine is longer than callers wait. The request is
+        refused at once as not run, with the time at which the queue will have room.
         """
 
         async def task(world):
@@ -113,11 +114,11 @@
         self.assertLess(seconds, 0.05)
         self.assertGreater(reply.again, 1)
 
-    def test_a_hopeless_second_send_is_not_called_not_run(self):
-        """An engine takes a stream and stays silent; the queues grow meanwhile.
+    def test_late_retry_is_not_reported_as_not_run(self):
+        """Guards against "not run" for a request that the first engine may have run.
 
-        Sending once more would be too late. But the first engine may have run the
-        request: the caller must not hear a status that promises the opposite.
+        An engine accepts a stream and sends nothing while the queues grow, so that a
+        retry could not meet the deadline.
         """
 
         async def task(world):
@@ -133,7 +134,7 @@
 
         self.assertEqual(run_entry(task, plain=0, engines="pdd"), (502, 1))
 
-    def test_prompt_is_not_read_for_answering_engines_that_are_full(self):
+    def test_no_prefill_when_decode_engines_are_full(self):
         async def task(world):
             for _ in range(200):
                 world.hosts[0].loads.sent("engine-2", 0, 1)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -157,14 +157,14 @@
         "request/replica_exchange.py",
         "        self._history.has_open_attempt = True\n",
         "",
-        f"{RELAY}.NotRunTest.test_silence_is_not_called_not_run",
+        f"{RELAY}.NotRunTest.test_timeout_is_not_reported_as_not_run",
     ),
     Proof(
         "requests run once unless they may be repeated",
         "request/retry_policy.py",
         "return bounds.repeatable and",
         "return",
-        "test_request_retry_policy.RetryRuleTest",
+        "test_request_retry_policy.RetryPolicyTest",
     ),
     Proof(
         "the answer's id is compared",
@@ -172,7 +172,7 @@
         "if head.request is not None and head.request != self._req.id:\n"
         "            await limit.bound(answer.skip())",
         "if False:\n            await limit.bound(answer.skip())",
-        f"{RELAY}.KeptConnectionTest.test_late_second_answer_reaches_nobody",
+        f"{RELAY}.ConnectionReuseTest.test_unexpected_second_response_is_discarded",
     ),
     Proof(
         "a connection with a body still under way is not kept",
@@ -180,7 +180,7 @@
         "whole = sent.is_set() and answer.usable and wire.reusable()",
         "whole = answer.usable and wire.reusable()",
         "test_request_bodies.ClientTest."
-        "test_connection_whose_last_chunk_is_under_way_is_not_used_again",
+        "test_connection_with_an_unsent_chunk_is_not_reused",
     ),
     Proof(
         "a leaving host takes nothing that it can't finish",
@@ -208,15 +208,15 @@
         "connection/target_client.py",
         "BodyBrokenError:\n            close_now(wire.stream)\n            return\n",
         "BodyBrokenError:\n            pass\n",
-        "test_request_bodies.ClientTest.test_half_a_body_does_not_look_whole",
+        "test_request_bodies.ClientTest.test_truncated_body_is_not_sent_as_complete",
     ),
     Proof(
         "a body is read at its target's pace",
         "connection/server_link.py",
         "                await body.wait_for_room()\n",
         "",
-        "test_request_bodies.HandedOnTest."
-        "test_a_replica_that_reads_slowly_slows_its_caller",
+        "test_request_bodies.StreamedBodyTest."
+        "test_slow_replica_applies_backpressure_to_its_caller",
     ),
     Proof(
         "what a whole list leaves out is gone",
@@ -230,7 +230,7 @@
         "platform/exchange.py",
         "genuine=names.SIGNATURE in found and",
         "genuine=True or",
-        f"{RELAY}.NotRunTest.test_a_booking_runs_once_whatever_breaks",
+        f"{RELAY}.NotRunTest.test_at_most_once_request_runs_once_after_failures",
     ),
     Proof(
         "a stream is passed on in whole events",
@@ -259,14 +259,14 @@
         "connection/server_link.py",
         "        scope.cancel()\n",
         "",
-        f"{RELAY}.CallerLeavesTest",
+        f"{RELAY}.CallerDisconnectTest",
     ),
     Proof(
         "a cache that was not taken is freed",
         "request/relay.py",
         "                self._release_kv_source()\n            return RelayResult",
         "                pass\n            return RelayResult",
-        f"{STREAMS}.StreamTest.test_cache_of_a_caller_that_left_is_freed",
+        f"{STREAMS}.StreamTest.test_kv_cache_is_freed_when_the_caller_disconnects",
     ),
     Proof(
         "a second send is told less time",
@@ -301,7 +301,7 @@
         "request/retry_loop.py",
         "not budget.take(clock.monotonic()) and",
         "False and",
-        f"{RELAY}.RetryTest.test_retries_keep_to_the_share_of_all_hosts",
+        f"{RELAY}.RetryTest.test_retries_stay_within_the_budget_of_all_hosts",
     ),
     Proof(
         "a begun answer is finished whatever the budget says",
@@ -309,21 +309,21 @@
         "        return self._answer.tokens > 0\n",
         "        return False\n",
         "test_answers.StreamFailureTest."
-        "test_begun_answer_is_finished_although_retries_are_spent",
+        "test_started_response_is_finished_when_the_retry_budget_is_spent",
     ),
     Proof(
         "starting over keeps that a send may have run",
         "request/retry_policy.py",
         "self._may_have_run_before = self.may_have_run",
         "self._may_have_run_before = False",
-        "test_request_retry_loop.SendLoopTest",
+        "test_request_retry_loop.RetryLoopTest",
     ),
     Proof(
         "further readings are further sends",
         "request/relay.py",
         "if self._prefills and not self._retry_budget.take(self._now()):",
         "if False:",
-        f"{RELAY}.RetryTest.test_readings_count_as_sends",
+        f"{RELAY}.RetryTest.test_prefills_count_as_attempts",
     ),
     Proof(
         "a prompt that comes too late is refused at once",
@@ -331,7 +331,7 @@
         "self._now() + seconds > self._first_chunk_deadline:",
         "False:",
         f"{STREAMS}.StreamTest."
-        "test_prompt_that_no_engine_reads_in_time_is_refused_at_once",
+        "test_prompt_that_is_prefilled_too_late_is_refused_at_once",
     ),
     Proof(
         "a hopeless further send is not called not run",
@@ -339,7 +339,7 @@
         "        found = self._final_outcome()\n"
         "        if found is RelayOutcome.NOT_RUN:\n",
         "        if True:\n",
-        f"{STREAMS}.StreamTest.test_a_hopeless_second_send_is_not_called_not_run",
+        f"{STREAMS}.StreamTest.test_late_retry_is_not_reported_as_not_run",
     ),
     Proof(
         "the answering engine is chosen after the reading",
@@ -396,23 +396,22 @@
         "connection/server_link.py",
         "        if not self.headless:\n",
         "        if True:\n",
-        "test_entry_writes.HeadlessTest",
+        "test_entry_writes.HeadRequestTest",
     ),
     Proof(
         "a caller that has left ends the write to it",
         "connection/server_link.py",
         "        self.writing.cancel()\n",
         "",
-        "test_entry_writes.SlowCallerTest"
-        ".test_a_caller_that_ends_its_side_frees_its_engine",
+        "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
     ),
     Proof(
         "a connection's error costs no other caller",
         "connection/http_server.py",
         '        except Exception:\n            logger.exception("connection',
         '        except MemoryError:\n            logger.exception("connection',
-        "test_entry_own_end.OwnEndTest"
-        ".test_a_refusal_that_can_not_be_written_costs_its_caller_alone",
+        "test_entry_own_end.ProcessSurvivalTest"
+        ".test_unwritable_refusal_affects_only_its_caller",
     ),
     Proof(
         "a request read in the turn of a stop's end is answered",
@@ -475,7 +474,7 @@
         "connection/http_server.py",
         "                if exc.errno not in NO_ROOM:\n",
         "                if exc.errno:\n",
-        "test_entry_own_end.OwnEndTest.test_a_host_without_a_free_descriptor_goes_on",
+        "test_entry_own_end.ProcessSurvivalTest.test_host_without_free_descriptors_keeps_running",
     ),
     Proof(
         "a lease is over on a clock that counts a freeze",
@@ -572,7 +571,7 @@
         "            word = await wait\n"
         "            await trio.lowlevel.checkpoint()\n"
         "            return word\n",
-        "test_request_silence.RoutedAnswerTest",
+        "test_request_silence.RoutedResponseTest",
     ),
     Proof(
         "a slow answer of the store is read on while its parts come",
@@ -593,14 +592,14 @@
         "connection/http_server.py",
         "shield=True, deadline=min(",
         "shield=False, deadline=min(",
-        "test_request_silence.GivenUpTest",
+        "test_request_silence.DeadlineDuringWriteTest",
     ),
     Proof(
         "no time ends between an answer's head and its body",
         "connection/http_server.py",
         "shield=True, deadline=min(",
         "shield=False, deadline=min(",
-        "test_entry_writes.ReadyAnswerTest",
+        "test_entry_writes.ReadyResponseTest",
     ),
     Proof(
         "each start of a replica is an instance of its own",
