--- a/bench/placing.py
+++ b/bench/placing.py
@@ -10,8 +10,8 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import Placer
 
 SIZES = ((9, 9), (45, 78), (400, 370), (1600, 370))
@@ -49,7 +49,7 @@
         entries = tuple(
             LoadEntry(target_hash(rep.instance), 2, (0, 4000, 0), 0.0) for rep in chosen
         )
-        peers.take(LoadDigest(f"host-{number}", 1, entries), 0.0)
+        peers.receive(LoadDigest(f"host-{number}", 1, entries), 0.0)
     return peers
 
 
@@ -58,7 +58,7 @@
     rng = random.Random(1)
     pool = make_pool(engines)
     peers = make_peers(hosts, pool, rng)
-    placer = Placer(TargetLoads(), peers, WarmParts(), EngineSpeeds(), "d1", rng)
+    placer = Placer(TargetLoads(), peers, PrefixCacheIndex(), EngineSpeeds(), "d1", rng)
     prompts = [
         Prompt((PromptPart(f"p{n}", 13_000), PromptPart("own", 3_000)), 16_000, 80)
         for n in range(PARTS)
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -27,8 +27,8 @@
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.duties.phase_loop import PhaseLoop
 from berylshift.process.duties.phase_planner import PhasePlanner
-from berylshift.process.gossip.digest_builder import DigestParts
-from berylshift.process.gossip.load_loop import LoadLink, LoadLoop, LoadParts
+from berylshift.process.gossip.digest_builder import DigestSources
+from berylshift.process.gossip.load_loop import LoadLink, LoadLoop, LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
 from berylshift.process.quarantine.quarantine import Quarantine
@@ -36,11 +36,11 @@
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.limit_shares import LimitShare, LimitShares
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.rate_limits import RateLimits
-from berylshift.process.targets.recent_durations import RecentTimes
+from berylshift.process.targets.recent_durations import RecentDurations
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.fingerprint import Fingerprints
 from berylshift.request.key_gate import KeyGate
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
@@ -110,10 +110,10 @@
         self.phases = ExpectedPhases()
         self.heartbeat = cfg.directory.heartbeat_ms / 1000
         self.replicas = ReplicaSet(self.phases, LAPSE_HEARTBEATS * self.heartbeat)
-        self.loads = TargetLoads(lambda: self.load_loop.work_came())
+        self.loads = TargetLoads(lambda: self.load_loop.notify_work())
         self.leaving = False
         self.shutdown = Shutdown(ports.clock)
-        self.times = RecentTimes(ports.clock)
+        self.times = RecentDurations(ports.clock)
         self._started = ports.clock.monotonic()
         self._pools: set[ServiceName] = set()
         self._budgets: dict[ServiceName, ArrivalBudget] = {}
@@ -121,7 +121,7 @@
         self.peers = PeerLoads(cfg.host.name, cfg.host.domain)
         in_force = min(cfg.directory.in_force_ms, cfg.directory.leaving_ms) / 1000
         self.watch = StoreWatch(in_force, ports.boot_clock)
-        self.warm = WarmParts()
+        self.warm = PrefixCacheIndex()
         self.quarantine = Quarantine(self.heartbeat)
         self.fingerprints = Fingerprints()
         self.speeds = EngineSpeeds(self._engine_facts)
@@ -210,27 +210,27 @@
 
     def _make_load_loop(self) -> LoadLoop:
         cfg, ports = self.cfg, self.ports
-        digest = DigestParts(
+        digest = DigestSources(
             host=cfg.host.name,
             domain=cfg.host.domain,
             loads=self.loads,
             peers=self.peers,
-            warm=self.warm,
+            prefix_cache=self.warm,
             phases=self.phases,
             watch=self.watch,
             quarantine=self.quarantine,
             usage=self.duties.usage,
             throttle=self.throttle,
         )
-        parts = LoadParts(
-            digest=digest,
+        parts = LoadLoopDependencies(
+            sources=digest,
             address=cfg.host.peer_address,
             rows=ports.hosts,
             make_link=ports.make_link,
             clock=ports.clock,
             rng=ports.rng,
             byte_budget=cfg.peers.byte_budget,
-            on_news=lambda: self.follower.heard_news(),
+            on_store_change=lambda: self.follower.heard_news(),
             eras=self.watch.eras,
             on_joined=self.fingerprints.use_key,
         )
@@ -343,7 +343,7 @@
 
     def _duty_place(self, duty: str) -> int | None:
         """Return this host's place in order for a duty; none while it leaves."""
-        return None if self.leaving else self.load_loop.duty_place(duty)
+        return None if self.leaving else self.load_loop.duty_rank(duty)
 
     def _make_pool(self, service: ServiceName) -> PhaseLoop:
         cfg, ports = self.cfg, self.ports
--- a/berylshift/entry_gauges.py
+++ b/berylshift/entry_gauges.py
@@ -28,7 +28,7 @@
     gauge("in_flight", "Requests under way.", app.front.in_flight)
     hosts = app.load_loop.known_hosts or 0
     gauge("hosts_known", "Hosts that share limits.", hosts)
-    gauge("collects", "Role taken.", app.peers.collects)
+    gauge("collects", "Role taken.", app.peers.is_collector)
     gauge("follows", "Role taken.", app.watch.follows)
     era = app.watch.eras.current or FIRST_ERA
     gauge("store_era", "Era of the store.", era)
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -6,11 +6,11 @@
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.model.event_queue import EventQueue
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.gossip.protocol import REPEAT_SECONDS, TELL_SECONDS
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, SEND_SECONDS
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.request.reading_choice import ReadingChooser
 from berylshift.version.routes import EngineFacts
@@ -37,7 +37,7 @@
         self.domain = domain
         self.loads = TargetLoads()
         self.peers = PeerLoads(name)
-        self.warm = WarmParts()
+        self.warm = PrefixCacheIndex()
         self.rng = random.Random(seed)
         self.speeds = EngineSpeeds(lambda service: facts)
         parts = PlacingParts(
@@ -56,11 +56,11 @@
     def join(self, others: list["ModelHost"]) -> None:
         """Begin to tell ``others``."""
         self._others = others
-        self._queue.after(self.rng.uniform(0, TELL_SECONDS), self._tell)
+        self._queue.after(self.rng.uniform(0, SEND_SECONDS), self._tell)
 
     def _tell(self) -> None:
         now = self._queue.monotonic()
-        entries, reads = self.loads.entries(now), self.warm.to_tell(now)
+        entries, reads = self.loads.entries(now), self.warm.prefills_to_send(now)
         crashes = self.quarantine.reports(now)
         finished = self.quarantine.finishes(now)
         due = now - self._last_at >= REPEAT_SECONDS
@@ -77,11 +77,11 @@
             )
             for other in self._others:
                 other.hear(digest)
-        self._queue.after(TELL_SECONDS, self._tell)
+        self._queue.after(SEND_SECONDS, self._tell)
 
     def hear(self, digest: LoadDigest) -> None:
         """Take over what another host tells."""
         now = self._queue.monotonic()
-        self.peers.take(digest, now)
-        self.warm.heard(digest.prefills)
+        self.peers.receive(digest, now)
+        self.warm.merge(digest.prefills)
         self.quarantine.heard(digest.crashes, digest.finished, now, is_near=False)
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -10,7 +10,7 @@
 from berylshift.model.host import ModelHost
 from berylshift.model.result import PromptEnd
 from berylshift.model.traffic import Arrival
-from berylshift.process.targets.target_load import MILD, SEVERE
+from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.placement import Placement
 from berylshift.request.reading_choice import ReadingAsk
 from berylshift.request.refusals import LEAST_RETRY_AFTER, MOST_RETRY_AFTER
@@ -109,7 +109,7 @@
         self._reads += 1
         self._sent_at = now
         host.readings.sent(ask, choice, now)
-        host.loads.sent(place.target.instance, place.tokens, self._urgency)
+        host.loads.note_sent(place.target.instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
         rank = rank_of(self._kind, self._standing)
         self._queue.after(
@@ -124,12 +124,12 @@
 
     def _take_reading(self, place: Placement, good: bool) -> None:
         instance, host = place.target.instance, self._host
-        host.loads.read(instance, place.tokens, self._urgency)
-        host.loads.ended(instance)
+        host.loads.note_prefilled(instance, place.tokens, self._urgency)
+        host.loads.note_ended(instance)
         self._note(place.target, good)
         if good:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.was_read(
+            host.speeds.note_prefill(
                 place.target.service, place.tokens, place.ahead, seconds
             )
             self._answer(place.target)
@@ -150,7 +150,7 @@
             return
         instance = place.target.instance
         self._sent_at, self._source = now, source
-        host.loads.sent(instance, place.tokens, self._urgency)
+        host.loads.note_sent(instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
         rank = rank_of(self._kind, self._standing)
         stream = Stream(
@@ -178,11 +178,15 @@
         if self._first is None:
             self._first = now - self._arrival.at
             host = self._host
-            host.loads.read(place.target.instance, place.tokens, self._urgency)
+            host.loads.note_prefilled(
+                place.target.instance, place.tokens, self._urgency
+            )
             if self._source is not None:
                 tokens = self._arrival.prompt.tokens
                 seconds = now - self._sent_at
-                host.speeds.began(place.target.service, tokens, place.ahead, seconds)
+                host.speeds.note_first_token(
+                    place.target.service, tokens, place.ahead, seconds
+                )
         else:
             self._pause = max(self._pause, now - self._last)
         self._last = now
@@ -190,11 +194,11 @@
     def _ended(self, place: Placement, stream: Stream, good: bool) -> None:
         instance, host = place.target.instance, self._host
         if self._first is None:
-            host.loads.read(instance, place.tokens, self._urgency)
-        host.loads.ended(instance)
+            host.loads.note_prefilled(instance, place.tokens, self._urgency)
+        host.loads.note_ended(instance)
         if good and self._first is not None:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.answered(place.target.service, seconds)
+            host.speeds.note_response(place.target.service, seconds)
         self._note(place.target, good)
         self._tell_quarantine(place.target, good)
         way = self._way_back(place.target)
@@ -224,11 +228,13 @@
     def _note(self, target: Replica, good: bool) -> None:
         now, host = self._queue.monotonic(), self._host
         if good:
-            host.loads.succeeded(target.instance, now)
+            host.loads.note_success(target.instance, now)
             report = self._fleet.engines[target.address].report()
-            host.loads.heard(target.instance, report, now)
+            host.loads.note_report(target.instance, report, now)
         else:
-            host.loads.failed(target.instance, SEVERE if self._first else MILD, now)
+            host.loads.note_failure(
+                target.instance, SEVERE_FAILURE if self._first else MILD_FAILURE, now
+            )
 
     def _refuse(self, seconds: float) -> None:
         """Refuse the prompt; its caller comes back if it has tries and time left."""
--- a/berylshift/process/__init__.py
+++ b/berylshift/process/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for the process: load view, limits, membership, leases, orders."""
+"""Process-wide state: load view, limits, membership, leases, orders."""
--- a/berylshift/process/gossip/__init__.py
+++ b/berylshift/process/gossip/__init__.py
@@ -1,1 +1,1 @@
-"""What hosts tell each other of their work, and who gathers it."""
+"""Load gossip: the digests hosts exchange, and the collectors that sum them up."""
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -1,95 +1,96 @@
-"""What a collector tells: its domain's sums, and the sum of all hosts."""
+"""What a collector sends: the aggregate of its domain and that of all hosts."""
 
 from berylshift.messages.load_digest import LoadDigest, Scope
-from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
+from berylshift.process.gossip.digest_builder import DigestBuilder, DigestSources
 from berylshift.process.gossip.election import Election
-from berylshift.process.gossip.forwarded_reads import ForwardedReads
+from berylshift.process.gossip.forwarded_prefills import ForwardedPrefills
 from berylshift.process.gossip.host_list import HostList
 
-# Collectors a domain: a second one would double what is told, for one second's gap in
-# the sums when the first one is lost.
-COLLECTORS = 1
-# Reads in one digest of sums; with fifty replicas' work and the orders under way they
-# fill a datagram.
-MOST_READS = 32
-# Reads that make room for one replica that broke off: that one is told first, since it
-# is seldom, and a read that is told late costs some tokens only.
-READS_A_CRASH = 2
+# A second collector per domain would double the traffic, to avoid a gap of one second
+# in the aggregates when the first one is lost.
+COLLECTORS_PER_DOMAIN = 1
+# Prefills in one aggregate digest; with the load of fifty replicas and the current
+# phase orders they fill a datagram.
+MAX_PREFILLS = 32
+# Prefills left out to make room for one crash report. Crash reports go first: they are
+# rare, and a prefill that is sent late costs only some repeated tokens.
+PREFILLS_PER_CRASH = 2
 
 
-class Collecting:
-    """Sums of a domain and of all; times in seconds on the monotonic clock."""
+class Collector:
+    """Aggregates of a domain and of the fleet; times in monotonic seconds."""
 
-    def __init__(self, parts: DigestParts, maker: DigestMaker, hosts: HostList):
-        """Tell of ``parts`` in digests of ``maker``, to ``hosts``."""
-        self._parts = parts
-        self._maker = maker
+    def __init__(self, sources: DigestSources, builder: DigestBuilder, hosts: HostList):
+        """Aggregate ``sources`` into digests of ``builder``, for ``hosts``."""
+        self._sources = sources
+        self._builder = builder
         self._hosts = hosts
         self._others: dict[str, Election] = {}
-        self._domain_reads = ForwardedReads()
-        self._fleet_reads = ForwardedReads()
+        self._domain_prefills = ForwardedPrefills()
+        self._fleet_prefills = ForwardedPrefills()
         self._turn = 0
 
-    def heard_collector(self, digest: LoadDigest, now: float) -> None:
-        """Note another domain's collector."""
+    def note_collector(self, digest: LoadDigest, now: float) -> None:
+        """Record the sender as the collector of another domain."""
         found = self._others.get(digest.domain)
         if found is None:
-            found = Election(self._parts.host, COLLECTORS)
+            found = Election(self._sources.host, COLLECTORS_PER_DOMAIN)
             self._others[digest.domain] = found
-        found.heard(digest.host, now)
+        found.note_holder(digest.host, now)
 
-    def heard_collectors(self, now: float) -> list[str]:
-        """Return the other domains' collectors that were heard lately."""
+    def known_collectors(self, now: float) -> list[str]:
+        """Return the other domains' collectors that were heard from recently."""
         return [
             host
             for election in self._others.values()
-            for host in election.holders(now)[:COLLECTORS]
+            for host in election.holders(now)[:COLLECTORS_PER_DOMAIN]
         ]
 
-    def pass_on(self, digest: LoadDigest, now: float) -> None:
-        """Keep reads that the other hosts have to hear of."""
-        if digest.scope is Scope.HOST and digest.domain == self._parts.domain:
-            self._domain_reads.note(digest.prefills, now)
+    def forward_prefills(self, digest: LoadDigest, now: float) -> None:
+        """Queue the prefills of a digest that other hosts need to know of."""
+        if digest.scope is Scope.HOST and digest.domain == self._sources.domain:
+            self._domain_prefills.add(digest.prefills, now)
         if digest.scope is not Scope.FLEET:
-            self._fleet_reads.note(digest.prefills, now)
+            self._fleet_prefills.add(digest.prefills, now)
 
-    def note_own_reads(self, now: float) -> None:
-        """Keep this host's own reads, which both sums tell."""
-        reads = self._parts.warm.to_tell(now)
-        self._domain_reads.note(reads, now)
-        self._fleet_reads.note(reads, now)
+    def add_own_prefills(self, now: float) -> None:
+        """Queue this host's own prefills, which both aggregates include."""
+        prefills = self._sources.prefix_cache.prefills_to_send(now)
+        self._domain_prefills.add(prefills, now)
+        self._fleet_prefills.add(prefills, now)
 
-    def domain_sum(self, now: float) -> LoadDigest:
-        """Return the work of this domain's hosts, for the other collectors."""
-        parts = self._parts
-        return self._maker.make(
-            parts.peers.summed(parts.loads.entries(now), Scope.DOMAIN, now),
-            self._domain_reads.take(self._room_for_reads(now, near_alone=True)),
+    def domain_aggregate(self, now: float) -> LoadDigest:
+        """Return the load of this domain's hosts, for the other collectors."""
+        sources = self._sources
+        return self._builder.build(
+            sources.peers.aggregate(sources.loads.entries(now), Scope.DOMAIN, now),
+            self._domain_prefills.take(self._max_prefills(now, own_domain_only=True)),
             now,
             Scope.DOMAIN,
-            parts.peers.domain_hosts(now),
+            sources.peers.domain_host_count(now),
         )
 
-    def fleet_sum(self, now: float) -> LoadDigest:
-        """Return the work of all hosts, for those of this domain."""
-        parts = self._parts
-        return self._maker.make(
-            parts.peers.summed(parts.loads.entries(now), Scope.FLEET, now),
-            self._fleet_reads.take(self._room_for_reads(now)),
+    def fleet_aggregate(self, now: float) -> LoadDigest:
+        """Return the load of all hosts, for those of this domain."""
+        sources = self._sources
+        return self._builder.build(
+            sources.peers.aggregate(sources.loads.entries(now), Scope.FLEET, now),
+            self._fleet_prefills.take(self._max_prefills(now)),
             now,
             Scope.FLEET,
-            parts.peers.fleet_hosts(now),
+            sources.peers.fleet_host_count(now),
         )
 
-    def _room_for_reads(self, now: float, near_alone: bool = False) -> int:
-        crashes = self._parts.quarantine.reports_due(now, near_alone)
-        return max(0, MOST_READS - READS_A_CRASH * crashes)
+    def _max_prefills(self, now: float, own_domain_only: bool = False) -> int:
+        crashes = self._sources.quarantine.reports_due(now, own_domain_only)
+        return max(0, MAX_PREFILLS - PREFILLS_PER_CRASH * crashes)
 
     def other_collectors(self, now: float) -> list[str]:
-        """Return the other domains' collectors.
+        """Return the hosts to send the domain aggregate to.
 
-        Where none is heard, the host that should collect is told, and the others in
-        turn: whoever collects there hears it and answers with sums of its own.
+        For a domain without a known collector these are the first host in its election
+        order and, in rotation, one of the others: whichever host collects there
+        receives it and answers with aggregates of its own.
         """
         self._turn += 1
         found = []
--- a/berylshift/process/gossip/digest_builder.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -1,4 +1,4 @@
-"""Makes this host's digests: what it knows, and what it knows of the store."""
+"""Builds this host's digests from its own state and its knowledge of the store."""
 
 from dataclasses import dataclass
 
@@ -8,21 +8,21 @@
 from berylshift.process.directory.store_watch import StoreWatch
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.process.usage.usage_book import UsageBook
 
 
 @dataclass
-class DigestParts:
-    """What a digest is made from."""
+class DigestSources:
+    """The state that digests are built from."""
 
     host: str
     domain: str
     loads: TargetLoads
     peers: PeerLoads
-    warm: WarmParts
+    prefix_cache: PrefixCacheIndex
     phases: ExpectedPhases
     watch: StoreWatch
     quarantine: Quarantine
@@ -30,60 +30,62 @@
     throttle: Throttle
 
 
-class DigestMaker:
-    """Numbers the digests of one host."""
+class DigestBuilder:
+    """Builds and numbers the digests of one host."""
 
-    def __init__(self, parts: DigestParts):
-        """Make digests of ``parts``."""
-        self._parts = parts
+    def __init__(self, sources: DigestSources):
+        """Build digests from ``sources``."""
+        self._sources = sources
         self._sequence = 0
 
-    def make(
+    def build(
         self,
         entries: tuple[LoadEntry, ...],
-        reads: tuple[BlockPrefill, ...],
+        prefills: tuple[BlockPrefill, ...],
         now: float,
         scope: Scope = Scope.HOST,
         hosts: int = 1,
     ) -> LoadDigest:
-        """Return the next digest, of the work of ``hosts`` hosts.
+        """Return the next digest, with the load of ``hosts`` hosts.
 
-        What is known of the store is told by those that follow it, and by collectors
-        to their hosts.
+        The store's status is sent by feed readers to all, and by collectors to the
+        hosts of their domain.
         """
-        parts = self._parts
+        sources = self._sources
         self._sequence += 1
-        follows = parts.watch.follows
-        tells_word = follows or scope is Scope.FLEET
-        # Other domains' collectors hear from each other what is not of their own.
-        near = scope is not Scope.FLEET
+        reads_feeds = sources.watch.follows
+        has_status = reads_feeds or scope is Scope.FLEET
+        # Collectors of other domains receive each other's reports directly.
+        own_domain_only = scope is not Scope.FLEET
         runs = self._runs(scope, now)
-        gathers = scope is not Scope.HOST
+        is_aggregate = scope is not Scope.HOST
         return LoadDigest(
-            host=parts.host,
+            host=sources.host,
             sequence=self._sequence,
             entries=entries,
-            prefills=reads,
-            phases=parts.phases.to_tell(now),
+            prefills=prefills,
+            phases=sources.phases.to_tell(now),
             scope=scope,
-            domain=parts.domain,
+            domain=sources.domain,
             hosts=hosts,
-            reads_feeds=follows,
-            store_status=parts.watch.word() if tells_word else None,
-            crashes=parts.quarantine.reports(now, near),
-            finished=parts.quarantine.finishes(now, near),
-            started_ms=parts.usage.start if runs else 0,
+            reads_feeds=reads_feeds,
+            store_status=sources.watch.word() if has_status else None,
+            crashes=sources.quarantine.reports(now, own_domain_only),
+            finished=sources.quarantine.finishes(now, own_domain_only),
+            started_ms=sources.usage.start if runs else 0,
             runs=runs,
-            limits=parts.throttle.to_tell(now, own_alone=not gathers),
-            usage_done=parts.usage.done if gathers else parts.usage.done_told(now),
+            limits=sources.throttle.updates_to_send(now, own_only=not is_aggregate),
+            usage_done=sources.usage.done
+            if is_aggregate
+            else sources.usage.done_told(now),
         )
 
     def _runs(self, scope: Scope, now: float) -> tuple[RunCount, ...]:
-        """Return the requests begun that a digest tells of.
+        """Return the counts of begun requests that a digest carries.
 
-        A collector tells its domain's sum to the others, and its own counts to its
-        hosts: one of them may collect next.
+        A collector sends its domain's counts to the other collectors, and its own
+        counts to its hosts, since one of them may be the next collector.
         """
         if scope is Scope.DOMAIN:
-            return self._parts.usage.domain_told(now)
-        return self._parts.usage.own_told(now)
+            return self._sources.usage.domain_told(now)
+        return self._sources.usage.own_told(now)
--- a/berylshift/process/gossip/election.py
+++ b/berylshift/process/gossip/election.py
@@ -1,29 +1,28 @@
-"""Which hosts of a group take a role that a few of them hold for all.
+"""Which hosts of a group hold a role that a few of them fill for all.
 
-Nobody is voted for and nothing is agreed: a host that hears enough others in the role,
-all of them before it in an order that all compute alike, leaves it to them. Two too
-many cost a few datagrams or calls; one too few is noticed within two seconds, and what
-the role is for has a way without it.
+There is no voting and no consensus: a host that hears from enough other holders, all of
+them before it in an order that every host computes alike, gives the role up. Two
+holders too many cost a few datagrams or calls; a missing one is replaced within two
+seconds, and what the role serves has a fallback without it.
 """
 
 import functools
 
 import xxhash
 
-# A host in a role is heard five times a second; one that is silent for longer than
-# this has lost all of five datagrams, stands still or is gone.
-SILENT_SECONDS = 1.0
+# A holder sends five times a second; after this time without a digest all five were
+# lost, or the host is suspended or gone.
+HOLDER_TIMEOUT_SECONDS = 1.0
 # How much longer a host waits for each one before it in the order: the first ones take
-# the role, and the others hear them before their own time comes.
-PLACE_SECONDS = 0.15
-# Hosts long gone stay listed; however many stand before it, a host waits no longer
-# than for so many of them.
-MOST_PLACES = 10
+# the role, and the others hear from them before their own delay ends.
+SECONDS_PER_RANK = 0.15
+# Hosts long gone stay listed; the delay counts no more hosts than this.
+MAX_DELAYED_RANKS = 10
 
 
 @functools.lru_cache(8192)
-def rank(host: str) -> int:
-    """Return a host's place in the order that all hosts compute alike."""
+def order_key(host: str) -> int:
+    """Return the key by which every host sorts the hosts in the same order."""
     return xxhash.xxh32_intdigest(host.encode())
 
 
@@ -34,41 +33,43 @@
         """Decide for ``host``; about ``seats`` hosts hold the role."""
         self._host = host
         self._seats = seats
-        self._heard: dict[str, float] = {}
-        self._missing_since: float | None = None
-        self.holds = False
+        self._heard_at: dict[str, float] = {}
+        self._vacant_since: float | None = None
+        self.is_holder = False
 
-    def heard(self, host: str, now: float) -> None:
-        """Note that another host was heard in the role."""
+    def note_holder(self, host: str, now: float) -> None:
+        """Record a digest of another host that holds the role."""
         if host != self._host:
-            self._heard[host] = now
+            self._heard_at[host] = now
 
     def holders(self, now: float) -> list[str]:
-        """Return the other hosts heard in the role lately, in order."""
-        self._heard = {
-            host: at for host, at in self._heard.items() if now - at < SILENT_SECONDS
+        """Return the other hosts that held the role recently, in order."""
+        self._heard_at = {
+            host: at
+            for host, at in self._heard_at.items()
+            if now - at < HOLDER_TIMEOUT_SECONDS
         }
-        return sorted(self._heard, key=rank)
+        return sorted(self._heard_at, key=order_key)
 
-    def decide(self, place: int, now: float) -> bool:
+    def decide(self, rank: int, now: float) -> bool:
         """Return whether this host holds the role now.
 
-        ``place``: how many listed hosts of the group come before it in the order.
+        ``rank``: how many listed hosts of the group come before it in the order.
         """
-        own = rank(self._host)
-        before = sum(rank(host) < own for host in self.holders(now))
-        if self._missing_since is None or before >= self._seats:
-            self._missing_since = now
+        own = order_key(self._host)
+        before = sum(order_key(host) < own for host in self.holders(now))
+        if self._vacant_since is None or before >= self._seats:
+            self._vacant_since = now
         if before >= self._seats:
-            self.holds = False
-        elif now - self._missing_since >= self._patience(place):
-            self.holds = True
-        return self.holds
+            self.is_holder = False
+        elif now - self._vacant_since >= self._takeover_delay(rank):
+            self.is_holder = True
+        return self.is_holder
 
     def resign(self) -> None:
-        """Leave the role, and wait anew before it is taken again."""
-        self.holds = False
-        self._missing_since = None
+        """Give up the role, and restart the delay before it is taken again."""
+        self.is_holder = False
+        self._vacant_since = None
 
-    def _patience(self, place: int) -> float:
-        return SILENT_SECONDS + PLACE_SECONDS * min(place, MOST_PLACES)
+    def _takeover_delay(self, rank: int) -> float:
+        return HOLDER_TIMEOUT_SECONDS + SECONDS_PER_RANK * min(rank, MAX_DELAYED_RANKS)
--- a/berylshift/process/gossip/host_list.py
+++ b/berylshift/process/gossip/host_list.py
@@ -1,8 +1,8 @@
-"""The other hosts' addresses and failure domains, as their rows say."""
+"""The other hosts' addresses and failure domains, from their rows in the store."""
 
 from collections.abc import Iterable
 
-from berylshift.process.gossip.election import rank
+from berylshift.process.gossip.election import order_key
 from berylshift.store.host_rows import HostRecord
 
 
@@ -16,25 +16,25 @@
         self._records: dict[str, HostRecord] = {}
         self._listed_since: dict[str, float] = {}
         self._by_domain: dict[str, list[HostRecord]] = {}
-        self.was_read = False
-        # How many hosts come before this one in the order of ``rank``: of this domain,
+        self.is_loaded = False
+        # How many hosts come before this one in the election order: of this domain,
         # and of all.
-        self.place_in_domain = 0
-        self.place = 0
+        self.domain_rank = 0
+        self.rank = 0
 
     def replace(self, records: Iterable[HostRecord], now: float) -> bool:
-        """Take over all rows; return whether other hosts are listed than before."""
+        """Replace the list; return whether the set of other hosts has changed."""
         found = {rec.host: rec for rec in records if rec.host != self._host}
         changed = found != self._records
         self._records = found
         self._by_domain = {}
-        for rec in sorted(found.values(), key=lambda rec: rank(rec.host)):
+        for rec in sorted(found.values(), key=lambda rec: order_key(rec.host)):
             self._by_domain.setdefault(rec.domain, []).append(rec)
         for host in found:
             self._listed_since.setdefault(host, now)
-        self.was_read = True
-        self.place_in_domain = self._place(self.neighbours())
-        self.place = self._place(found.values())
+        self.is_loaded = True
+        self.domain_rank = self._rank_among(self.domain_peers())
+        self.rank = self._rank_among(found.values())
         return changed
 
     def __len__(self) -> int:
@@ -54,27 +54,27 @@
         return list(self._records.values())
 
     def address(self, host: str) -> str | None:
-        """Return where a host's datagrams arrive."""
+        """Return the address that a host receives datagrams at."""
         rec = self._records.get(host)
         return None if rec is None else rec.address
 
-    def neighbours(self) -> list[HostRecord]:
-        """Return the other hosts of this domain, in the order of ``rank``."""
+    def domain_peers(self) -> list[HostRecord]:
+        """Return the other hosts of this domain, in the election order."""
         return self._by_domain.get(self._domain, [])
 
     def other_domains(self) -> dict[str, list[HostRecord]]:
-        """Return the hosts of each other domain, in the order of ``rank``."""
+        """Return the hosts of each other domain, in the election order."""
         return {
             domain: records
             for domain, records in self._by_domain.items()
             if domain != self._domain
         }
 
-    def _place(self, records: Iterable[HostRecord]) -> int:
-        own = rank(self._host)
-        return sum(rank(rec.host) < own for rec in records)
+    def _rank_among(self, records: Iterable[HostRecord]) -> int:
+        own = order_key(self._host)
+        return sum(order_key(rec.host) < own for rec in records)
 
-    def young(self, now: float, seconds: float) -> list[str]:
+    def recently_listed(self, now: float, seconds: float) -> list[str]:
         """Return the hosts that have been listed for less than ``seconds``."""
         return [
             host for host in self._records if now - self._listed_since[host] < seconds
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -1,4 +1,4 @@
-"""Tells the other hosts of this host's work, and hears of theirs."""
+"""Sends this host's load to the other hosts and receives theirs."""
 
 import logging
 import random
@@ -11,18 +11,18 @@
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.process.directory.store_eras import StoreEras
-from berylshift.process.gossip.digest_builder import DigestParts
+from berylshift.process.gossip.digest_builder import DigestSources
 from berylshift.process.gossip.host_list import HostList
-from berylshift.process.gossip.peer_loads import MEMBER_SECONDS
-from berylshift.process.gossip.protocol import REPEAT_SECONDS, Role, Teller
+from berylshift.process.gossip.peer_loads import MEMBER_TTL_SECONDS
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, GossipProtocol, Role
 from berylshift.store.host_rows import HostRecord, HostRows
 from berylshift.store.interfaces import PlatformError
 
 logger = logging.getLogger(__name__)
 
-# How often the hosts' rows are read. New hosts are heard of by their own datagrams,
-# which have the rows read at once.
-HOSTS_SECONDS = 30.0
+# How often the hosts' rows are read. A new host is noticed by its own datagrams, which
+# trigger a read of the rows at once.
+HOST_LIST_SECONDS = 30.0
 RETRY_SECONDS = 1.0
 
 
@@ -33,186 +33,193 @@
         """Send a digest to each address; some may be lost."""
 
     async def receive(self, take: Callable[[LoadDigest], None]) -> None:
-        """Give each digest to ``take`` until cancelled."""
+        """Pass each digest to ``take`` until cancelled."""
 
 
 @dataclass
-class LoadParts:
+class LoadLoopDependencies:
     """What the loop works with."""
 
-    digest: DigestParts
+    sources: DigestSources
     address: str
     rows: HostRows
     make_link: Callable[[str], LoadLink]
     clock: Clock
     rng: random.Random
     byte_budget: int
-    # Told that the store has something new for this host to read.
-    on_news: Callable[[], None]
-    # Tells when the store has come back older.
+    # Called when the store has something new for this host to read.
+    on_store_change: Callable[[], None]
+    # Signals that the store was restored from an older copy.
     eras: StoreEras
-    # Told the key that all hosts share.
+    # Called with the key that all hosts share.
     on_joined: Callable[[str], None] = lambda key: None
 
 
 class LoadLoop:
-    """One task tells, one hears, one learns which hosts there are."""
-
-    def __init__(self, parts: LoadParts):
-        """Work with ``parts``."""
-        self._parts = parts
-        self._hosts = HostList(parts.digest.host, parts.digest.domain)
-        self._stranger = trio.Event()
-        self._work = trio.Event()
+    """Three tasks: one sends, one receives, one keeps the host list up to date."""
+
+    def __init__(self, deps: LoadLoopDependencies):
+        """Work with ``deps``."""
+        self._deps = deps
+        self._hosts = HostList(deps.sources.host, deps.sources.domain)
+        self._unknown_host = trio.Event()
+        self._new_work = trio.Event()
         self._new_era = trio.Event()
-        parts.eras.tell(lambda: self._new_era.set())
-        self._teller = Teller(
-            parts.digest, self._hosts, parts.byte_budget, self._on_role
+        deps.eras.tell(lambda: self._new_era.set())
+        self._protocol = GossipProtocol(
+            deps.sources, self._hosts, deps.byte_budget, self._on_role
         )
 
     @property
     def known_hosts(self) -> int | None:
         """Return how many hosts share the limits; ``None``: not known yet.
 
-        A host that is listed counts until it has had time to be heard of: rows of
-        hosts long gone stay in the store.
+        A newly listed host counts before its first digest arrives. Later it counts only
+        if it is heard from: rows of hosts long gone stay in the store.
         """
-        if not self._hosts.was_read:
+        if not self._hosts.is_loaded:
             return None
-        now = self._parts.clock.monotonic()
-        peers = self._parts.digest.peers
-        young = self._hosts.young(now, MEMBER_SECONDS)
-        unheard = sum(not peers.heard(host, now) for host in young)
-        return 1 + max(peers.heard_hosts(now) + unheard, peers.members(now))
+        now = self._deps.clock.monotonic()
+        peers = self._deps.sources.peers
+        recent = self._hosts.recently_listed(now, MEMBER_TTL_SECONDS)
+        unheard = sum(not peers.was_heard(host, now) for host in recent)
+        return 1 + max(peers.heard_host_count(now) + unheard, peers.member_count(now))
 
     def sharing_hosts(self) -> list[HostRecord] | None:
         """Return the hosts that share limits, this one too; ``None``: not known yet.
 
-        Where hosts tell each other directly, those that have been silent for long are
-        left out. A host that hears few of the others may be cut off itself: taken for
-        gone, they would go on using the limits beside it.
+        Without collectors, hosts that have been silent for long are left out. A host
+        that hears from less than half of the others may be partitioned itself, and
+        counts them all: they go on using the limits too.
         """
-        if not self._hosts.was_read:
+        if not self._hosts.is_loaded:
             return None
         listed = self._hosts.records()
-        found = listed if self._teller.is_gathered else self._not_silent(listed)
+        found = (
+            listed if self._protocol.uses_collectors else self._recently_heard(listed)
+        )
         if 2 * len(found) < len(listed):
             found = listed
         return [self._own_record(), *found]
 
-    def _not_silent(self, records: list[HostRecord]) -> list[HostRecord]:
-        """Return the hosts that were heard lately, or have had no time to be."""
-        now = self._parts.clock.monotonic()
-        peers = self._parts.digest.peers
-        young = self._hosts.young(now, MEMBER_SECONDS)
+    def _recently_heard(self, records: list[HostRecord]) -> list[HostRecord]:
+        """Return the hosts that were heard from, or listed, recently."""
+        now = self._deps.clock.monotonic()
+        peers = self._deps.sources.peers
+        recent = self._hosts.recently_listed(now, MEMBER_TTL_SECONDS)
         return [
-            rec for rec in records if rec.host in young or peers.heard(rec.host, now)
+            rec
+            for rec in records
+            if rec.host in recent or peers.was_heard(rec.host, now)
         ]
 
     def _own_record(self) -> HostRecord:
-        parts = self._parts
-        return HostRecord(parts.digest.host, parts.address, parts.digest.domain)
+        deps = self._deps
+        return HostRecord(deps.sources.host, deps.address, deps.sources.domain)
 
-    def duty_place(self, duty: str) -> int | None:
-        """Return this host's place in order for a duty; ``None``: it is not to."""
-        return self._teller.duty_place(duty, self._parts.clock.monotonic())
+    def duty_rank(self, duty: str) -> int | None:
+        """Return this host's rank for a duty; ``None``: it is not eligible."""
+        return self._protocol.duty_rank(duty, self._deps.clock.monotonic())
 
-    def work_came(self) -> None:
-        """Have the others told soon of work that has just come."""
-        self._work.set()
+    def notify_work(self) -> None:
+        """Wake the sender: this host has new load to announce."""
+        self._new_work.set()
 
     async def run(self) -> None:
-        """Join the other hosts, then tell and hear until cancelled."""
-        key = await self._join(f"{self._parts.rng.getrandbits(128):032x}")
+        """Join the other hosts, then send and receive until cancelled."""
+        key = await self._join(f"{self._deps.rng.getrandbits(128):032x}")
         while True:
-            key = await self._run_under(key)
+            key = await self._run_with_key(key)
 
-    async def _run_under(self, key: str) -> str:
-        """Tell and hear under a key until another one holds; return that."""
-        self._parts.on_joined(key)
-        link = self._parts.make_link(key)
+    async def _run_with_key(self, key: str) -> str:
+        """Send and receive with a key until it changes; return the new key."""
+        self._deps.on_joined(key)
+        link = self._deps.make_link(key)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(link.receive, self._hear)
-            nursery.start_soon(self._tell, link)
-            nursery.start_soon(self._follow_hosts)
-            found = await self._another_key(key)
+            nursery.start_soon(link.receive, self._receive)
+            nursery.start_soon(self._send, link)
+            nursery.start_soon(self._refresh_hosts)
+            found = await self._await_new_key(key)
             nursery.cancel_scope.cancel()
         logger.warning("key changed", extra={"reason": "store came back older"})
         return found
 
-    async def _another_key(self, key: str) -> str:
-        """Join again in each new era; return the key once it is another one.
+    async def _await_new_key(self, key: str) -> str:
+        """Join again in each new era; return the key once it has changed.
 
-        The rows of hosts that joined since the copy are lost. So may be the key's: a
-        host that starts meanwhile makes a new one, and hosts of two keys would not hear
-        each other. Those that have one propose it again; the first that is written
-        holds for all.
+        A restored store has lost the rows of hosts that joined after its copy was made,
+        possibly also the key. A host that starts meanwhile creates a new key, and hosts
+        with different keys would reject each other's digests. Hosts with a key
+        therefore propose it again; the first one written becomes the key of all.
         """
         while True:
             await self._new_era.wait()
             self._new_era = trio.Event()
             found = await self._join(key)
-            self._stranger.set()
+            self._unknown_host.set()
             if found != key:
                 return found
 
     async def _join(self, proposal: str) -> str:
-        parts = self._parts
+        deps = self._deps
         record = self._own_record()
         while True:
             try:
-                key = await parts.rows.shared_key(proposal)
-                await parts.rows.announce(record)
+                key = await deps.rows.shared_key(proposal)
+                await deps.rows.announce(record)
                 return key
             except PlatformError as exc:
-                logger.info("not joined yet", extra={"reason": str(exc)})
+                logger.info("joining failed; retrying", extra={"reason": str(exc)})
                 await trio.sleep(RETRY_SECONDS)
 
-    async def _follow_hosts(self) -> None:
+    async def _refresh_hosts(self) -> None:
         while True:
             try:
                 await self._read_hosts()
-                wait = HOSTS_SECONDS if len(self._hosts) else RETRY_SECONDS
+                wait = HOST_LIST_SECONDS if len(self._hosts) else RETRY_SECONDS
             except PlatformError as exc:
-                logger.info("hosts not read", extra={"reason": str(exc)})
+                logger.info(
+                    "reading the host list failed; retrying",
+                    extra={"reason": str(exc)},
+                )
                 wait = RETRY_SECONDS
-            with trio.move_on_after(wait * self._parts.rng.uniform(0.8, 1.2)):
-                await self._stranger.wait()
-                # Several new hosts are read together.
+            with trio.move_on_after(wait * self._deps.rng.uniform(0.8, 1.2)):
+                await self._unknown_host.wait()
+                # Hosts that start together are read together.
                 await trio.sleep(RETRY_SECONDS)
-            self._stranger = trio.Event()
+            self._unknown_host = trio.Event()
 
     async def _read_hosts(self) -> None:
-        records = await self._parts.rows.hosts()
-        if self._hosts.replace(records, self._parts.clock.monotonic()):
-            self._teller.listed()
+        records = await self._deps.rows.hosts()
+        if self._hosts.replace(records, self._deps.clock.monotonic()):
+            self._protocol.on_hosts_changed()
             logger.info("hosts known", extra={"hosts": self._hosts.names()})
 
-    def _on_role(self, role: Role, holds: bool) -> None:
-        logger.info("role taken" if holds else "role left", extra={"role": role})
-        # A new follower reads at once, though the word that it has is still fresh.
-        self._parts.on_news()
+    def _on_role(self, role: Role, is_holder: bool) -> None:
+        logger.info("role taken" if is_holder else "role left", extra={"role": role})
+        # A new feed reader reads at once, even if the status it received is fresh.
+        self._deps.on_store_change()
 
-    def _hear(self, digest: LoadDigest) -> None:
-        if digest.host not in self._hosts and self._teller.minds_stranger(digest):
-            self._stranger.set()
-        if self._teller.hear(digest, self._parts.clock.monotonic()):
-            self._parts.on_news()
+    def _receive(self, digest: LoadDigest) -> None:
+        if digest.host not in self._hosts and self._protocol.must_know_sender(digest):
+            self._unknown_host.set()
+        if self._protocol.receive(digest, self._deps.clock.monotonic()):
+            self._deps.on_store_change()
 
-    async def _tell(self, link: LoadLink) -> None:
+    async def _send(self, link: LoadLink) -> None:
         while True:
-            await trio.sleep(self._teller.interval)
-            await self._while_idle()
-            for telling in self._teller.due(self._parts.clock.monotonic()):
-                await link.send_to_all(telling.addresses, telling.digest)
+            await trio.sleep(self._protocol.interval_seconds)
+            await self._wait_while_idle()
+            for outgoing in self._protocol.due(self._deps.clock.monotonic()):
+                await link.send_to_all(outgoing.addresses, outgoing.digest)
 
-    async def _while_idle(self) -> None:
-        """Wait for work where there is nothing to tell.
+    async def _wait_while_idle(self) -> None:
+        """Wait for work while there is nothing to send.
 
-        Of many hosts most have none at a moment, and each look wakes the process.
+        Of many hosts most are idle at any moment, and each check wakes the process.
         """
-        if not self._teller.is_idle(self._parts.clock.monotonic()):
+        if not self._protocol.is_idle(self._deps.clock.monotonic()):
             return
-        self._work = trio.Event()
+        self._new_work = trio.Event()
         with trio.move_on_after(REPEAT_SECONDS):
-            await self._work.wait()
+            await self._new_work.wait()
--- a/berylshift/process/gossip/peer_loads.py
+++ b/berylshift/process/gossip/peer_loads.py
@@ -1,12 +1,12 @@
-"""Other hosts' work at replicas, as their datagrams told it.
+"""Other hosts' load at replicas, from the digests they sent.
 
-A host alone sees a small part of the work: the engine that looks idle to it is idle to
-all, and all send there at once. With the others' open work added, each host sees the
-whole queue, a datagram's interval late.
+A single host sees only a small part of the load: an engine that looks idle to one host
+looks idle to all, and all of them send there at once. With the other hosts' open
+requests added, each host sees the whole queue, with the delay of one digest interval.
 
-Few hosts tell each other directly. Of many, one in each failure domain collects what
-its domain's hosts tell, exchanges sums with the other domains' collectors, and tells
-its hosts the sum of all.
+A few hosts send digests to each other directly. Of many, one in each failure domain
+collects the digests of its domain's hosts, exchanges aggregates with the other domains'
+collectors, and sends its hosts the aggregate of all.
 """
 
 from collections.abc import Iterable
@@ -21,280 +21,292 @@
     target_hash,
 )
 
-# A host that has been silent for this long has no open work as far as is known.
-LIFE_SECONDS = 0.6
-# Sums are told five times a second: one that is older has lost several datagrams, or
-# its teller is gone.
-SUM_LIFE_SECONDS = 1.0
-# A host that was heard of within this time counts as one that shares the limits.
-MEMBER_SECONDS = 15.0
-# How often silent hosts are looked for.
-LOOK_SECONDS = 0.1
+# A host that has been silent for this long is taken to have no open requests.
+DIGEST_TTL_SECONDS = 0.6
+# Aggregates are sent five times a second: after this time several datagrams were lost,
+# or the sender is gone.
+AGGREGATE_TTL_SECONDS = 1.0
+# A host that was heard from within this time counts as one that shares the limits.
+MEMBER_TTL_SECONDS = 15.0
+# How often senders are checked for expiry.
+EXPIRY_CHECK_SECONDS = 0.1
 
 
 @dataclass
-class _Work:
-    """Work at one replica, summed over tellers; failures are the two highest."""
+class _ReplicaLoad:
+    """Load at one replica, summed over senders; failures are the two highest."""
 
     in_flight: int = 0
-    reading: list[int] = field(default_factory=lambda: [0, 0, 0])
+    prefill_tokens: list[int] = field(default_factory=lambda: [0, 0, 0])
     failures: float = 0.0
-    second: float = 0.0
+    second_failures: float = 0.0
 
     def add(self, entry: LoadEntry, sign: int = 1) -> None:
-        """Add a teller's work, or take it off."""
+        """Add a sender's load, or subtract it."""
         self.in_flight += sign * entry.in_flight
         for at, tokens in enumerate(entry.prefill_tokens):
-            self.reading[at] += sign * tokens
+            self.prefill_tokens[at] += sign * tokens
 
-    def hold_against(self, entry: LoadEntry) -> None:
-        """Take a teller's failures over if they are among the two highest."""
+    def merge_failures(self, entry: LoadEntry) -> None:
+        """Merge in a sender's failures, keeping the two highest."""
         found = sorted(
-            (self.failures, self.second, entry.failures, entry.second_failures)
+            (
+                self.failures,
+                self.second_failures,
+                entry.failures,
+                entry.second_failures,
+            )
         )
-        self.second, self.failures = found[-2:]
+        self.second_failures, self.failures = found[-2:]
 
     @property
-    def is_none(self) -> bool:
-        """Return whether no work is left."""
-        return not (self.in_flight or any(self.reading))
+    def is_empty(self) -> bool:
+        """Return whether no load is left."""
+        return not (self.in_flight or any(self.prefill_tokens))
 
     def entry(self, target: int) -> LoadEntry:
-        """Return the work as a digest tells it."""
-        urgent, usual, patient = self.reading
+        """Return the load as a digest entry."""
+        urgent, usual, patient = self.prefill_tokens
         return LoadEntry(
-            target, self.in_flight, (urgent, usual, patient), self.failures, self.second
+            target,
+            self.in_flight,
+            (urgent, usual, patient),
+            self.failures,
+            self.second_failures,
         )
 
 
-NO_WORK = _Work()
+NO_LOAD = _ReplicaLoad()
 
 
 @dataclass
-class _Teller:
-    """The newest digest of one teller."""
+class _Sender:
+    """The newest digest of one sender."""
 
-    sender: str
+    host: str
     sequence: int
-    heard_at: float
+    received_at: float
     hosts: int
     entries: dict[int, LoadEntry]
 
 
 class PeerLoads:
-    """The newest digest of each teller; times in seconds."""
+    """The newest digest of each sender; times in seconds."""
 
     def __init__(self, host: str, domain: str = ""):
         """Leave out digests of ``host`` itself, which is in ``domain``."""
         self._host = host
         self._domain = domain
-        self._hosts: dict[str, _Teller] = {}
-        self._domains: dict[str, _Teller] = {}
-        self._fleet: _Teller | None = None
-        self._sums: dict[int, _Work] = {}
+        self._hosts: dict[str, _Sender] = {}
+        self._domains: dict[str, _Sender] = {}
+        self._fleet: _Sender | None = None
+        self._sums: dict[int, _ReplicaLoad] = {}
         self._failing: dict[int, dict[str, LoadEntry]] = {}
         self._heard_at: dict[str, float] = {}
-        self._looked_at = float("-inf")
-        self._most_hosts = 0
-        self._most_hosts_at = float("-inf")
-        # Whether hosts of other domains are heard through their collectors.
-        self.gathered = False
-        # Whether this host collects, and so goes by its own sums.
-        self.collects = False
-        # What this host's work was in the sums that it is told: not another host's.
-        self.told: tuple[LoadEntry, ...] = ()
-
-    def take(self, digest: LoadDigest, now: float) -> None:
-        """Take over a digest, unless a newer one of its teller was heard."""
+        self._checked_at = float("-inf")
+        self._max_hosts = 0
+        self._max_hosts_at = float("-inf")
+        # Whether hosts of other domains are known through their collectors.
+        self.uses_collectors = False
+        # Whether this host is a collector, and so uses its own sums.
+        self.is_collector = False
+        # This host's own load within the aggregates it receives.
+        self.own_sent: tuple[LoadEntry, ...] = ()
+
+    def receive(self, digest: LoadDigest, now: float) -> None:
+        """Store a digest, unless a newer one of its sender is known."""
         if digest.host == self._host:
             return
         self._heard_at[digest.host] = now
         if digest.scope is Scope.FLEET:
-            self._take_fleet(digest, now)
+            self._receive_fleet(digest, now)
         elif digest.scope is Scope.DOMAIN:
             if digest.domain != self._domain:
                 self._replace(self._domains, digest.domain, digest, now)
-        elif not (self.gathered and digest.domain != self._domain):
+        elif not (self.uses_collectors and digest.domain != self._domain):
             self._replace(self._hosts, digest.host, digest, now)
 
-    def _take_fleet(self, digest: LoadDigest, now: float) -> None:
-        if self._fleet is None or not self._is_old(self._fleet, digest, now):
-            self._fleet = _teller(digest, now)
-            self._note_hosts(digest.hosts, now)
+    def _receive_fleet(self, digest: LoadDigest, now: float) -> None:
+        if self._fleet is None or not self._is_outdated(self._fleet, digest, now):
+            self._fleet = _sender(digest, now)
+            self._note_host_count(digest.hosts, now)
 
-    def _is_old(self, known: _Teller, digest: LoadDigest, now: float) -> bool:
-        """Return whether a datagram was overtaken by the one that is known.
+    def _is_outdated(self, known: _Sender, digest: LoadDigest, now: float) -> bool:
+        """Return whether a digest was overtaken by the one that is known.
 
-        A teller that starts again counts anew; after a silence a lower number counts.
+        A restarted sender numbers its digests from the beginning: after a silence a
+        lower number is accepted.
         """
-        if known.sender != digest.host or now - known.heard_at >= LIFE_SECONDS:
+        if known.host != digest.host or now - known.received_at >= DIGEST_TTL_SECONDS:
             return False
         return digest.sequence <= known.sequence
 
     def _replace(
-        self, tellers: dict[str, _Teller], name: str, digest: LoadDigest, now: float
+        self, senders: dict[str, _Sender], name: str, digest: LoadDigest, now: float
     ) -> None:
-        known = tellers.get(name)
+        known = senders.get(name)
         if known is not None:
-            if self._is_old(known, digest, now):
+            if self._is_outdated(known, digest, now):
                 return
-            self._remove(name, known)
-        tellers[name] = found = _teller(digest, now)
+            self._subtract(name, known)
+        senders[name] = found = _sender(digest, now)
         for target, entry in found.entries.items():
-            self._sums.setdefault(target, _Work()).add(entry)
+            self._sums.setdefault(target, _ReplicaLoad()).add(entry)
             if entry.failures:
                 self._failing.setdefault(target, {})[name] = entry
 
-    def _remove(self, name: str, teller: _Teller) -> None:
-        """Take a teller's work and its word on failures off."""
-        for target, entry in teller.entries.items():
+    def _subtract(self, name: str, sender: _Sender) -> None:
+        """Remove a sender's load and failures from the sums."""
+        for target, entry in sender.entries.items():
             if target in self._sums:
                 self._sums[target].add(entry, -1)
             if entry.failures:
                 self._failing.get(target, {}).pop(name, None)
 
-    def _forget_silent(self, now: float) -> None:
-        """Take the work of tellers off that have fallen silent."""
-        if now - self._looked_at < LOOK_SECONDS:
+    def _expire_silent(self, now: float) -> None:
+        """Remove the load of senders that have fallen silent."""
+        if now - self._checked_at < EXPIRY_CHECK_SECONDS:
             return
-        self._looked_at = now
-        for tellers, life in (
-            (self._hosts, LIFE_SECONDS),
-            (self._domains, SUM_LIFE_SECONDS),
+        self._checked_at = now
+        for senders, ttl in (
+            (self._hosts, DIGEST_TTL_SECONDS),
+            (self._domains, AGGREGATE_TTL_SECONDS),
         ):
-            for name, teller in tellers.items():
-                if teller.entries and now - teller.heard_at >= life:
-                    self._remove(name, teller)
-                    teller.entries = {}
+            for name, sender in senders.items():
+                if sender.entries and now - sender.received_at >= ttl:
+                    self._subtract(name, sender)
+                    sender.entries = {}
         self._sums = {
-            target: work for target, work in self._sums.items() if not work.is_none
+            target: load for target, load in self._sums.items() if not load.is_empty
         }
         self._failing = {target: by for target, by in self._failing.items() if by}
 
-    def _told_sum(self, now: float) -> _Teller | None:
-        """Return the sum of all that a collector told, if it may be gone by."""
-        if self.collects or self._fleet is None:
+    def _current_fleet(self, now: float) -> _Sender | None:
+        """Return the fleet aggregate of a collector, if this host may use it."""
+        if self.is_collector or self._fleet is None:
             return None
-        is_fresh = now - self._fleet.heard_at < SUM_LIFE_SECONDS
+        is_fresh = now - self._fleet.received_at < AGGREGATE_TTL_SECONDS
         return self._fleet if is_fresh else None
 
-    def _work(self, instance: InstanceId, now: float) -> _Work:
+    def _load(self, instance: InstanceId, now: float) -> _ReplicaLoad:
         target = target_hash(instance)
-        fleet = self._told_sum(now)
+        fleet = self._current_fleet(now)
         if fleet is None:
-            self._forget_silent(now)
-            return self._sums.get(target, NO_WORK)
+            self._expire_silent(now)
+            return self._sums.get(target, NO_LOAD)
         entry = fleet.entries.get(target)
         if entry is None:
-            return NO_WORK
-        work = _Work()
-        work.add(entry)
-        for own in self.told:
+            return NO_LOAD
+        load = _ReplicaLoad()
+        load.add(entry)
+        for own in self.own_sent:
             if own.target == target:
-                work.add(own, -1)
-        work.in_flight = max(0, work.in_flight)
-        work.reading = [max(0, tokens) for tokens in work.reading]
-        return work
+                load.add(own, -1)
+        load.in_flight = max(0, load.in_flight)
+        load.prefill_tokens = [max(0, tokens) for tokens in load.prefill_tokens]
+        return load
 
     def in_flight(self, instance: InstanceId, now: float) -> int:
         """Return the other hosts' requests at a replica."""
-        return self._work(instance, now).in_flight
+        return self._load(instance, now).in_flight
 
-    def reading(self, instance: InstanceId, now: float) -> PrefillTokens:
-        """Return the prompt tokens that others have an engine read, by urgency."""
-        urgent, usual, patient = self._work(instance, now).reading
+    def prefill_tokens(self, instance: InstanceId, now: float) -> PrefillTokens:
+        """Return the other hosts' pending prefill tokens at an engine, by urgency."""
+        urgent, usual, patient = self._load(instance, now).prefill_tokens
         return urgent, usual, patient
 
     def failures(self, instance: InstanceId, now: float) -> float:
-        """Return the failures that at least two hosts agree on.
+        """Return the failure weight that at least two hosts agree on.
 
-        One host that is cut off finds every replica failing; its word alone must not
-        take them from the others.
+        A partitioned host finds every replica failing; on its own it must not take them
+        from the other hosts.
         """
         target = target_hash(instance)
-        fleet = self._told_sum(now)
+        fleet = self._current_fleet(now)
         if fleet is not None:
             entry = fleet.entries.get(target)
             return 0.0 if entry is None else entry.second_failures
-        self._forget_silent(now)
-        work = _Work()
+        self._expire_silent(now)
+        load = _ReplicaLoad()
         for entry in self._failing.get(target, {}).values():
-            work.hold_against(entry)
-        return work.second
+            load.merge_failures(entry)
+        return load.second_failures
 
-    def summed(
+    def aggregate(
         self, own: tuple[LoadEntry, ...], scope: Scope, now: float
     ) -> tuple[LoadEntry, ...]:
-        """Return this host's work and the others', the busiest replicas first.
+        """Return this host's load and the others' summed, the busiest replicas first.
 
-        Of a domain's sum only the work of its own hosts is part. Where a datagram
-        can't hold all, the busiest replicas are those that matter.
+        A domain's aggregate holds the load of its own hosts only. Where a datagram has
+        no room for all replicas, the busiest ones matter most.
         """
-        self._forget_silent(now)
-        tellers = list(self._hosts.values())
+        self._expire_silent(now)
+        senders = list(self._hosts.values())
         if scope is Scope.FLEET:
-            tellers += self._domains.values()
-        found: dict[int, _Work] = {}
+            senders += self._domains.values()
+        found: dict[int, _ReplicaLoad] = {}
         _add_all(found, own)
-        for teller in tellers:
-            _add_all(found, teller.entries.values())
-        entries = [work.entry(target) for target, work in found.items()]
+        for sender in senders:
+            _add_all(found, sender.entries.values())
+        entries = [load.entry(target) for target, load in found.items()]
         entries.sort(
             key=lambda entry: (entry.in_flight, entry.prefill_tokens), reverse=True
         )
         return tuple(entries)
 
-    def domain_hosts(self, now: float) -> int:
-        """Return how many hosts of this domain were heard of, this one among them."""
+    def domain_host_count(self, now: float) -> int:
+        """Return how many hosts of this domain are alive, including this one."""
         return 1 + sum(
-            now - teller.heard_at < MEMBER_SECONDS for teller in self._hosts.values()
+            now - sender.received_at < MEMBER_TTL_SECONDS
+            for sender in self._hosts.values()
         )
 
-    def fleet_hosts(self, now: float) -> int:
+    def fleet_host_count(self, now: float) -> int:
         """Return how many hosts a collector knows of."""
         others = sum(
-            teller.hosts
-            for teller in self._domains.values()
-            if now - teller.heard_at < MEMBER_SECONDS
+            sender.hosts
+            for sender in self._domains.values()
+            if now - sender.received_at < MEMBER_TTL_SECONDS
         )
-        found = self.domain_hosts(now) + others
-        self._note_hosts(found, now)
+        found = self.domain_host_count(now) + others
+        self._note_host_count(found, now)
         return found
 
-    def _note_hosts(self, hosts: int, now: float) -> None:
-        """Note how many hosts there are; a lower number counts after a while.
+    def _note_host_count(self, hosts: int, now: float) -> None:
+        """Record the number of hosts; a lower one takes effect after a delay.
 
-        A new collector has not heard of all yet. Taken for fewer, each host would use
-        a larger share of the limits, and all together more than they may.
+        A new collector has not heard from all hosts yet. If its count were used at
+        once, each host would take a larger share of the limits, and all together would
+        exceed them.
         """
-        if hosts >= self._most_hosts or now - self._most_hosts_at >= MEMBER_SECONDS:
-            self._most_hosts = hosts
-            self._most_hosts_at = now
-
-    def heard_hosts(self, now: float) -> int:
-        """Return how many other hosts were heard lately."""
-        return sum(now - at < MEMBER_SECONDS for at in self._heard_at.values())
-
-    def members(self, now: float) -> int:
-        """Return how many other hosts there are, as they or a collector say."""
-        heard = self.heard_hosts(now)
-        if now - self._most_hosts_at < MEMBER_SECONDS:
-            return max(heard, self._most_hosts - 1)
+        if hosts >= self._max_hosts or now - self._max_hosts_at >= MEMBER_TTL_SECONDS:
+            self._max_hosts = hosts
+            self._max_hosts_at = now
+
+    def heard_host_count(self, now: float) -> int:
+        """Return how many other hosts sent a digest recently."""
+        return sum(now - at < MEMBER_TTL_SECONDS for at in self._heard_at.values())
+
+    def member_count(self, now: float) -> int:
+        """Return how many other hosts there are, by own count or a collector's."""
+        heard = self.heard_host_count(now)
+        if now - self._max_hosts_at < MEMBER_TTL_SECONDS:
+            return max(heard, self._max_hosts - 1)
         return heard
 
-    def heard(self, host: str, now: float) -> bool:
-        """Return whether a host was heard of lately."""
+    def was_heard(self, host: str, now: float) -> bool:
+        """Return whether a host sent a digest recently."""
         at = self._heard_at.get(host)
-        return at is not None and now - at < MEMBER_SECONDS
+        return at is not None and now - at < MEMBER_TTL_SECONDS
 
 
-def _teller(digest: LoadDigest, now: float) -> _Teller:
+def _sender(digest: LoadDigest, now: float) -> _Sender:
     entries = {entry.target: entry for entry in digest.entries}
-    return _Teller(digest.host, digest.sequence, now, digest.hosts, entries)
+    return _Sender(digest.host, digest.sequence, now, digest.hosts, entries)
 
 
-def _add_all(found: dict[int, _Work], entries: Iterable[LoadEntry]) -> None:
+def _add_all(found: dict[int, _ReplicaLoad], entries: Iterable[LoadEntry]) -> None:
     for entry in entries:
-        work = found.setdefault(entry.target, _Work())
-        work.add(entry)
-        work.hold_against(entry)
+        load = found.setdefault(entry.target, _ReplicaLoad())
+        load.add(entry)
+        load.merge_failures(entry)
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -1,9 +1,10 @@
-"""What a host tells the others of its work, and whom; a decision apart from sockets.
+"""Which load digests a host sends, when and to whom; free of any I/O.
 
-Told by each host to each other one, digests grow with the square of the hosts, and of
-many hosts most would lapse before their next one comes. So only few hosts tell each
-other directly. Of more, one in each failure domain collects: hosts tell it alone,
-collectors tell each other their domains' sums, and each tells its hosts the sum of all.
+If every host sent to every other one, digests would grow with the square of the hosts,
+and with many hosts most would expire before their next one is due. So only few hosts
+send to each other directly. Of more, one in each failure domain is the collector: hosts
+send to it only, collectors send each other the aggregates of their domains, and each
+sends its hosts the aggregate of all.
 """
 
 from collections.abc import Callable
@@ -11,192 +12,200 @@
 from enum import StrEnum
 
 from berylshift.messages.load_digest import LoadDigest, LoadEntry, Scope, StoreStatus
-from berylshift.process.gossip.collector import COLLECTORS, Collecting
-from berylshift.process.gossip.digest_builder import DigestMaker, DigestParts
-from berylshift.process.gossip.election import Election, rank
+from berylshift.process.gossip.collector import COLLECTORS_PER_DOMAIN, Collector
+from berylshift.process.gossip.digest_builder import DigestBuilder, DigestSources
+from berylshift.process.gossip.election import Election, order_key
 from berylshift.process.gossip.host_list import HostList
 
-# Shorter than the time in which a usual prompt is read: a queue is seen as it grows.
-TELL_SECONDS = 0.08
-# A digest of a dozen engines on the wire, with its headers, in bytes.
+# Shorter than the prefill of a usual prompt: a queue is seen while it grows.
+SEND_SECONDS = 0.08
+# Size on the wire of a digest of a dozen engines, with its headers.
 DIGEST_BYTES = 130
-# An unchanged digest is said again this often, so that it does not lapse.
+# An unchanged digest is repeated this often, so that it does not expire.
 REPEAT_SECONDS = 0.4
-# A host that is not heard of is told only this often.
+# How often a host that is not heard from is sent a digest.
 PROBE_SECONDS = 3.0
-# How often a collector tells sums. Hosts that tell each other directly more seldom than
-# this would know less than by sums: from there on hosts are gathered.
-SUM_SECONDS = 0.2
-# Hosts that read the store's feeds for all: one may stand still unnoticed for a second.
-FOLLOWERS = 2
+# How often a collector sends aggregates. Beyond this interval hosts that send to each
+# other directly would know less than through collectors, so collectors are used.
+AGGREGATE_SECONDS = 0.2
+# Hosts that read the store's feeds for all; two, since one may be suspended unnoticed
+# for a second.
+FEED_READERS = 2
 
 
 class Role(StrEnum):
     """What a host may do for others."""
 
     COLLECTOR = "collector"
-    FOLLOWER = "follower"
+    FEED_READER = "follower"
 
 
 @dataclass
-class Telling:
+class OutgoingDigest:
     """A digest and the addresses it goes to."""
 
     digest: LoadDigest
     addresses: list[str]
 
 
-class Teller:
-    """Decides what is told; times in seconds on the monotonic clock."""
+class GossipProtocol:
+    """Decides what is sent; times in seconds on the monotonic clock."""
 
     def __init__(
         self,
-        parts: DigestParts,
+        sources: DigestSources,
         hosts: HostList,
         byte_budget: int,
         on_role: Callable[[Role, bool], None],
     ):
-        """Tell ``hosts`` of ``parts``, within ``byte_budget`` bytes a second.
+        """Send ``sources`` to ``hosts``, within ``byte_budget`` bytes a second.
 
-        ``on_role`` is told of each role taken or left.
+        ``on_role`` is called with each role taken or given up.
         """
-        self._parts = parts
+        self._sources = sources
         self._hosts = hosts
         self._byte_budget = byte_budget
         self._on_role = on_role
-        self._maker = DigestMaker(parts)
-        self._collecting = Collecting(parts, self._maker, hosts)
-        self._collectors = Election(parts.host, COLLECTORS)
-        self._followers = Election(parts.host, FOLLOWERS)
+        self._builder = DigestBuilder(sources)
+        self._collector = Collector(sources, self._builder, hosts)
+        self._collectors = Election(sources.host, COLLECTORS_PER_DOMAIN)
+        self._feed_readers = Election(sources.host, FEED_READERS)
         self._probed_at: dict[str, float] = {}
-        self._last: tuple[LoadEntry, ...] = ()
-        self._last_at = float("-inf")
-        self._told_word: StoreStatus | None = None
-        self._greeted = False
-        self._told_collectors: list[str] = []
+        self._sent_entries: tuple[LoadEntry, ...] = ()
+        self._sent_at = float("-inf")
+        self._sent_status: StoreStatus | None = None
+        self._announced = False
+        self._last_collectors: list[str] = []
 
     @property
-    def is_gathered(self) -> bool:
-        """Return whether there are too many hosts for each to tell all others."""
-        return self._direct_seconds() > SUM_SECONDS
+    def uses_collectors(self) -> bool:
+        """Return whether there are too many hosts for each to send to all others."""
+        return self._direct_interval_seconds() > AGGREGATE_SECONDS
 
     @property
-    def interval(self) -> float:
-        """Return the seconds until there may be something to tell."""
-        if not self.is_gathered:
-            return max(TELL_SECONDS, self._direct_seconds())
-        return SUM_SECONDS if self._collectors.holds else TELL_SECONDS
+    def interval_seconds(self) -> float:
+        """Return the seconds until there may be something to send."""
+        if not self.uses_collectors:
+            return max(SEND_SECONDS, self._direct_interval_seconds())
+        return AGGREGATE_SECONDS if self._collectors.is_holder else SEND_SECONDS
 
     def is_idle(self, now: float) -> bool:
-        """Return whether there is nothing to tell until work comes."""
-        parts = self._parts
-        if self._collectors.holds or parts.watch.follows or self._last:
+        """Return whether there is nothing to send until work comes."""
+        sources = self._sources
+        if self._collectors.is_holder or sources.watch.follows or self._sent_entries:
             return False
-        if parts.quarantine.has_news(now) or parts.usage.has_news(now):
+        if sources.quarantine.has_news(now) or sources.usage.has_news(now):
             return False
-        if parts.throttle.to_tell(now, own_alone=True):
+        if sources.throttle.updates_to_send(now, own_only=True):
             return False
-        return not (parts.loads.entries(now) or parts.warm.to_tell(now))
+        return not (
+            sources.loads.entries(now) or sources.prefix_cache.prefills_to_send(now)
+        )
 
-    def _direct_seconds(self) -> float:
-        """Return how often all others may be told within the budget of bytes."""
+    def _direct_interval_seconds(self) -> float:
+        """Return how often the byte budget allows sending to all others."""
         return len(self._hosts) * DIGEST_BYTES / self._byte_budget
 
-    def listed(self) -> None:
-        """Note that other hosts are listed than before: they are greeted."""
-        self._greeted = False
+    def on_hosts_changed(self) -> None:
+        """Announce this host again, since the host list has changed."""
+        self._announced = False
 
-    def minds_stranger(self, digest: LoadDigest) -> bool:
-        """Return whether the sender of a digest, if not listed, has to be known.
+    def must_know_sender(self, digest: LoadDigest) -> bool:
+        """Return whether an unlisted sender requires a read of the hosts' rows.
 
-        Where hosts are gathered, a collector has to know its hosts, and they it. Were
-        each new host known to all at once, each start would have all read the rows.
+        Where collectors are used, only a collector and its hosts have to know each
+        other. If every host reacted to each new one, each start would make all of them
+        read the rows.
         """
-        if not self.is_gathered or self._collectors.holds:
+        if not self.uses_collectors or self._collectors.is_holder:
             return True
         return digest.scope is not Scope.HOST
 
-    def hear(self, digest: LoadDigest, now: float) -> bool:
-        """Take over a digest; return whether it tells of news in the store."""
-        parts = self._parts
-        parts.peers.gathered = self.is_gathered
-        parts.peers.take(digest, now)
-        parts.warm.heard(digest.prefills)
-        parts.phases.heard(digest.phases, now)
-        parts.quarantine.heard(
-            digest.crashes, digest.finished, now, self._is_near(digest)
+    def receive(self, digest: LoadDigest, now: float) -> bool:
+        """Process a digest; return whether the store has something new to read."""
+        sources = self._sources
+        sources.peers.uses_collectors = self.uses_collectors
+        sources.peers.receive(digest, now)
+        sources.prefix_cache.merge(digest.prefills)
+        sources.phases.heard(digest.phases, now)
+        sources.quarantine.heard(
+            digest.crashes, digest.finished, now, self._is_own_domain(digest)
         )
-        parts.throttle.heard_of(digest.limits, now)
-        self._hear_usage(digest)
+        sources.throttle.apply_updates(digest.limits, now)
+        self._receive_usage(digest)
         if digest.reads_feeds:
-            self._followers.heard(digest.host, now)
+            self._feed_readers.note_holder(digest.host, now)
         if digest.scope is not Scope.HOST:
-            self._heard_collector(digest, now)
-        if self._collectors.holds:
-            self._collecting.pass_on(digest, now)
-        return digest.store_status is not None and parts.watch.hear(digest.store_status)
+            self._note_collector(digest, now)
+        if self._collectors.is_holder:
+            self._collector.forward_prefills(digest, now)
+        return digest.store_status is not None and sources.watch.hear(
+            digest.store_status
+        )
 
-    def _hear_usage(self, digest: LoadDigest) -> None:
-        usage = self._parts.usage
+    def _receive_usage(self, digest: LoadDigest) -> None:
+        usage = self._sources.usage
         usage.note_done(digest.usage_done)
         if digest.scope is Scope.DOMAIN:
             usage.hear_domain(digest.domain, digest.runs)
         else:
             usage.hear_host(digest.host, digest.domain, digest.started_ms, digest.runs)
 
-    def duty_place(self, duty: str, now: float) -> int | None:
-        """Return how many hosts go before this one for a duty; ``None``: it is not to.
+    def duty_rank(self, duty: str, now: float) -> int | None:
+        """Return how many hosts precede this one for a duty; ``None``: not eligible.
 
-        Duties are spread: each has an order of its own among the hosts that hear of
-        all others' work.
+        Duties are spread: each has an order of its own among the hosts that know the
+        load of all others.
         """
-        if self.is_gathered:
-            if not self._collectors.holds:
+        if self.uses_collectors:
+            if not self._collectors.is_holder:
                 return None
-            others = self._collecting.heard_collectors(now)
+            others = self._collector.known_collectors(now)
         else:
-            peers = self._parts.peers
-            others = [host for host in self._hosts.names() if peers.heard(host, now)]
-        own = rank(f"{duty}/{self._parts.host}")
-        return sum(rank(f"{duty}/{host}") < own for host in others)
-
-    def _is_near(self, digest: LoadDigest) -> bool:
-        """Return whether a host tells what a collector has to tell on."""
-        if not self.is_gathered or digest.scope is not Scope.HOST:
+            peers = self._sources.peers
+            others = [
+                host for host in self._hosts.names() if peers.was_heard(host, now)
+            ]
+        own = order_key(f"{duty}/{self._sources.host}")
+        return sum(order_key(f"{duty}/{host}") < own for host in others)
+
+    def _is_own_domain(self, digest: LoadDigest) -> bool:
+        """Return whether a collector has to forward what this sender reports."""
+        if not self.uses_collectors or digest.scope is not Scope.HOST:
             return False
-        return digest.domain == self._parts.domain
+        return digest.domain == self._sources.domain
 
-    def _heard_collector(self, digest: LoadDigest, now: float) -> None:
-        if digest.domain == self._parts.domain:
-            self._collectors.heard(digest.host, now)
+    def _note_collector(self, digest: LoadDigest, now: float) -> None:
+        if digest.domain == self._sources.domain:
+            self._collectors.note_holder(digest.host, now)
         else:
-            self._collecting.heard_collector(digest, now)
+            self._collector.note_collector(digest, now)
 
-    def due(self, now: float) -> list[Telling]:
-        """Return what is to be told now."""
-        if not self._hosts.was_read:
+    def due(self, now: float) -> list[OutgoingDigest]:
+        """Return the digests to send now."""
+        if not self._hosts.is_loaded:
             return []
-        if not self.is_gathered:
+        if not self.uses_collectors:
             return self._direct(now)
         self._decide_roles(now)
-        if self._collectors.holds:
-            return self._sums(now)
+        if self._collectors.is_holder:
+            return self._aggregates(now)
         return self._to_collector(now)
 
     # Few hosts
 
-    def _direct(self, now: float) -> list[Telling]:
-        parts = self._parts
-        self._set_follows(self._followers.decide(self._hosts.place, now))
-        parts.peers.gathered = parts.peers.collects = False
+    def _direct(self, now: float) -> list[OutgoingDigest]:
+        sources = self._sources
+        self._set_feed_reader(self._feed_readers.decide(self._hosts.rank, now))
+        sources.peers.uses_collectors = sources.peers.is_collector = False
         digest = self._changed_digest(now)
         if digest is None:
             return []
         names = [host for host in self._hosts.names() if self._is_due(host, now)]
-        return [Telling(digest, self._addresses(names))]
+        return [OutgoingDigest(digest, self._addresses(names))]
 
     def _is_due(self, host: str, now: float) -> bool:
-        if self._parts.peers.heard(host, now):
+        if self._sources.peers.was_heard(host, now):
             return True
         if now - self._probed_at.get(host, float("-inf")) < PROBE_SECONDS:
             return False
@@ -204,35 +213,39 @@
         return True
 
     def _changed_digest(self, now: float) -> LoadDigest | None:
-        """Return this host's own digest, if there is something to say."""
-        parts = self._parts
-        entries = parts.loads.entries(now)
-        reads = parts.warm.to_tell(now)
-        phases = parts.phases.to_tell(now)
-        word = parts.watch.word() if parts.watch.follows else None
-        changed = entries != self._last or bool(reads) or self._is_news(word)
-        changed = changed or parts.quarantine.has_news(now)
-        changed = changed or parts.usage.has_news(now)
-        changed = changed or bool(parts.throttle.to_tell(now, own_alone=True))
-        if not changed and now - self._last_at < REPEAT_SECONDS:
+        """Return this host's own digest if it has changed or must be repeated."""
+        sources = self._sources
+        entries = sources.loads.entries(now)
+        prefills = sources.prefix_cache.prefills_to_send(now)
+        phases = sources.phases.to_tell(now)
+        status = sources.watch.word() if sources.watch.follows else None
+        changed = (
+            entries != self._sent_entries
+            or bool(prefills)
+            or self._is_new_status(status)
+        )
+        changed = changed or sources.quarantine.has_news(now)
+        changed = changed or sources.usage.has_news(now)
+        changed = changed or bool(sources.throttle.updates_to_send(now, own_only=True))
+        if not changed and now - self._sent_at < REPEAT_SECONDS:
             return None
-        idle = not entries and not phases and not parts.watch.follows
-        if not changed and idle and now - self._last_at < PROBE_SECONDS:
+        idle = not entries and not phases and not sources.watch.follows
+        if not changed and idle and now - self._sent_at < PROBE_SECONDS:
             return None
-        self._last, self._last_at = entries, now
-        return self._maker.make(entries, reads, now)
+        self._sent_entries, self._sent_at = entries, now
+        return self._builder.build(entries, prefills, now)
 
-    def _is_news(self, word: StoreStatus | None) -> bool:
-        """Return whether a follower has read of a change that it has yet to tell."""
-        if word is None:
+    def _is_new_status(self, status: StoreStatus | None) -> bool:
+        """Return whether a feed reader has read of a change that it has yet to send."""
+        if status is None:
             return False
-        told, self._told_word = self._told_word, word
-        if told is None:
+        sent, self._sent_status = self._sent_status, status
+        if sent is None:
             return True
-        routes, replicas = told.routes, told.replicas
+        routes, replicas = sent.routes, sent.replicas
         return (routes.last_change, replicas.last_change) != (
-            word.routes.last_change,
-            word.replicas.last_change,
+            status.routes.last_change,
+            status.replicas.last_change,
         )
 
     def _addresses(self, names: list[str]) -> list[str]:
@@ -242,49 +255,49 @@
     # Many hosts
 
     def _decide_roles(self, now: float) -> None:
-        parts = self._parts
-        former = self._collectors.holds
-        holds = self._collectors.decide(self._hosts.place_in_domain, now)
-        parts.peers.gathered = True
-        parts.peers.collects = holds
-        if holds != former:
-            self._on_role(Role.COLLECTOR, holds)
-        if holds:
-            # Collectors are few and hear each other; none of them waits for places.
-            self._set_follows(self._followers.decide(0, now))
+        sources = self._sources
+        was_holder = self._collectors.is_holder
+        is_holder = self._collectors.decide(self._hosts.domain_rank, now)
+        sources.peers.uses_collectors = True
+        sources.peers.is_collector = is_holder
+        if is_holder != was_holder:
+            self._on_role(Role.COLLECTOR, is_holder)
+        if is_holder:
+            # Collectors are few and hear from each other, so no rank delays them.
+            self._set_feed_reader(self._feed_readers.decide(0, now))
         else:
-            self._followers.resign()
-            self._set_follows(False)
+            self._feed_readers.resign()
+            self._set_feed_reader(False)
 
-    def _set_follows(self, follows: bool) -> None:
-        if follows != self._parts.watch.follows:
-            self._parts.watch.follows = follows
-            self._on_role(Role.FOLLOWER, follows)
+    def _set_feed_reader(self, is_holder: bool) -> None:
+        if is_holder != self._sources.watch.follows:
+            self._sources.watch.follows = is_holder
+            self._on_role(Role.FEED_READER, is_holder)
 
-    def _to_collector(self, now: float) -> list[Telling]:
-        """Tell the collector alone; the first digest greets all of the domain.
+    def _to_collector(self, now: float) -> list[OutgoingDigest]:
+        """Return the digest for the collector; the first one goes to the whole domain.
 
         A collector that does not know this host reads the hosts' rows then.
         """
-        names = self._collectors.holders(now)[:COLLECTORS]
-        if names != self._told_collectors:
-            self._told_collectors = names
-            self._parts.usage.tell_all_again()
+        names = self._collectors.holders(now)[:COLLECTORS_PER_DOMAIN]
+        if names != self._last_collectors:
+            self._last_collectors = names
+            self._sources.usage.tell_all_again()
         digest = self._changed_digest(now)
         if digest is None:
             return []
-        self._parts.peers.told = digest.entries
-        if not self._greeted:
-            self._greeted = True
-            names = [rec.host for rec in self._hosts.neighbours()]
-        return [Telling(digest, self._addresses(names))]
-
-    def _sums(self, now: float) -> list[Telling]:
-        """Tell the domain's sum to the other collectors, and the whole to its hosts."""
-        self._collecting.note_own_reads(now)
-        others = self._addresses(self._collecting.other_collectors(now))
-        neighbours = [rec.address for rec in self._hosts.neighbours()]
+        self._sources.peers.own_sent = digest.entries
+        if not self._announced:
+            self._announced = True
+            names = [rec.host for rec in self._hosts.domain_peers()]
+        return [OutgoingDigest(digest, self._addresses(names))]
+
+    def _aggregates(self, now: float) -> list[OutgoingDigest]:
+        """Return the domain's aggregate for other collectors, and all for its hosts."""
+        self._collector.add_own_prefills(now)
+        others = self._addresses(self._collector.other_collectors(now))
+        domain_peers = [rec.address for rec in self._hosts.domain_peers()]
         return [
-            Telling(self._collecting.domain_sum(now), others),
-            Telling(self._collecting.fleet_sum(now), neighbours),
+            OutgoingDigest(self._collector.domain_aggregate(now), others),
+            OutgoingDigest(self._collector.fleet_aggregate(now), domain_peers),
         ]
--- a/berylshift/process/targets/__init__.py
+++ b/berylshift/process/targets/__init__.py
@@ -1,1 +1,1 @@
-"""What a host believes of targets: their load, speed, kept parts and times."""
+"""What a host knows of targets: load, speed, cached prefix blocks and durations."""
--- a/berylshift/process/targets/backoffs.py
+++ b/berylshift/process/targets/backoffs.py
@@ -1,4 +1,4 @@
-"""Targets that want no request of this host for a while, by their own word."""
+"""Targets that asked this host to send no requests for a while."""
 
 from typing import Generic, TypeVar
 
@@ -13,7 +13,7 @@
         self._until: dict[Target, float] = {}
 
     def back_off(self, target: Target, seconds: float, now: float) -> None:
-        """Leave a target alone for ``seconds``; an earlier word may last longer."""
+        """Send nothing to a target for ``seconds``, or longer if asked to before."""
         until = max(now + seconds, self._until.get(target, now))
         self._until[target] = until
 
@@ -22,14 +22,14 @@
         return max(0.0, self._until.get(target, now) - now)
 
     def active(self, now: float) -> list[Target]:
-        """Return the targets that want nothing now."""
+        """Return the targets that may not be sent to now."""
         self._until = {name: at for name, at in self._until.items() if at > now}
         return list(self._until)
 
     def forget(self, target: Target) -> None:
-        """Drop a target that is gone."""
+        """Remove a target that is gone."""
         self._until.pop(target, None)
 
     def __len__(self) -> int:
-        """Return how many targets are kept."""
+        """Return the number of targets with a back-off."""
         return len(self._until)
--- a/berylshift/process/targets/engine_speeds.py
+++ b/berylshift/process/targets/engine_speeds.py
@@ -1,8 +1,9 @@
-"""What the engines of each service take for their work, learned from answers.
+"""Speed estimates for the engines of each service, learned from their responses.
 
-Deployments' engines differ by a factor of four and more, and hosts are told no speed.
-With another engine's speeds a host refuses prompts that would be in time, or takes more
-than can be: it sees a queue four times as long as it is.
+Engines of different deployments differ in speed by a factor of four and more, and no
+setting states their speed. With the estimates of another engine a host would see a
+queue four times as long as it is and reject prompts that would be in time, or accept
+more than the engine can handle.
 """
 
 import logging
@@ -14,36 +15,36 @@
 
 logger = logging.getLogger(__name__)
 
-# Samples that an estimate goes by: about three seconds of one host's prompts, so that
-# changed engines are believed by then and one bad second is not.
-SAMPLES = 48
-# With fewer samples the prior holds.
-LEAST_SAMPLES = 8
-# The share of samples that an estimate of a speed is above. Most of what disturbs a
-# sample (a wait that was not known, parts that were not kept) makes it slower.
+# About three seconds of one host's prompts: enough to follow engines that have changed
+# speed, and not to be misled by one bad second.
+MAX_SAMPLES = 48
+# With fewer samples the prior is used.
+MIN_SAMPLES = 8
+# Most disturbances of a sample (an unknown wait, blocks that were not cached) make it
+# slower, so the speed is estimated above the median.
 SPEED_QUANTILE = 0.6
 TIME_QUANTILE = 0.5
-# Readings of fewer tokens tell more of the way to the engine than of its speed.
-LEAST_READ_TOKENS = 2_000
-# A reading tells the speed if no more than this part of it was the wait for others.
-MOST_AHEAD_SHARE = 0.5
-# Until enough is known: an engine of the middle, in tokens a second, seconds a running
-# request, and seconds of a whole answer.
-PRIOR_READ_RATE = 61_400.0
+# Shorter prefills measure the network latency rather than the engine's speed.
+MIN_PREFILL_TOKENS = 2_000
+# A prefill is a sample only if the tokens queued ahead are at most this share of it.
+MAX_AHEAD_SHARE = 0.5
+# Priors of an average engine: tokens a second, seconds per running request, and seconds
+# of a whole response.
+PRIOR_PREFILL_RATE = 61_400.0
 PRIOR_RUNNING_SECONDS = 0.002
-PRIOR_ANSWER_SECONDS = 1.9
-# An engine's memory, in tokens, where no configuration tells it.
-PRIOR_MEMORY_TOKENS = 400_000
-# What moving a KV cache takes beside its bytes: two messages and a set-up.
-MOVE_SECONDS = 0.003
-BITS_A_BYTE = 8
+PRIOR_RESPONSE_SECONDS = 1.9
+# An engine's KV cache capacity where the configuration does not state it.
+PRIOR_KV_CAPACITY_TOKENS = 400_000
+# Overhead of a KV cache transfer beside its bytes: two messages and a set-up.
+TRANSFER_SETUP_SECONDS = 0.003
+BITS_PER_BYTE = 8
 MEGA = 1_000_000
-# An estimate that has changed by this factor is logged: decisions change with it.
+# Decisions change with an estimate, so a change by this factor is logged.
 LOGGED_FACTOR = 1.25
 
 
 class Estimate:
-    """A quantile of the newest samples; a prior until there are some."""
+    """A quantile of the newest samples; a prior while there are too few."""
 
     def __init__(self, name: str, prior: float, quantile: float):
         """Begin with ``prior``; changes are logged under ``name``."""
@@ -51,12 +52,12 @@
         self._name = name
         self._logged = prior
         self._quantile = quantile
-        self._samples: deque[float] = deque(maxlen=SAMPLES)
+        self._samples: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     def add(self, sample: float) -> None:
-        """Take a sample over."""
+        """Add a sample and update the estimate."""
         self._samples.append(sample)
-        if len(self._samples) >= LEAST_SAMPLES:
+        if len(self._samples) >= MIN_SAMPLES:
             ordered = sorted(self._samples)
             self.value = ordered[int(self._quantile * (len(ordered) - 1))]
             self._log()
@@ -66,7 +67,7 @@
         if high <= LOGGED_FACTOR * low:
             return
         logger.info(
-            "speed learned",
+            "speed estimate changed",
             extra={
                 "what": self._name,
                 "former": self._logged,
@@ -82,16 +83,16 @@
 
     def __init__(self, service: ServiceName) -> None:
         """Begin with the priors."""
-        self.read_rate = Estimate(
-            f"{service}: tokens read a second", PRIOR_READ_RATE, SPEED_QUANTILE
+        self.prefill_rate = Estimate(
+            f"{service}: tokens read a second", PRIOR_PREFILL_RATE, SPEED_QUANTILE
         )
-        self.running_seconds = Estimate(
+        self.seconds_per_running_request = Estimate(
             f"{service}: seconds a running request",
             PRIOR_RUNNING_SECONDS,
             TIME_QUANTILE,
         )
-        self.answer_seconds = Estimate(
-            f"{service}: seconds an answer", PRIOR_ANSWER_SECONDS, TIME_QUANTILE
+        self.response_seconds = Estimate(
+            f"{service}: seconds an answer", PRIOR_RESPONSE_SECONDS, TIME_QUANTILE
         )
 
 
@@ -101,7 +102,7 @@
     def __init__(
         self, facts: Callable[[ServiceName], EngineFacts | None] = lambda name: None
     ):
-        """Take what the configuration says of a service's engines from ``facts``."""
+        """Look up a service's engine configuration by ``facts``."""
         self._facts = facts
         self._services: dict[ServiceName, ServiceSpeeds] = {}
 
@@ -111,49 +112,52 @@
             found = self._services[service] = ServiceSpeeds(service)
         return found
 
-    def read_rate(self, service: ServiceName) -> float:
-        """Return the tokens that an engine reads a second."""
-        return self._of(service).read_rate.value
+    def prefill_rate(self, service: ServiceName) -> float:
+        """Return an engine's prefill speed in tokens a second."""
+        return self._of(service).prefill_rate.value
 
-    def running_seconds(self, service: ServiceName) -> float:
-        """Return how much later a first piece is for each request that runs."""
-        return self._of(service).running_seconds.value
+    def seconds_per_running_request(self, service: ServiceName) -> float:
+        """Return the delay of the first token for each running request."""
+        return self._of(service).seconds_per_running_request.value
 
     def slot_seconds(self, service: ServiceName, slots: int) -> float:
-        """Return the seconds until one of ``slots`` is free while all are taken."""
-        return self._of(service).answer_seconds.value / max(1, slots)
+        """Return the mean seconds until one of ``slots`` occupied slots is free."""
+        return self._of(service).response_seconds.value / max(1, slots)
 
-    def move_seconds(self, service: ServiceName, tokens: int) -> float:
-        """Return what moving the KV cache of ``tokens`` takes within a domain."""
+    def kv_transfer_seconds(self, service: ServiceName, tokens: int) -> float:
+        """Return the seconds to move the KV cache of ``tokens`` within a domain."""
         facts = self._facts(service)
         if facts is None or facts.link_mbps <= 0:
-            return MOVE_SECONDS
-        bits = tokens * facts.kv_token_bytes * BITS_A_BYTE
-        return MOVE_SECONDS + bits / (facts.link_mbps * MEGA)
+            return TRANSFER_SETUP_SECONDS
+        bits = tokens * facts.kv_token_bytes * BITS_PER_BYTE
+        return TRANSFER_SETUP_SECONDS + bits / (facts.link_mbps * MEGA)
 
-    def memory_tokens(self, service: ServiceName) -> int:
-        """Return the tokens that an engine's memory holds."""
+    def kv_capacity_tokens(self, service: ServiceName) -> int:
+        """Return how many tokens fit in an engine's KV cache."""
         facts = self._facts(service)
-        return PRIOR_MEMORY_TOKENS if facts is None else facts.kv_tokens
+        return PRIOR_KV_CAPACITY_TOKENS if facts is None else facts.kv_tokens
 
-    # What is learned
+    # Samples
 
-    def was_read(
+    def note_prefill(
         self, service: ServiceName, tokens: int, ahead: float, seconds: float
     ) -> None:
-        """Note that reading ``tokens`` behind ``ahead`` others took ``seconds``."""
-        if tokens < LEAST_READ_TOKENS or ahead > MOST_AHEAD_SHARE * tokens:
+        """Record a prefill of ``tokens`` with ``ahead`` tokens queued before it."""
+        if tokens < MIN_PREFILL_TOKENS or ahead > MAX_AHEAD_SHARE * tokens:
             return
         if seconds > 0:
-            self._of(service).read_rate.add((tokens + ahead) / seconds)
+            self._of(service).prefill_rate.add((tokens + ahead) / seconds)
 
-    def began(
+    def note_first_token(
         self, service: ServiceName, moved: int, running: float, seconds: float
     ) -> None:
-        """Note that a first piece came ``seconds`` after a cache was sent there."""
-        waited = max(0.0, seconds - self.move_seconds(service, moved))
-        self._of(service).running_seconds.add(waited / (running + 1))
+        """Record the time from sending the KV cache of ``moved`` to the first token.
 
-    def answered(self, service: ServiceName, seconds: float) -> None:
-        """Note that a whole answer took ``seconds``."""
-        self._of(service).answer_seconds.add(seconds)
+        ``running``: the number of requests that run on the engine.
+        """
+        waited = max(0.0, seconds - self.kv_transfer_seconds(service, moved))
+        self._of(service).seconds_per_running_request.add(waited / (running + 1))
+
+    def note_response(self, service: ServiceName, seconds: float) -> None:
+        """Record the duration of a whole response."""
+        self._of(service).response_seconds.add(seconds)
--- a/berylshift/process/targets/limit_gossip.py
+++ b/berylshift/process/targets/limit_gossip.py
@@ -1,88 +1,99 @@
-"""What the other hosts are told of replicas' rate limits, and for how long."""
+"""Which updates on replicas' rate limits a host sends to the others, and how long."""
 
 from dataclasses import dataclass
 
 from berylshift.messages.load_digest import LimitUpdate
 
-# A limit is told for this long: in two sums of a collector, or in several digests of a
-# host that tells all others itself. Its end is told longer: nobody repeats it.
-TOLD_SECONDS = 0.5
-END_TOLD_SECONDS = 2.0
-# How often a limit that still holds is told again, for hosts that have started, stood
-# still or were cut off since.
-AGAIN_SECONDS = 2.0
-# Ages are told in tenths of a second, and datagrams take some milliseconds: a word that
-# is newer by less is the same.
-SAME_SECONDS = 0.3
-# Limits told in one digest.
-MOST_TOLD = 8
+# A limit is sent for this long: in two aggregates of a collector, or in several digests
+# of a host that sends to all others itself. Nobody repeats that a limit was lifted, so
+# that is sent for longer.
+SEND_SECONDS = 0.5
+LIFTED_SEND_SECONDS = 2.0
+# How often a limit still in force is sent again, for hosts that have since started, or
+# were suspended or partitioned.
+RESEND_SECONDS = 2.0
+# Ages are sent in tenths of a second, and datagrams take some milliseconds: an update
+# that is newer by less than this is the same one.
+AGE_TOLERANCE_SECONDS = 0.3
+# Updates in one digest.
+MAX_UPDATES = 8
 
 
 @dataclass
-class _Word:
-    """The newest word of a replica, when it gave it, and since when it is told.
+class _Limit:
+    """The newest limit of a replica, when it was stated, and since when it is sent.
 
-    ``is_own``: it was given to this host.
+    ``is_own``: the replica stated it to this host.
     """
 
-    per_second: float | None
-    at: float
-    told_since: float
+    requests_per_second: float | None
+    stated_at: float
+    sent_since: float
     is_own: bool
 
     def is_due(self, now: float) -> bool:
-        """Return whether it is to be told now."""
-        seconds = END_TOLD_SECONDS if self.per_second is None else TOLD_SECONDS
-        return now - self.told_since < seconds
+        """Return whether it is to be sent now."""
+        seconds = (
+            LIFTED_SEND_SECONDS if self.requests_per_second is None else SEND_SECONDS
+        )
+        return now - self.sent_since < seconds
 
 
-class LimitNews:
-    """Words by the short hashes of instances; times in seconds."""
+class LimitGossip:
+    """Limits by the short hashes of instances; times in seconds."""
 
     def __init__(self) -> None:
-        """Start knowing none."""
-        self._words: dict[int, _Word] = {}
+        """Start without limits."""
+        self._limits: dict[int, _Limit] = {}
 
-    def given(self, target: int, per_second: float | None, now: float) -> None:
-        """Note a replica's word to this host; ``None``: it names no limit any more."""
-        self._note(target, per_second, now, now, is_own=True)
+    def note_own(
+        self, target: int, requests_per_second: float | None, now: float
+    ) -> None:
+        """Record what a replica stated to this host; ``None``: no limit any more."""
+        self._note(target, requests_per_second, now, now, is_own=True)
 
-    def heard(self, told: LimitUpdate, now: float) -> bool:
-        """Return whether another host tells something newer than what is known."""
-        word, at = self._words.get(told.target), now - told.age_seconds
-        if word is not None and at <= word.at + SAME_SECONDS:
+    def receive(self, update: LimitUpdate, now: float) -> bool:
+        """Record another host's update; return whether it is newer than the known."""
+        limit, at = self._limits.get(update.target), now - update.age_seconds
+        if limit is not None and at <= limit.stated_at + AGE_TOLERANCE_SECONDS:
             return False
-        self._note(told.target, told.requests_per_second, at, now, is_own=False)
+        self._note(update.target, update.requests_per_second, at, now, is_own=False)
         return True
 
     def _note(
         self,
         target: int,
-        per_second: float | None,
-        at: float,
+        requests_per_second: float | None,
+        stated_at: float,
         now: float,
         is_own: bool,
     ) -> None:
-        """Take a newer word over; tell it if it says something else, or again."""
-        word = self._words.get(target)
-        changes = word is None or (word.per_second is None) != (per_second is None)
+        """Store a newer limit; send it if it begins or ends, or is due for a resend."""
+        limit = self._limits.get(target)
+        changes = limit is None or (limit.requests_per_second is None) != (
+            requests_per_second is None
+        )
         since = now
-        if word is not None and not changes and now - word.told_since < AGAIN_SECONDS:
-            since = word.told_since
-        self._words[target] = _Word(per_second, at, since, is_own)
-
-    def to_tell(self, now: float, own_alone: bool) -> tuple[LimitUpdate, ...]:
-        """Return what the next digest tells, the newest words first.
-
-        ``own_alone``: without what other hosts told.
+        if (
+            limit is not None
+            and not changes
+            and now - limit.sent_since < RESEND_SECONDS
+        ):
+            since = limit.sent_since
+        self._limits[target] = _Limit(requests_per_second, stated_at, since, is_own)
+
+    def updates_to_send(self, now: float, own_only: bool) -> tuple[LimitUpdate, ...]:
+        """Return the updates for the next digest, the newest first.
+
+        ``own_only``: without what other hosts sent.
         """
         due = [
-            LimitUpdate(target, word.per_second, now - word.at)
-            for target, word in self._words.items()
-            if word.is_due(now) and (word.is_own or not own_alone)
+            LimitUpdate(target, limit.requests_per_second, now - limit.stated_at)
+            for target, limit in self._limits.items()
+            if limit.is_due(now) and (limit.is_own or not own_only)
         ]
-        return tuple(sorted(due, key=lambda told: told.age_seconds)[:MOST_TOLD])
+        return tuple(sorted(due, key=lambda update: update.age_seconds)[:MAX_UPDATES])
 
     def forget(self, target: int) -> None:
-        """Drop a replica that is gone."""
-        self._words.pop(target, None)
+        """Remove a replica that is gone."""
+        self._limits.pop(target, None)
--- a/berylshift/process/targets/limit_shares.py
+++ b/berylshift/process/targets/limit_shares.py
@@ -1,10 +1,11 @@
-"""Which part of a replica's rate limit this host may use.
-
-A replica names one limit for all hosts together. Split evenly among hundreds of hosts,
-a limit of a few requests a second leaves each host with one request in minutes, and a
-host whose turn passes unused wastes it; saved up, the turns of all hosts are a burst
-many times the limit. So a few hosts hold most of the limit. Which ones follows from
-names alone, the replica's own failure domain first: its hosts send there most.
+"""Which share of a replica's rate limit this host may use.
+
+A replica states one limit for all hosts together. Split evenly among hundreds of hosts,
+a limit of a few requests a second leaves each host with one request in minutes; send
+slots of idle hosts are wasted, or, if saved up, add up to a burst of many times the
+limit. So a few hosts, the holders, share most of the limit. Holders are chosen by
+rendezvous hashing, hosts of the replica's own failure domain first, since these send
+there most.
 """
 
 import heapq
@@ -16,23 +17,24 @@
 from berylshift.ids import DomainName, HostName, InstanceId
 from berylshift.store.host_rows import HostRecord
 
-# Hosts that hold a limit of less than one request a second; each further request a
-# second has one more. Each may send once at any moment, so they are few.
-LEAST_HOLDERS = 3
-# The part of a limit that the holders use together. The rest is for the other hosts,
-# which would not see otherwise that the limit is lifted while no holder has callers.
-HELD_PART = 0.8
+# Holders of a limit below one request a second; each further request a second adds one.
+# Each holder may send once at any moment, so there are few.
+MIN_HOLDERS = 3
+# The fraction of a limit that the holders use together. The rest is for the other
+# hosts, which otherwise would not notice that the limit is lifted while no holder has
+# callers.
+HOLDERS_FRACTION = 0.8
 
 
 class LimitShare(msgspec.Struct, frozen=True):
-    """A part of a limit, from 0 to 1, and whether this host holds it.
+    """A fraction of a limit, from 0 to 1, and whether this host is a holder.
 
-    ``others``: how many hosts share what the holders leave.
+    ``other_hosts``: how many hosts share what the holders leave.
     """
 
-    part: float
-    is_held: bool
-    others: int = 0
+    fraction: float
+    is_holder: bool
+    other_hosts: int = 0
 
 
 class LimitShares:
@@ -42,41 +44,41 @@
         self,
         host: HostName,
         hosts: Callable[[], Sequence[HostRecord] | None],
-        assumed: int,
+        assumed_hosts: int,
     ):
-        """Share for ``host``, among ``assumed`` others while none is known."""
+        """Compute shares of ``host``, of ``assumed_hosts`` while none are known."""
         self._host = host
         self._hosts = hosts
-        self._assumed = assumed
+        self._assumed_hosts = assumed_hosts
 
     def share(
-        self, instance: InstanceId, domain: DomainName | None, per_second: float
+        self,
+        instance: InstanceId,
+        domain: DomainName | None,
+        requests_per_second: float,
     ) -> LimitShare:
-        """Return this host's share of the limit of a replica in ``domain``.
-
-        ``per_second`` is the limit in requests a second.
-        """
+        """Return this host's share of the limit of a replica in ``domain``."""
         hosts = self._hosts()
         if hosts is None:
-            return _among_others(self._assumed)
-        count = LEAST_HOLDERS + int(per_second)
+            return _share_of_others(self._assumed_hosts)
+        count = MIN_HOLDERS + int(requests_per_second)
         if len(hosts) <= count:
             return LimitShare(1 / max(1, len(hosts)), True)
         near = [rec for rec in hosts if rec.domain == domain]
         holders = heapq.nsmallest(
             count,
             near if len(near) >= count else hosts,
-            key=lambda rec: (rec.domain != domain, _place_of(rec.host, instance)),
+            key=lambda rec: (rec.domain != domain, _order_key(rec.host, instance)),
         )
         if any(rec.host == self._host for rec in holders):
-            return LimitShare(HELD_PART / count, True)
-        return _among_others(len(hosts) - count)
+            return LimitShare(HOLDERS_FRACTION / count, True)
+        return _share_of_others(len(hosts) - count)
 
 
-def _place_of(host: str, instance: InstanceId) -> int:
-    """Return a host's place in the order that all hosts compute alike."""
+def _order_key(host: str, instance: InstanceId) -> int:
+    """Return the key by which every host sorts a replica's hosts alike."""
     return xxhash.xxh64_intdigest(f"{instance}/{host}".encode())
 
 
-def _among_others(count: int) -> LimitShare:
-    return LimitShare((1 - HELD_PART) / count, False, count)
+def _share_of_others(count: int) -> LimitShare:
+    return LimitShare((1 - HOLDERS_FRACTION) / count, False, count)
--- /dev/null
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -0,0 +1,151 @@
+"""Which engines cache which prefix blocks, as far as hosts have told each other.
+
+The home engine that all hosts compute alike says where a block should be, not that it
+is there: an engine that has just started, or become the home, has nothing cached.
+Prompts that are taken for cheap there would queue up behind each other. Each host
+therefore announces where it sends blocks, in some bytes each; this also spreads popular
+blocks over more engines.
+
+How long an engine caches a block depends on its other prefills. Each host simulates the
+engine's cache: an LRU of blocks with their token counts; blocks beyond the capacity are
+taken as evicted. A fixed time instead is right for one load of one engine only: if it
+is too long, blocks that count as cached are prefilled anew.
+"""
+
+import functools
+from collections import OrderedDict, deque
+
+import xxhash
+
+from berylshift.ids import InstanceId, PartId
+from berylshift.messages.load_digest import MAX_CACHED_HASHES, BlockPrefill, target_hash
+
+# The share of an engine's KV cache that prefix blocks fill: prompts in prefill, and
+# those that wait to be fetched, occupy the rest.
+PREFIX_CACHE_SHARE = 0.8
+# Prefills are sent for this long, in three datagrams: one or two may be lost.
+SEND_SECONDS = 0.25
+# Blocks of all engines together, a bound on this process's own memory.
+MAX_BLOCKS = 16384
+MAX_PREFILLS_SENT = 32
+
+
+@functools.lru_cache(MAX_CACHED_HASHES)
+def block_hash(block: PartId) -> int:
+    """Return the 32-bit hash that stands for a prefix block in digests."""
+    return xxhash.xxh32_intdigest(block.encode())
+
+
+class EngineCache:
+    """The prefix blocks that one engine caches, the least recently used first."""
+
+    def __init__(self) -> None:
+        """Start empty."""
+        self._blocks: OrderedDict[int, int] = OrderedDict()
+        self._tokens = 0
+
+    def use(self, block: int, tokens: int) -> bool:
+        """Record the use of a block; return whether it is new."""
+        former = self._blocks.get(block)
+        self._tokens += tokens - (former or 0)
+        self._blocks[block] = tokens
+        self._blocks.move_to_end(block)
+        return former is None
+
+    def evict_oldest(self) -> int:
+        """Evict the least recently used block; return it."""
+        block, tokens = self._blocks.popitem(last=False)
+        self._tokens -= tokens
+        return block
+
+    def is_over(self, capacity_tokens: float) -> bool:
+        """Return whether the blocks need more than ``capacity_tokens``."""
+        return self._tokens > capacity_tokens and bool(self._blocks)
+
+    def __contains__(self, block: int) -> bool:
+        """Return whether a block is cached."""
+        return block in self._blocks
+
+    def __bool__(self) -> bool:
+        """Return whether any block is cached."""
+        return bool(self._blocks)
+
+
+class PrefixCacheIndex:
+    """Cached prefix blocks by engine; times in seconds."""
+
+    def __init__(self) -> None:
+        """Start empty."""
+        self._engines: OrderedDict[int, EngineCache] = OrderedDict()
+        self._engines_by_block: dict[int, set[int]] = {}
+        self._own: deque[tuple[float, BlockPrefill]] = deque()
+        self._count = 0
+
+    def note_sent(
+        self, block: PartId, tokens: int, instance: InstanceId, now: float
+    ) -> None:
+        """Record that this host sends a block to an engine.
+
+        It counts as cached at once: a second prompt that follows the first one there
+        waits for the block's prefill and does not repeat it.
+        """
+        prefill = BlockPrefill(block_hash(block), target_hash(instance), tokens)
+        self._use(prefill)
+        self._own.append((now, prefill))
+
+    def merge(self, prefills: tuple[BlockPrefill, ...]) -> None:
+        """Add another host's prefills."""
+        for prefill in prefills:
+            self._use(prefill)
+
+    def _use(self, prefill: BlockPrefill) -> None:
+        engine = self._engines.get(prefill.target)
+        if engine is None:
+            engine = self._engines[prefill.target] = EngineCache()
+        self._engines.move_to_end(prefill.target)
+        if engine.use(prefill.block, prefill.tokens):
+            self._engines_by_block.setdefault(prefill.block, set()).add(prefill.target)
+            self._count += 1
+        while self._count > MAX_BLOCKS:
+            self._evict_oldest(next(iter(self._engines)))
+
+    def _evict_oldest(self, target: int) -> None:
+        """Evict the least recently used block of an engine."""
+        engine = self._engines[target]
+        block = engine.evict_oldest()
+        self._count -= 1
+        engines = self._engines_by_block[block]
+        engines.discard(target)
+        if not engines:
+            del self._engines_by_block[block]
+        if not engine:
+            del self._engines[target]
+
+    def is_cached(
+        self, block: PartId, instance: InstanceId, capacity_tokens: float
+    ) -> bool:
+        """Return whether an engine with a KV cache of that size caches a block."""
+        target = target_hash(instance)
+        while target in self._engines:
+            engine = self._engines[target]
+            if not engine.is_over(PREFIX_CACHE_SHARE * capacity_tokens):
+                return block_hash(block) in engine
+            self._evict_oldest(target)
+        return False
+
+    def engines_caching(self, block: PartId) -> list[int]:
+        """Return the engines that may cache a block, by their short hashes."""
+        return list(self._engines_by_block.get(block_hash(block), ()))
+
+    def forget(self, instance: InstanceId) -> None:
+        """Remove an engine that is gone."""
+        target = target_hash(instance)
+        while target in self._engines:
+            self._evict_oldest(target)
+
+    def prefills_to_send(self, now: float) -> tuple[BlockPrefill, ...]:
+        """Return this host's prefills that are still sent to the others."""
+        while self._own and now - self._own[0][0] > SEND_SECONDS:
+            self._own.popleft()
+        newest = list(self._own)[-MAX_PREFILLS_SENT:]
+        return tuple(prefill for _, prefill in newest)
--- a/berylshift/process/targets/rate_limits.py
+++ b/berylshift/process/targets/rate_limits.py
@@ -1,4 +1,4 @@
-"""Requests a second that replicas take, by their own word, and this host's turns.
+"""Rate limits that replicas state, and this host's send slots within them.
 
 All hosts together keep a limit without a message for each request: every host spaces
 its own requests by its share.
@@ -11,26 +11,27 @@
 from berylshift.ids import InstanceId
 from berylshift.process.targets.limit_shares import LimitShare
 
-# What a limit of nothing is taken for, so that its end is noticed.
-LEAST_PER_SECOND = 0.02
-# How long a limit has to stand before other replicas take over for good.
+# Used for a limit of zero, so that its end is noticed by the occasional request.
+MIN_REQUESTS_PER_SECOND = 0.02
+# How long a limit has to be in force before other replicas take over for good.
 LASTING_SECONDS = 2.0
-# Turns that a holder may save up beside the one that it has.
-MOST_SAVED_TURNS = 0.25
-# Hosts without a share that have an unused turn at one time, in the mean.
-OPEN_TURNS = 0.5
-# How long a share is gone by before the hosts are looked at again.
-SHARE_SECONDS = 1.0
+# Slots that a holder may save up beside the current one.
+MAX_SAVED_SLOTS = 0.25
+# Mean number of hosts, of those that are not holders, that have an unused slot at the
+# same time.
+MEAN_OPEN_SLOTS = 0.5
+# How long a share is used before it is computed anew from the list of hosts.
+SHARE_TTL_SECONDS = 1.0
 
 
 @dataclass
 class _Limit:
-    """A limit in requests a second, and what this host's next turn is counted by.
+    """A limit, and what this host's next send slot is computed from.
 
-    The turn comes ``phase`` intervals after ``counted_from``.
+    The slot begins ``phase`` intervals after ``counted_from``.
     """
 
-    per_second: float
+    requests_per_second: float
     since: float
     confirmed_at: float
     counted_from: float
@@ -39,24 +40,28 @@
     shared_at: float
 
     @property
-    def interval(self) -> float:
-        """Return the seconds between two turns of this host."""
-        return 1 / (self.per_second * self.share.part)
+    def interval_seconds(self) -> float:
+        """Return the seconds between two slots of this host."""
+        return 1 / (self.requests_per_second * self.share.fraction)
 
     @property
-    def turn_at(self) -> float:
+    def slot_at(self) -> float:
         """Return when this host may send next."""
-        return self.counted_from + self.phase * self.interval
+        return self.counted_from + self.phase * self.interval_seconds
 
     @property
-    def lapses_at(self) -> float:
-        """Return when a turn lapses that was not used.
+    def slot_expires_at(self) -> float:
+        """Return when an unused slot expires.
 
-        Kept, the turns of all hosts that hold no share would come in one burst.
+        Without expiry the slots of all hosts that are not holders would be used in one
+        burst.
         """
-        if self.share.is_held:
+        if self.share.is_holder:
             return float("inf")
-        return self.turn_at + OPEN_TURNS * self.interval / self.share.others
+        return (
+            self.slot_at
+            + MEAN_OPEN_SLOTS * self.interval_seconds / self.share.other_hosts
+        )
 
 
 class RateLimits:
@@ -65,39 +70,44 @@
     def __init__(
         self, share_of: Callable[[InstanceId, float], LimitShare], rng: random.Random
     ):
-        """Use this host's part of each limit, given replica and requests a second."""
+        """Use ``share_of`` a replica and its limit in requests a second."""
         self._share_of = share_of
         self._rng = rng
         self._limits: dict[InstanceId, _Limit] = {}
-        # The replicas closed to this host, and until when that is known to hold.
-        self._closed: list[InstanceId] = []
-        self._closed_until = float("-inf")
+        # The replicas that this host may not send to, and until when that is valid.
+        self._blocked: list[InstanceId] = []
+        self._blocked_until = float("-inf")
 
     def __len__(self) -> int:
-        """Return how many replicas name a limit."""
+        """Return how many replicas state a limit."""
         return len(self._limits)
 
-    def set_limit(self, instance: InstanceId, per_second: float, now: float) -> bool:
-        """Take over a limit that a replica names; return whether it had none."""
-        per_second = max(LEAST_PER_SECOND, per_second)
+    def set_limit(
+        self, instance: InstanceId, requests_per_second: float, now: float
+    ) -> bool:
+        """Store a limit that a replica states; return whether it had none."""
+        requests_per_second = max(MIN_REQUESTS_PER_SECOND, requests_per_second)
         limit = self._limits.get(instance)
         if limit is not None:
-            if per_second != limit.per_second:
-                self._look_again()
-            limit.per_second = per_second
+            if requests_per_second != limit.requests_per_second:
+                self._invalidate_blocked()
+            limit.requests_per_second = requests_per_second
             limit.confirmed_at = now
             return False
-        self._look_again()
-        share = self._share_of(instance, per_second)
-        # Hosts learn of a limit together: a random phase keeps their turns apart.
+        self._invalidate_blocked()
+        share = self._share_of(instance, requests_per_second)
+        # Hosts learn of a limit together: a random phase spreads their slots.
         phase = self._rng.random()
-        self._limits[instance] = _Limit(per_second, now, now, now, phase, share, now)
+        self._limits[instance] = _Limit(
+            requests_per_second, now, now, now, phase, share, now
+        )
         return True
 
     def lift(self, instance: InstanceId, sent_at: float) -> bool:
-        """Drop a limit that an answer no longer names; return whether there was one.
+        """Remove a limit that a response no longer states; return if there was one.
 
-        An answer to what was sent before the limit was last named may be older.
+        A response to a request sent before the limit was last stated is ignored, since
+        it may be older than the limit.
         """
         limit = self._limits.get(instance)
         if limit is None or sent_at <= limit.confirmed_at:
@@ -110,62 +120,64 @@
         limit = self._limits.get(instance)
         if limit is None:
             return 0.0
-        if now - limit.shared_at >= SHARE_SECONDS:
-            limit.share = self._share_of(instance, limit.per_second)
+        if now - limit.shared_at >= SHARE_TTL_SECONDS:
+            limit.share = self._share_of(instance, limit.requests_per_second)
             limit.shared_at = now
-        if now > limit.lapses_at:
+        if now > limit.slot_expires_at:
             limit.counted_from, limit.phase = now, self._rng.uniform(0, 2)
-        return max(0.0, limit.turn_at - now)
+        return max(0.0, limit.slot_at - now)
 
-    def sent(self, instance: InstanceId, now: float) -> None:
-        """Note that this host's turn is used.
+    def note_sent(self, instance: InstanceId, now: float) -> None:
+        """Record that this host's send slot is used.
 
-        A holder's next turn is counted from this one's beginning, so that its share is
-        used up though callers do not come in time with its turns.
+        A holder's next slot is counted from the beginning of this one, so that its
+        share is used up although callers arrive at random times.
         """
         limit = self._limits.get(instance)
         if limit is None:
             return
-        late = max(0.0, now - limit.turn_at) if limit.share.is_held else 0.0
-        saved = min(late, MOST_SAVED_TURNS * limit.interval)
+        late = max(0.0, now - limit.slot_at) if limit.share.is_holder else 0.0
+        saved = min(late, MAX_SAVED_SLOTS * limit.interval_seconds)
         limit.counted_from, limit.phase = now - saved, 1.0
-        self._look_again()
+        self._invalidate_blocked()
 
-    def closed(self, now: float) -> list[InstanceId]:
+    def blocked(self, now: float) -> list[InstanceId]:
         """Return the replicas to which this host may not send now.
 
-        Every request asks several times; the answer holds until the next turn.
+        Every request asks several times; the result is cached until the next slot.
         """
-        if now < self._closed_until:
-            return self._closed
+        if now < self._blocked_until:
+            return self._blocked
         waits = {name: self.wait(name, now) for name in self._limits}
-        self._closed = [name for name, wait in waits.items() if wait > 0]
-        turn_in = min((waits[name] for name in self._closed), default=SHARE_SECONDS)
-        self._closed_until = now + min(turn_in, SHARE_SECONDS)
-        return self._closed
+        self._blocked = [name for name, wait in waits.items() if wait > 0]
+        slot_in = min(
+            (waits[name] for name in self._blocked), default=SHARE_TTL_SECONDS
+        )
+        self._blocked_until = now + min(slot_in, SHARE_TTL_SECONDS)
+        return self._blocked
 
-    def _look_again(self) -> None:
-        """Have the closed replicas looked for anew."""
-        self._closed_until = float("-inf")
+    def _invalidate_blocked(self) -> None:
+        """Have the blocked replicas computed anew."""
+        self._blocked_until = float("-inf")
 
     def retry_after(self, instance: InstanceId, now: float) -> float:
         """Return the seconds until some host may send to a replica."""
         limit = self._limits.get(instance)
         if limit is None:
             return 0.0
-        return min(self.wait(instance, now), 1 / limit.per_second)
+        return min(self.wait(instance, now), 1 / limit.requests_per_second)
 
     def share(self, instance: InstanceId) -> LimitShare | None:
-        """Return this host's share of a replica's limit, if that names one."""
+        """Return this host's share of a replica's limit, if the replica states one."""
         limit = self._limits.get(instance)
         return None if limit is None else limit.share
 
     def is_lasting(self, instance: InstanceId, now: float) -> bool:
-        """Return whether a replica has named a limit for longer than a moment."""
+        """Return whether a limit has been in force for ``LASTING_SECONDS``."""
         limit = self._limits.get(instance)
         return limit is not None and now - limit.since >= LASTING_SECONDS
 
     def forget(self, instance: InstanceId) -> None:
-        """Drop a replica that is gone."""
+        """Remove a replica that is gone."""
         self._limits.pop(instance, None)
-        self._look_again()
+        self._invalidate_blocked()
--- a/berylshift/process/targets/target_load.py
+++ b/berylshift/process/targets/target_load.py
@@ -1,4 +1,4 @@
-"""What this process sent to each replica and what it last heard of it."""
+"""What this process sent to each replica, and what the replica last reported."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -7,14 +7,14 @@
 from berylshift.messages.load_digest import LoadEntry, Urgency, target_hash
 from berylshift.messages.routed import ReportedLoad
 
-# A report says less the older it is; after this long it says nothing.
-REPORT_LIFE_SECONDS = 1.5
-# Half of a failure's weight is forgotten after this long: a replica that was broken
-# for seconds is tried again within seconds, and one bad answer costs it little.
+# A report loses weight with its age; at this age it has none.
+REPORT_TTL_SECONDS = 1.5
+# A replica that failed for seconds is tried again within seconds, and a single bad
+# response has little effect.
 FAILURE_HALF_LIFE_SECONDS = 2.0
-LEAST_FAILURE = 0.1
-SEVERE = 1.0
-MILD = 0.5
+MIN_FAILURE = 0.1
+SEVERE_FAILURE = 1.0
+MILD_FAILURE = 0.5
 
 
 @dataclass
@@ -22,7 +22,7 @@
     """One replica, seen from this process."""
 
     in_flight: int = 0
-    reading: list[int] = field(default_factory=lambda: [0, 0, 0])
+    prefill_tokens: list[int] = field(default_factory=lambda: [0, 0, 0])
     report: ReportedLoad | None = None
     report_at: float = 0.0
     sent_since_report: int = 0
@@ -37,13 +37,13 @@
         return self.failure * 0.5 ** (age / FAILURE_HALF_LIFE_SECONDS)
 
     def report_weight(self, now: float) -> float:
-        """Return how much the last report still says, from 1 down to 0."""
+        """Return the weight of the last report, from 1 when new down to 0."""
         if self.report is None:
             return 0.0
-        return max(0.0, 1.0 - (now - self.report_at) / REPORT_LIFE_SECONDS)
+        return max(0.0, 1.0 - (now - self.report_at) / REPORT_TTL_SECONDS)
 
     def waiting(self, now: float) -> float:
-        """Return the requests that wait there, as far as the last report still says."""
+        """Return the queued requests of the last report, weighted by its age."""
         if self.report is None:
             return 0.0
         return self.report.waiting * self.report_weight(now)
@@ -60,7 +60,7 @@
     """The load of all replicas."""
 
     def __init__(self, on_work: Callable[[], None] = lambda: None) -> None:
-        """Start knowing nothing; call ``on_work`` as a request goes out."""
+        """Start empty; call ``on_work`` with each request sent."""
         self._loads: dict[InstanceId, TargetLoad] = {}
         self._on_work = on_work
 
@@ -71,69 +71,77 @@
             load = self._loads[instance] = TargetLoad()
         return load
 
-    def sent(self, instance: InstanceId, tokens: int, urgency: Urgency) -> None:
-        """Note that a request goes out; ``tokens`` are yet to be read."""
+    def note_sent(self, instance: InstanceId, tokens: int, urgency: Urgency) -> None:
+        """Record a request sent, with ``tokens`` that still need prefill."""
         load = self.of(instance)
         load.in_flight += 1
         load.sent_since_report += 1
-        load.reading[urgency] += tokens
+        load.prefill_tokens[urgency] += tokens
         self._on_work()
 
-    def read(self, instance: InstanceId, tokens: int, urgency: Urgency) -> None:
-        """Note that a prompt's tokens have been read there."""
-        self.of(instance).reading[urgency] -= tokens
+    def note_prefilled(
+        self, instance: InstanceId, tokens: int, urgency: Urgency
+    ) -> None:
+        """Record that the prefill of a prompt's ``tokens`` is done."""
+        self.of(instance).prefill_tokens[urgency] -= tokens
 
     def entries(self, now: float) -> tuple[LoadEntry, ...]:
-        """Return the open work of this process, for the other hosts."""
+        """Return this process's open requests, for the other hosts."""
         return tuple(
             LoadEntry(
                 target_hash(instance),
                 load.in_flight,
-                (load.reading[0], load.reading[1], load.reading[2]),
-                _coarse(load.failures(now)),
+                (
+                    load.prefill_tokens[0],
+                    load.prefill_tokens[1],
+                    load.prefill_tokens[2],
+                ),
+                _rounded(load.failures(now)),
             )
             for instance, load in self._loads.items()
-            if load.in_flight or load.failures(now) > LEAST_FAILURE
+            if load.in_flight or load.failures(now) > MIN_FAILURE
         )
 
-    def ended(self, instance: InstanceId) -> None:
-        """Note that a request there has ended."""
+    def note_ended(self, instance: InstanceId) -> None:
+        """Record that a request there has ended."""
         self.of(instance).in_flight -= 1
 
-    def heard(self, instance: InstanceId, report: ReportedLoad, now: float) -> None:
-        """Take over what a replica said of itself."""
+    def note_report(
+        self, instance: InstanceId, report: ReportedLoad, now: float
+    ) -> None:
+        """Store the load that a replica reported."""
         load = self.of(instance)
         load.report = report
         load.report_at = now
         load.sent_since_report = 0
 
-    def failed(self, instance: InstanceId, weight: float, now: float) -> None:
-        """Note a failure that is the replica's fault."""
+    def note_failure(self, instance: InstanceId, weight: float, now: float) -> None:
+        """Record a failure that is the replica's fault."""
         load = self.of(instance)
         load.failure = load.failures(now) + weight
         load.failure_at = now
 
-    def succeeded(self, instance: InstanceId, now: float) -> None:
-        """Note a good answer: it outweighs half of what was held against it."""
+    def note_success(self, instance: InstanceId, now: float) -> None:
+        """Record a good response, which halves the weight of earlier failures."""
         load = self.of(instance)
         load.failure = load.failures(now) / 2
         load.failure_at = now
 
     def forget(self, instance: InstanceId) -> None:
-        """Drop a replica that is gone, unless requests there have yet to end.
+        """Remove a replica that is gone, unless it has requests in flight.
 
-        Each start of a replica has a name of its own; kept for good, those of a year
-        would fill the memory.
+        Each start of a replica has its own instance name; without removal those of a
+        year would fill the memory.
         """
         load = self._loads.get(instance)
         if load is not None and not load.in_flight:
             del self._loads[instance]
 
     def __len__(self) -> int:
-        """Return how many replicas are kept."""
+        """Return how many replicas are tracked."""
         return len(self._loads)
 
 
-def _coarse(failures: float) -> float:
-    """Return failures in eighths: finer steps would change each digest."""
+def _rounded(failures: float) -> float:
+    """Return failures rounded to eighths: finer steps would change each digest."""
     return round(failures * 8) / 8
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -20,8 +20,8 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoad, TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 
 # Shared parts shorter than this are read in less time than a hop to their home saves.
 HOME_TOKENS = 1000
@@ -134,7 +134,7 @@
         self,
         loads: TargetLoads,
         peers: PeerLoads,
-        warm: WarmParts,
+        warm: PrefixCacheIndex,
         speeds: EngineSpeeds,
         domain: DomainName,
         rng: random.Random,
@@ -218,7 +218,7 @@
             return pool.readers
         found = {rep.instance: rep for rep in (*homes, *self._some(pool.readers))}
         if homes:
-            for hashed in self._warm.keepers(prompt.shared[-1].part):
+            for hashed in self._warm.engines_caching(prompt.shared[-1].part):
                 keeper = pool.reader(hashed)
                 if keeper is not None:
                     found[keeper.instance] = keeper
@@ -251,7 +251,7 @@
         return Placement(replica, reason, seconds, tokens, weight, backlog, again)
 
     def _rate(self, replica: Replica) -> float:
-        return self._speeds.read_rate(replica.service)
+        return self._speeds.prefill_rate(replica.service)
 
     def _reason(
         self, replica: Replica, homes: tuple[Replica, ...], keeps_all: bool
@@ -271,9 +271,9 @@
     def _kept(self, replica: Replica, prompt: Prompt) -> int:
         """Return the tokens that an engine is likely to keep of a prompt."""
         kept = 0
-        room = self._speeds.memory_tokens(replica.service)
+        room = self._speeds.kv_capacity_tokens(replica.service)
         for part in prompt.shared:
-            if not self._warm.keeps(part.part, replica.instance, room):
+            if not self._warm.is_cached(part.part, replica.instance, room):
                 break
             kept += part.tokens
         return kept
@@ -282,14 +282,14 @@
         """Note that a prompt goes where a placement says."""
         if prompt.shared_tokens >= HOME_TOKENS:
             for part in prompt.shared:
-                self._warm.sent(part.part, part.tokens, place.target.instance, now)
+                self._warm.note_sent(part.part, part.tokens, place.target.instance, now)
 
     def _backlog(self, replica: Replica, urgency: Urgency, now: float) -> float:
         """Return the tokens that are read before a new prompt's, as far as known."""
         load = self._loads.of(replica.instance)
-        others = self._peers.reading(replica.instance, now)
-        known = sum(load.reading[: urgency + 1]) + sum(others[: urgency + 1])
-        patient = sum(load.reading[urgency + 1 :]) + sum(others[urgency + 1 :])
+        others = self._peers.prefill_tokens(replica.instance, now)
+        known = sum(load.prefill_tokens[: urgency + 1]) + sum(others[: urgency + 1])
+        patient = sum(load.prefill_tokens[urgency + 1 :]) + sum(others[urgency + 1 :])
         known += min(BEGUN_TOKENS, patient)
         return max(known, load.waiting(now) * WAITING_TOKENS)
 
@@ -298,15 +298,17 @@
     ) -> Placement:
         load, service = self._loads.of(replica.instance), replica.service
         running = self._running(replica, load, now)
-        seconds = running * self._speeds.running_seconds(service)
+        seconds = running * self._speeds.seconds_per_running_request(service)
         waiting = max(0.0, running + 1 - replica.slots)
         seconds += waiting * self._speeds.slot_seconds(service, replica.slots)
-        backlog = sum(load.reading) + sum(self._peers.reading(replica.instance, now))
+        backlog = sum(load.prefill_tokens) + sum(
+            self._peers.prefill_tokens(replica.instance, now)
+        )
         tokens = 0
         if reader is None:
             tokens = reading_work(prompt.tokens, 0)
         else:
-            move = self._speeds.move_seconds(service, prompt.tokens)
+            move = self._speeds.kv_transfer_seconds(service, prompt.tokens)
             near = reader.domain == replica.domain
             seconds += move if near else AWAY_MOVE_FACTOR * move
         seconds += (backlog + tokens) / (ANSWERING_READ_SHARE * self._rate(replica))
--- a/berylshift/request/placing_policies.py
+++ b/berylshift/request/placing_policies.py
@@ -7,8 +7,8 @@
 from berylshift.ids import DomainName
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import Placer, Placing
 from berylshift.request.placement_baselines import (
     LeastReportedPick,
@@ -24,7 +24,7 @@
 
     loads: TargetLoads
     peers: PeerLoads
-    warm: WarmParts
+    warm: PrefixCacheIndex
     speeds: EngineSpeeds
     domain: DomainName
     rng: random.Random
--- a/berylshift/request/prompt_read.py
+++ b/berylshift/request/prompt_read.py
@@ -81,7 +81,7 @@
     ) -> ReadEnd:
         """Have ``place`` read the prompt of ``out`` within ``seconds``."""
         instance = place.target.instance
-        self._loads.sent(instance, place.tokens, urgency)
+        self._loads.note_sent(instance, place.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as answer:
@@ -94,8 +94,8 @@
         except ConnectionLayerError:
             return ReadEnd(SendEnd.BROKEN)
         finally:
-            self._loads.read(instance, place.tokens, urgency)
-            self._loads.ended(instance)
+            self._loads.note_prefilled(instance, place.tokens, urgency)
+            self._loads.note_ended(instance)
 
     async def _take(
         self, request: RequestId, engine: Replica, answer: TargetAnswer
@@ -109,7 +109,7 @@
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
             now = self._clock.monotonic()
-            self._loads.heard(engine.instance, head.load, now)
+            self._loads.note_report(engine.instance, head.load, now)
         body = await answer.read(MOST_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return ReadEnd(SendEnd.NOT_RUN if head.not_run else SendEnd.FAILED)
--- a/berylshift/request/reading_choice.py
+++ b/berylshift/request/reading_choice.py
@@ -8,7 +8,7 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.prefill_send_rate import ReadingFlow
+from berylshift.process.targets.prefill_send_rate import PrefillSendRate
 from berylshift.request.placement import Placement, Placing
 from berylshift.request.standing import (
     Goal,
@@ -51,7 +51,7 @@
         self._placer = placer
         self._speeds = speeds
         self._hosts = hosts
-        self._flow = ReadingFlow()
+        self._flow = PrefillSendRate()
 
     def choose(self, ask: ReadingAsk, now: float) -> ReadingChoice | None:
         """Return where to read a prompt; ``None``: no engine reads it apart.
@@ -74,7 +74,7 @@
         """Note that a prompt goes where it was chosen to go."""
         self._placer.note_sent(choice.place, ask.prompt, now)
         if choice.standing is Standing.ON_TIME:
-            self._flow.sent(ask.service, choice.place.tokens, now)
+            self._flow.note_sent(ask.service, choice.place.tokens, now)
 
     def _place(
         self, ask: ReadingAsk, standing: Standing, now: float
@@ -92,5 +92,5 @@
     def _on_time_share(self, ask: ReadingAsk, now: float) -> float:
         """Return the part of the engines' time that prompts on time take."""
         flow = self._flow.rate(ask.service, now) * self._hosts()
-        rate = self._speeds.read_rate(ask.service)
+        rate = self._speeds.prefill_rate(ask.service)
         return flow / max(1.0, len(ask.pool.readers) * rate)
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -11,7 +11,7 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Dispatch, Prompt, RoutedRequest
-from berylshift.process.targets.target_load import MILD, SEVERE
+from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.allowance import TimeBound, allowance_of
 from berylshift.request.answer_stream import AnswerStream
 from berylshift.request.crash_watch import QuarantinedError
@@ -307,7 +307,7 @@
             await self._judge(place.target, found.end)
         else:
             self.crash_watch.answered(place.target, sent_at)
-            self._parts.speeds.was_read(
+            self._parts.speeds.note_prefill(
                 self.service, place.tokens, place.ahead, self._now() - sent_at
             )
         self._source, self._source_uses = found.source, 0
@@ -357,7 +357,7 @@
             return None
         loads, instance = self._parts.loads, place.target.instance
         limit_exempt = self._choice.use(instance)
-        loads.sent(instance, place.tokens, self._urgency)
+        loads.note_sent(instance, place.tokens, self._urgency)
         reading = Reading(loads, instance, place.tokens, self._urgency)
         self._open_place = place
         sent_at = self._open_since = self._now()
@@ -368,7 +368,7 @@
             end = await self._sender.run(out, reading)
         finally:
             reading.done()
-            loads.ended(instance)
+            loads.note_ended(instance)
             self._count_run(sent_at, self._history.open or end.may_have_run)
         self._use_source(end)
         self._open_place = None
@@ -401,10 +401,10 @@
         if self._req.prompt is None or self._out.first_at is None:
             return
         speeds, waited = self._parts.speeds, self._out.first_at - sent_at
-        speeds.answered(self.service, self._now() - sent_at)
+        speeds.note_response(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.began(self.service, tokens, place.ahead, waited)
+            speeds.note_first_token(self.service, tokens, place.ahead, waited)
 
     def _use_source(self, end: SendEnd) -> None:
         """Keep the cache for another engine if this one did not take it.
@@ -417,12 +417,12 @@
         self._source_uses += 1
         loads, reader = self._parts.loads, self._source.engine.instance
         if end.may_have_run:
-            loads.succeeded(reader, self._now())
+            loads.note_success(reader, self._now())
             self._source = None
         elif self._source_uses < MOST_SOURCE_USES:
-            loads.failed(reader, MILD, self._now())
+            loads.note_failure(reader, MILD_FAILURE, self._now())
         else:
-            loads.failed(reader, SEVERE, self._now())
+            loads.note_failure(reader, SEVERE_FAILURE, self._now())
             self._drop_source()
 
     async def _judge(self, replica: Replica, end: SendEnd) -> None:
@@ -432,13 +432,13 @@
         """
         loads, now, instance = self._parts.loads, self._now(), replica.instance
         if end is SendEnd.DONE:
-            loads.succeeded(instance, now)
+            loads.note_success(instance, now)
         elif end in (SendEnd.FAILED, SendEnd.NOT_RUN):
-            loads.failed(instance, MILD, now)
+            loads.note_failure(instance, MILD_FAILURE, now)
         elif end is SendEnd.THROTTLED:
             logger.info("send throttled", extra={"instance": instance})
         else:
-            loads.failed(instance, SEVERE, now)
+            loads.note_failure(instance, SEVERE_FAILURE, now)
             self._parts.client.forget(instance)
         if end is SendEnd.BROKEN:
             await self.crash_watch.broke_off(replica)
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -12,7 +12,7 @@
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.recent_durations import RecentTimes
+from berylshift.process.targets.recent_durations import RecentDurations
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import Fingerprints
@@ -36,7 +36,7 @@
     shutdown: Shutdown
     budget: Callable[[ServiceName], ArrivalBudget]
     readings: ReadingChooser
-    times: RecentTimes
+    times: RecentDurations
     quarantine: Quarantine
     fingerprints: Fingerprints
     throttle: Throttle
--- a/berylshift/request/replica_choice.py
+++ b/berylshift/request/replica_choice.py
@@ -46,7 +46,7 @@
 
     def avoided(self, begun: bool) -> list[InstanceId]:
         """Return the replicas that the request may not go to."""
-        closed = self._parts.throttle.closed(self._now())
+        closed = self._parts.throttle.blocked(self._now())
         avoided = [*self._tried, *(name for name in closed if name != self._reserved)]
         return self._watch.avoided(self.pool(), avoided, begun)
 
@@ -68,7 +68,7 @@
     def check_room(self) -> None:
         """Raise ``NoRoomError`` if those that are left are throttled, all of them."""
         throttle, now = self._parts.throttle, self._now()
-        closed = set(throttle.closed(now)).difference(self._tried)
+        closed = set(throttle.blocked(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().answerers]
         waits = [
             throttle.retry_after(name, now) for name in answerers if name in closed
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_front.py
@@ -179,7 +179,9 @@
         stop = self._parts.shutdown
         if stop.has_time_for(allowance_of(route, req).seconds):
             return True
-        return stop.is_news and stop.has_time_for(self._parts.times.likely(route.name))
+        return stop.is_news and stop.has_time_for(
+            self._parts.times.upper_bound(route.name)
+        )
 
     async def _turn_away(
         self, req: RoutedRequest, responder: Responder, reason: str, wait: float
--- a/berylshift/request/single_send.py
+++ b/berylshift/request/single_send.py
@@ -57,7 +57,7 @@
 
     def done(self) -> None:
         """Note the tokens as read, once."""
-        self._loads.read(self._instance, self._tokens, self._urgency)
+        self._loads.note_prefilled(self._instance, self._tokens, self._urgency)
         self._tokens = 0
 
 
@@ -140,7 +140,7 @@
             answer.keep_seconds = head.keep_seconds
         if head.load is not None:
             now = self._parts.clock.monotonic()
-            self._parts.loads.heard(instance, head.load, now)
+            self._parts.loads.note_report(instance, head.load, now)
         if head.not_run:
             await limit.bound(answer.read(MOST_REFUSAL_BYTES))
             return SendEnd.NOT_RUN
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -33,7 +33,7 @@
         if self._replicas.is_draining(instance):
             raise ThrottledError(f"{instance} leaves")
         now = self._clock.monotonic()
-        wait = self._throttle.take(instance, now, limit_exempt)
+        wait = self._throttle.acquire(instance, now, limit_exempt)
         if wait > 0:
             raise ThrottledError(f"{instance} takes no request for {wait:.2f} s")
         return now
@@ -50,6 +50,6 @@
         if control is None:
             return
         now = self._clock.monotonic()
-        self._throttle.heard(instance, control, entered_at, now)
+        self._throttle.apply_flow_control(instance, control, entered_at, now)
         if control.draining and self._replicas.mark_draining(instance, now):
             logger.info("replica leaves", extra={"instance": instance})
--- a/berylshift/tests/multi_host_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -1,7 +1,7 @@
-"""Many hosts that tell each other of the store, on a virtual clock.
+"""Many hosts that exchange digests and read a store, on a virtual clock.
 
-The real loops run for each host; links between hosts, and between a host and the store,
-are cut, held up and healed by the test.
+The real loops run for each host; the test cuts, delays and restores the links between
+hosts, and those between a host and the store.
 """
 
 import random
@@ -21,12 +21,12 @@
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.gossip.digest_builder import DigestParts
-from berylshift.process.gossip.load_loop import LoadLoop, LoadParts
+from berylshift.process.gossip.digest_builder import DigestSources
+from berylshift.process.gossip.load_loop import LoadLoop, LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.settings import DirectorySettings
 from berylshift.stand_ins.fake_directory import FakeDirectory, FakeHostRows
 from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
@@ -34,14 +34,14 @@
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
 
-WAY_SECONDS = 0.002
-LARGEST_DATAGRAM = 1400
-TURNED_AWAY_SECONDS = 0.004
+LATENCY_SECONDS = 0.002
+MAX_DATAGRAM_BYTES = 1400
+REFUSAL_SECONDS = 0.004
 TIMEOUT_SECONDS = DirectorySettings().timeout
 
 
 class Path(Enum):
-    """How datagrams from one host to another fare."""
+    """What happens to datagrams from one host to another."""
 
     OPEN = "open"
     CUT = "cut"
@@ -49,18 +49,18 @@
 
 
 class Net:
-    """Datagrams by address; each goes through the real codec."""
+    """Delivers datagrams by address; each goes through the real codec."""
 
     def __init__(self, nursery: trio.Nursery):
-        """Carry datagrams by tasks of ``nursery``."""
+        """Deliver datagrams in tasks of ``nursery``."""
         self._nursery = nursery
         self.links: dict[str, NetLink] = {}
         self.paths: dict[str, Path] = {}
         self.sent = 0
-        self.heard: dict[str, int] = {}
+        self.received: dict[str, int] = {}
 
-    def carry(self, sender: str, address: str, data: bytes) -> None:
-        """Carry a datagram, if neither end is cut."""
+    def send(self, sender: str, address: str, data: bytes) -> None:
+        """Deliver a datagram, if neither end is cut."""
         self.sent += 1
         ends = (self.paths.get(sender), self.paths.get(address))
         if Path.CUT in ends or address not in self.links:
@@ -68,15 +68,15 @@
         self._nursery.start_soon(self._deliver, address, data)
 
     async def _deliver(self, address: str, data: bytes) -> None:
-        await trio.sleep(WAY_SECONDS)
+        await trio.sleep(LATENCY_SECONDS)
         while self.paths.get(address) is Path.HELD:
             await trio.sleep(0.05)
-        self.heard[address] = self.heard.get(address, 0) + 1
-        self.links[address].arrive(data)
+        self.received[address] = self.received.get(address, 0) + 1
+        self.links[address].deliver(data)
 
 
 class NetLink:
-    """One host's end."""
+    """One host's link to the others."""
 
     def __init__(self, net: Net, address: str, key: str):
         """Listen on ``address``."""
@@ -88,17 +88,17 @@
 
     async def send_to_all(self, addresses: list[str], message: LoadDigest) -> None:
         """Send a digest to each address."""
-        data = self._codec.encode(message, LARGEST_DATAGRAM)
+        data = self._codec.encode(message, MAX_DATAGRAM_BYTES)
         for address in addresses:
-            self._net.carry(self._address, address, data)
+            self._net.send(self._address, address, data)
 
     async def receive(self, take) -> None:
-        """Hear until cancelled."""
+        """Receive until cancelled."""
         self._take = take
         await trio.sleep_forever()
 
-    def arrive(self, data: bytes) -> None:
-        """Take a datagram."""
+    def deliver(self, data: bytes) -> None:
+        """Decode a datagram and pass it on."""
         if self._take is None:
             return
         try:
@@ -109,73 +109,73 @@
 
 
 class StoreView:
-    """The store as one host meets it."""
+    """The store as one host sees it."""
 
     def __init__(self, store: FakeDirectory):
-        """See ``store``; ``turned_away``, ``silent`` and ``lags`` are its faults.
+        """View ``store``; ``refused``, ``hangs`` and ``lags`` inject faults.
 
-        A connection that is ``silent`` takes a call and never answers; the next call
-        goes out on a new one.
+        A connection that ``hangs`` accepts a call and never answers; the next call uses
+        a new connection.
         """
         self._store = store
-        self.silent = False
-        self.turned_away = False
+        self.hangs = False
+        self.refused = False
         self.lags = False
         self.calls = 0
 
-    async def _meet(self, wait: float = 0.0) -> None:
+    async def _call(self, wait: float = 0.0) -> None:
         self.calls += 1
-        if self.silent:
-            self.silent = False
+        if self.hangs:
+            self.hangs = False
             await trio.sleep(wait + TIMEOUT_SECONDS)
-            raise AnswerLostError("silent")
-        if self.turned_away:
-            await trio.sleep(TURNED_AWAY_SECONDS)
-            raise StoreUnavailableError("turned away")
+            raise AnswerLostError("connection hangs")
+        if self.refused:
+            await trio.sleep(REFUSAL_SECONDS)
+            raise StoreUnavailableError("refused")
 
     async def read_routes(self) -> RouteSnapshot:
         """Return the routes."""
-        await self._meet()
+        await self._call()
         return await self._store.read_routes()
 
     async def await_routes(self, after, seconds) -> RouteSnapshot:
         """Return newer routes."""
-        await self._meet(seconds)
+        await self._call(seconds)
         if self.lags:
             return RouteSnapshot(None, after, self._store.now_ms())
         return await self._store.await_routes(after, seconds)
 
     async def read_replicas(self) -> ReplicaChanges:
         """Return all replicas."""
-        await self._meet()
+        await self._call()
         return await self._store.read_replicas()
 
     async def await_replicas(self, after, seconds) -> ReplicaChanges:
         """Return what changed."""
-        await self._meet(seconds)
+        await self._call(seconds)
         return await self._store.await_replicas(after, seconds)
 
 
 @dataclass
-class GatheredHost:
-    """One host: the real loops over the fakes."""
+class WorldHost:
+    """One host: the real loops on top of the fakes."""
 
     name: str
     domain: str
     address: str
-    world: "GatheredWorld"
-    held: list[int] = field(default_factory=list)
+    world: "MultiHostWorld"
+    versions: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Wire the real parts."""
+        """Wire up the real components."""
         world = self.world
         rng = random.Random(self.name)
         self.view = StoreView(world.store)
-        self.routes = RouteHolder(lambda table: self.held.append(table.version))
+        self.routes = RouteHolder(lambda table: self.versions.append(table.version))
         self.replicas = ReplicaSet()
-        self.loads = TargetLoads(lambda: self.tells.work_came())
+        self.loads = TargetLoads(lambda: self.load_loop.notify_work())
         self.peers = PeerLoads(self.name, self.domain)
-        self.warm = WarmParts()
+        self.prefix_cache = PrefixCacheIndex()
         self.quarantine = Quarantine(1.2)
         self.throttle = no_limits(self.replicas)
         self.watch = StoreWatch(world.in_force, trio.current_time)
@@ -187,16 +187,16 @@
             rng,
             self.watch,
             lambda: 0.05,
-            lambda: self.tells.known_hosts or 1,
+            lambda: self.load_loop.known_hosts or 1,
         )
-        self.tells = LoadLoop(
-            LoadParts(
-                digest=DigestParts(
+        self.load_loop = LoadLoop(
+            LoadLoopDependencies(
+                sources=DigestSources(
                     host=self.name,
                     domain=self.domain,
                     loads=self.loads,
                     peers=self.peers,
-                    warm=self.warm,
+                    prefix_cache=self.prefix_cache,
                     phases=ExpectedPhases(),
                     watch=self.watch,
                     quarantine=self.quarantine,
@@ -209,7 +209,7 @@
                 clock=LoopClock(),
                 rng=rng,
                 byte_budget=world.byte_budget,
-                on_news=self.directory.heard_news,
+                on_store_change=self.directory.heard_news,
                 eras=self.watch.eras,
             )
         )
@@ -219,7 +219,7 @@
         with started:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.directory.run)
-                nursery.start_soon(self.tells.run)
+                nursery.start_soon(self.load_loop.run)
 
     @property
     def version(self) -> int:
@@ -232,8 +232,8 @@
         return {rep.instance for rep in self.replicas.pool(PLAIN).replicas}
 
 
-class GatheredWorld:
-    """Hosts, their net and their store."""
+class MultiHostWorld:
+    """Hosts, their network and their store."""
 
     def __init__(self, nursery: trio.Nursery, in_force: float, byte_budget: int):
         """Start with routes of version 1 and no hosts."""
@@ -243,38 +243,36 @@
         self.net = Net(nursery)
         self.store = FakeDirectory()
         self.rows = FakeHostRows()
-        self.hosts: list[GatheredHost] = []
+        self.hosts: list[WorldHost] = []
         self.scopes: dict[str, trio.CancelScope] = {}
         self.store.put_routes(routes(1))
         self.put_version = 1
 
-    def start(self, number: int, domains: int) -> GatheredHost:
-        """Start a host, spread over the domains."""
+    def start(self, number: int, domains: int) -> WorldHost:
+        """Start a host; numbers are spread over the domains."""
         name = f"host-{number}"
-        host = GatheredHost(
-            name, f"domain-{number % domains}", f"10.0.0.{number}", self
-        )
+        host = WorldHost(name, f"domain-{number % domains}", f"10.0.0.{number}", self)
         self.hosts.append(host)
         self._run(host)
         return host
 
-    def _run(self, host: GatheredHost) -> None:
+    def _run(self, host: WorldHost) -> None:
         scope = self.scopes[host.name] = trio.CancelScope()
         self.nursery.start_soon(host.run, scope)
 
-    def kill(self, host: GatheredHost) -> None:
+    def kill(self, host: WorldHost) -> None:
         """End a host's process at once."""
         self.scopes[host.name].cancel()
         self.net.links.pop(host.address, None)
         self.hosts.remove(host)
 
-    def restart(self, host: GatheredHost) -> GatheredHost:
-        """Start a host again under its name; it knows nothing of before."""
+    def restart(self, host: WorldHost) -> WorldHost:
+        """Start a host again under its name, with no state."""
         self.kill(host)
-        again = GatheredHost(host.name, host.domain, host.address, self)
-        self.hosts.append(again)
-        self._run(again)
-        return again
+        restarted = WorldHost(host.name, host.domain, host.address, self)
+        self.hosts.append(restarted)
+        self._run(restarted)
+        return restarted
 
     def put_routes(self) -> int:
         """Put the next version in force; return it."""
@@ -291,13 +289,13 @@
         )
 
     def calls(self) -> int:
-        """Return the calls to the store's feeds so far."""
+        """Return the number of calls to the store's feeds so far."""
         return sum(host.view.calls for host in self.hosts)
 
-    def collectors(self) -> list[GatheredHost]:
-        """Return the hosts that collect for their domain."""
-        return [host for host in self.hosts if host.peers.collects]
+    def collectors(self) -> list[WorldHost]:
+        """Return the hosts that are the collector of their domain."""
+        return [host for host in self.hosts if host.peers.is_collector]
 
-    def followers(self) -> list[GatheredHost]:
+    def feed_readers(self) -> list[WorldHost]:
         """Return the hosts that read the feeds for all."""
         return [host for host in self.hosts if host.watch.follows]
--- a/berylshift/tests/test_entry_backoff.py
+++ b/berylshift/tests/test_entry_backoff.py
@@ -4,7 +4,7 @@
 
 from berylshift.stand_ins.entry_replica import EntryReplica
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_load import LimitPlay
+from berylshift.tests.limit_load import LimitLoad
 
 EVEN = (1, 1, 1)
 RETRY_AFTER_SECONDS = 3.0
@@ -34,14 +34,14 @@
 
         async def play(world):
             replicas = list(world.replicas.values())[refusing]
-            callers = LimitPlay(world, EVEN)
-            await callers.callers(path, 20, 2)
+            callers = LimitLoad(world, EVEN)
+            await callers.run(path, 20, 2)
             for replica in replicas:
                 replica.retry_after = RETRY_AFTER_SECONDS
-            await callers.callers(path, 20, 7)
+            await callers.run(path, 20, 7)
             for replica in replicas:
                 replica.retry_after = None
-            await callers.callers(path, 20, 4)
+            await callers.run(path, 20, 4)
             return replicas, callers
 
         return run_entry(play, hosts=3, **world)
@@ -61,7 +61,7 @@
         self.assertGreater(
             max(reply.again for reply in refused), RETRY_AFTER_SECONDS - 1
         )
-        self.assertLess(callers.longest_refusal, 0.05)
+        self.assertLess(callers.longest_refusal_seconds, 0.05)
 
     def test_an_engine_is_used_again_after_its_retry_after(self):
         replicas, callers = self.play("/brief/", slice(-1, None), engines="ppddd")
--- a/berylshift/tests/test_entry_leaving.py
+++ b/berylshift/tests/test_entry_leaving.py
@@ -4,7 +4,7 @@
 
 from berylshift.stand_ins.entry_replica import EntryReplica
 from berylshift.tests.entry_world import ENGINES, run_entry
-from berylshift.tests.limit_load import LimitPlay
+from berylshift.tests.limit_load import LimitLoad
 
 EVEN = (1, 1, 1)
 # The platform's bound on requests to a replica that has said that it leaves.
@@ -23,15 +23,15 @@
 class SaidInAnswersTest(unittest.TestCase):
     """The store is away, so no entry tells of the leaving."""
 
-    def play(self, path: str, number: int, **world) -> tuple[EntryReplica, LimitPlay]:
+    def play(self, path: str, number: int, **world) -> tuple[EntryReplica, LimitLoad]:
         """Have one replica leave among callers; its entry goes on saying ready."""
 
         async def play(world):
             replica = list(world.replicas.values())[number]
-            callers = LimitPlay(world, EVEN)
-            await callers.callers(path, 20, 2)
+            callers = LimitLoad(world, EVEN)
+            await callers.run(path, 20, 2)
             replica.says_leaving = True
-            await callers.callers(path, 20, 6)
+            await callers.run(path, 20, 6)
             return replica, callers
 
         return run_entry(play, hosts=3, **world)
@@ -65,11 +65,11 @@
         async def play(world):
             replica = world.replicas["10.0.0.1:80"]
             replica.says_leaving = True
-            callers = LimitPlay(world, (1,))
-            await callers.callers("/look/", 20, 1)
+            callers = LimitLoad(world, (1,))
+            await callers.run("/look/", 20, 1)
             replica.says_leaving = False
             world.list_replica(replica, "booking")
-            await callers.callers("/look/", 20, 5)
+            await callers.run("/look/", 20, 5)
             return replica
 
         self.assertEqual(calls_after(run_entry(play, plain=2)), 0)
@@ -78,13 +78,13 @@
         async def play(world):
             replica = world.add_replica("engine-9", ENGINES, "decode")
             replica.says_leaving = True
-            callers = LimitPlay(world, (1,))
-            await callers.callers("/note/", 20, 1)
+            callers = LimitLoad(world, (1,))
+            await callers.run("/note/", 20, 1)
             replica.says_leaving = False
             replica.start_again(5)
             world.list_replica(replica, ENGINES)
             before = len(replica.calls)
-            await callers.callers("/note/", 20, 2)
+            await callers.run("/note/", 20, 2)
             return len(replica.calls) - before
 
         self.assertGreater(run_entry(play, plain=0, engines="pd"), 5)
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -1,4 +1,4 @@
-"""Replicas that name a limit in their answers: what all hosts send them together."""
+"""Replicas that state a limit in their responses: what all hosts send together."""
 
 import unittest
 
@@ -6,52 +6,52 @@
 
 from berylshift.messages.replicas import EnginePhase
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_load import LimitPlay, most_allowed, most_from_told
+from berylshift.tests.limit_load import LimitLoad, max_allowed, max_from_informed
 
 UNEVEN = (8, 8, 4, 2, 2, 1, 1, 1, 1)
 
 
-class KeptTest(unittest.TestCase):
-    """Some replicas name a limit, others have room."""
+class SomeLimitedTest(unittest.TestCase):
+    """Some replicas state a limit, others do not."""
 
     def test_all_hosts_together_keep_a_replicas_limit(self):
-        """Guards against hosts that each go by load alone."""
+        """Guards against hosts that place requests by load alone."""
 
         async def play(world):
             limited = world.replicas["10.0.0.1:80"]
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers("/look/", 30, 2)
+            load = LimitLoad(world, UNEVEN)
+            await load.run("/look/", 30, 2)
             limited.rate_limit = 2.6
-            await callers.callers("/look/", 30, 14)
-            return limited, callers
+            await load.run("/look/", 30, 14)
+            return limited, load
 
-        limited, callers = run_entry(play, hosts=9, plain=3)
-        self.assertLessEqual(most_from_told(limited), most_allowed(2.6))
-        self.assertEqual(callers.served, len(callers.replies))
+        limited, load = run_entry(play, hosts=9, plain=3)
+        self.assertLessEqual(max_from_informed(limited), max_allowed(2.6))
+        self.assertEqual(load.served, len(load.replies))
 
     def test_streams_keep_the_limits_of_two_engines_of_three(self):
-        """Guards against readings, streams and freed caches that count apart."""
+        """Guards against separate counts of prefills, streams and cache releases."""
 
         async def play(world):
             engines = list(world.replicas.values())[-3:]
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers("/note/", 25, 2)
+            load = LimitLoad(world, UNEVEN)
+            await load.run("/note/", 25, 2)
             for engine in engines[:2]:
                 engine.rate_limit = 2.6
-            await callers.callers("/note/", 25, 14)
-            return engines, callers
+            await load.run("/note/", 25, 14)
+            return engines, load
 
-        engines, callers = run_entry(play, hosts=9, engines="ppddd")
+        engines, load = run_entry(play, hosts=9, engines="ppddd")
         for engine in engines[:2]:
-            self.assertLessEqual(most_from_told(engine), most_allowed(2.6))
-        self.assertEqual(callers.served, len(callers.replies))
+            self.assertLessEqual(max_from_informed(engine), max_allowed(2.6))
+        self.assertEqual(load.served, len(load.replies))
 
 
-class NoRoomTest(unittest.TestCase):
-    """All replicas name a limit."""
+class AllLimitedTest(unittest.TestCase):
+    """All replicas state a limit."""
 
-    def play(self, path: str, **world):
-        """Have callers come for 12 s where each replica takes 2.6 requests a second."""
+    def run_limited(self, path: str, **world):
+        """Send requests for 12 s to replicas with limits of 2.6 requests a second."""
 
         async def play(world):
             replicas = [
@@ -61,69 +61,69 @@
             ]
             for replica in replicas:
                 replica.rate_limit = 2.6
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers(path, 25, 12)
-            return replicas, callers
+            load = LimitLoad(world, UNEVEN)
+            await load.run(path, 25, 12)
+            return replicas, load
 
         return run_entry(play, hosts=9, **world)
 
-    def test_callers_beyond_the_limits_are_refused_at_once(self):
-        """Guards against callers that wait for a turn until their time is over."""
-        replicas, callers = self.play("/look/", plain=3)
+    def test_requests_beyond_the_limits_are_refused_at_once(self):
+        """Guards against requests that wait for a send slot until their deadline."""
+        replicas, load = self.run_limited("/look/", plain=3)
         for replica in replicas:
-            self.assertLessEqual(most_from_told(replica), most_allowed(2.6))
-        refused = [reply for reply in callers.replies if reply.status != 200]
+            self.assertLessEqual(max_from_informed(replica), max_allowed(2.6))
+        refused = [reply for reply in load.replies if reply.status != 200]
         self.assertEqual({reply.status for reply in refused}, {503})
         self.assertTrue(all(0 < reply.again < 1.0 for reply in refused))
-        self.assertLess(callers.longest_refusal, 0.05)
+        self.assertLess(load.longest_refusal_seconds, 0.05)
 
-    def test_what_the_replicas_take_is_served(self):
+    def test_requests_within_the_limits_are_served(self):
         """Guards against limits that are kept by sending next to nothing."""
-        _, callers = self.play("/look/", plain=3)
-        self.assertGreater(callers.served, 0.6 * 3 * 2.6 * 12)
+        _, load = self.run_limited("/look/", plain=3)
+        self.assertGreater(load.served, 0.6 * 3 * 2.6 * 12)
 
-    def test_no_prompt_is_read_that_no_engine_would_answer(self):
-        """Guards against readings in vain before a request is refused."""
-        replicas, callers = self.play("/note/", plain=0, engines="ppddd")
+    def test_no_prefill_without_a_decode_engine(self):
+        """Guards against wasted prefills before a request is refused."""
+        replicas, load = self.run_limited("/note/", plain=0, engines="ppddd")
         for replica in replicas:
-            self.assertLessEqual(most_from_told(replica), most_allowed(2.6))
-        reads = sum(len(rep.reads) for rep in callers.world.replicas.values())
-        self.assertLessEqual(reads, callers.served)
+            self.assertLessEqual(max_from_informed(replica), max_allowed(2.6))
+        prefill_count = sum(len(rep.reads) for rep in load.world.replicas.values())
+        self.assertLessEqual(prefill_count, load.served)
 
 
 class LiftedTest(unittest.TestCase):
-    """A limit holds for as long as the replica names it."""
+    """A limit is in force for as long as the replica states it."""
 
-    def test_a_replica_that_names_none_any_more_gets_its_share_again(self):
+    def test_replica_with_a_lifted_limit_gets_its_share_again(self):
         async def play(world):
             limited = world.replicas["10.0.0.1:80"]
             limited.rate_limit = 2.6
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers("/look/", 30, 10)
+            load = LimitLoad(world, UNEVEN)
+            await load.run("/look/", 30, 10)
             limited.rate_limit = None
-            await callers.callers("/look/", 30, 20)
+            await load.run("/look/", 30, 20)
             before = len(limited.calls)
-            await callers.callers("/look/", 30, 5)
+            await load.run("/look/", 30, 5)
             return len(limited.calls) - before
 
         self.assertGreater(run_entry(play, hosts=9, plain=3), 5 * 30 / 3 / 2)
 
-    def test_a_reading_engine_keeps_its_limit_too(self):
-        """Guards against a way to replicas that goes round the limit."""
+    def test_limit_of_a_prefill_engine_is_kept(self):
+        """Guards against a code path to replicas that bypasses the limit."""
 
         async def play(world):
-            reader = list(world.replicas.values())[-4]
-            reader.rate_limit = 2.6
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers("/note/", 25, 12)
-            return reader, callers
+            prefill_engine = list(world.replicas.values())[-4]
+            prefill_engine.rate_limit = 2.6
+            load = LimitLoad(world, UNEVEN)
+            await load.run("/note/", 25, 12)
+            return prefill_engine, load
 
-        reader, callers = run_entry(play, hosts=9, engines="ppdd")
-        self.assertLessEqual(most_from_told(reader), most_allowed(2.6))
-        self.assertEqual(callers.served, len(callers.replies))
+        prefill_engine, load = run_entry(play, hosts=9, engines="ppdd")
+        self.assertLessEqual(max_from_informed(prefill_engine), max_allowed(2.6))
+        self.assertEqual(load.served, len(load.replies))
 
-    def test_another_replicas_answer_sets_no_limit(self):
-        """Guards against addresses that other replicas have taken over."""
+    def test_response_of_another_replica_sets_no_limit(self):
+        """Guards against addresses that another replica has taken over."""
 
         async def play(world):
             replica = world.replicas["10.0.0.1:80"]
@@ -135,31 +135,31 @@
         self.assertEqual(run_entry(play, plain=1), 0)
 
 
-class OtherEnginesTest(unittest.TestCase):
-    """All engines that answer name a limit, those that read have room."""
+class PrefillEnginesTest(unittest.TestCase):
+    """All decode engines state a limit, the prefill engines do not."""
 
-    def test_reading_engines_answer_in_their_place(self):
-        """Guards against callers refused for as long as the answering engines need."""
+    def test_prefill_engines_decode_in_their_place(self):
+        """Guards against refusals while the prefill engines could decode."""
 
         async def play(world):
-            callers = LimitPlay(world, UNEVEN)
-            await callers.callers("/note/", 25, 2)
+            load = LimitLoad(world, UNEVEN)
+            await load.run("/note/", 25, 2)
             for engine in list(world.replicas.values())[-3:]:
                 engine.rate_limit = 2.6
-            await callers.callers("/note/", 25, 7)
-            callers.replies.clear()
-            await callers.callers("/note/", 25, 5)
-            return callers
+            await load.run("/note/", 25, 7)
+            load.replies.clear()
+            await load.run("/note/", 25, 5)
+            return load
 
-        callers = run_entry(play, hosts=9, engines="ppppppddd", reading_share=0.65)
-        self.assertGreater(callers.served, 0.9 * len(callers.replies))
+        load = run_entry(play, hosts=9, engines="ppppppddd", reading_share=0.65)
+        self.assertGreater(load.served, 0.9 * len(load.replies))
 
 
 class SharingHostsTest(unittest.TestCase):
-    """Which hosts a host takes to share the limits."""
+    """Which hosts a host counts as sharing the limits."""
 
-    def sharing(self, cut: int) -> tuple[int, int]:
-        """Cut hosts off for 20 s; return how many the first and the last one count."""
+    def count_sharing(self, cut: int) -> tuple[int, int]:
+        """Partition hosts for 20 s; return the counts of the first and the last one."""
 
         async def play(world):
             await trio.sleep(3)
@@ -172,9 +172,9 @@
 
         return run_entry(play, hosts=5)
 
-    def test_a_host_that_is_cut_off_counts_the_others(self):
-        """Guards against hosts that each take themselves for the only one."""
-        self.assertEqual(self.sharing(cut=1), [5, 4])
+    def test_partitioned_host_counts_the_others(self):
+        """Guards against partitioned hosts that each use the whole limit."""
+        self.assertEqual(self.count_sharing(cut=1), [5, 4])
 
-    def test_all_count_each_other_where_most_are_cut_off(self):
-        self.assertEqual(self.sharing(cut=4), [5, 5])
+    def test_hosts_count_each_other_when_most_are_partitioned(self):
+        self.assertEqual(self.count_sharing(cut=4), [5, 5])
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -7,7 +7,7 @@
 from berylshift.ids import InstanceId, PartId
 from berylshift.messages.engine_control import OrderAnswer
 from berylshift.messages.replicas import EnginePhase
-from berylshift.process.targets.target_load import SEVERE
+from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
 
 FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
@@ -30,8 +30,8 @@
             await world.ask("/note/x", headers=prompt_headers())
             former = InstanceId(f"engine-1@{FIRST}")
             now = host.ports.clock.monotonic()
-            kept_before = host.warm.keeps(PartId("a1"), former, ROOM)
-            host.loads.failed(former, SEVERE, now)
+            kept_before = host.warm.is_cached(PartId("a1"), former, ROOM)
+            host.loads.note_failure(former, SEVERE_FAILURE, now)
             host.phases.ordered(former, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND)
             reply = await world.ask("/note/x", "r2", headers=prompt_headers(part="b2"))
@@ -42,7 +42,7 @@
         now = 0.0
         self.assertTrue(kept_before)
         self.assertEqual(reader.instance, f"engine-1@{SECOND}")
-        self.assertFalse(host.warm.keeps(PartId("a1"), reader.instance, ROOM))
+        self.assertFalse(host.warm.is_cached(PartId("a1"), reader.instance, ROOM))
         self.assertEqual(host.loads.of(reader.instance).failures(now), 0.0)
         self.assertFalse(host.phases.is_settling(reader.instance, now))
         self.assertEqual((reply.status, reply.whole), (200, True))
--- a/berylshift/tests/test_gossip_protocol.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -1,18 +1,18 @@
-"""What a host tells, and whom, by how many hosts there are."""
+"""Which digests a host sends to whom, depending on the number of hosts."""
 
 import unittest
 
 from berylshift.messages.load_digest import BlockPrefill, LoadDigest, Scope, Urgency
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.gossip.digest_builder import DigestParts
-from berylshift.process.gossip.election import rank
+from berylshift.process.gossip.digest_builder import DigestSources
+from berylshift.process.gossip.election import order_key
 from berylshift.process.gossip.host_list import HostList
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.gossip.protocol import SUM_SECONDS, Role, Teller
+from berylshift.process.gossip.protocol import AGGREGATE_SECONDS, GossipProtocol, Role
 from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.store.host_rows import HostRecord
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
@@ -20,14 +20,14 @@
 BYTE_BUDGET = 16_384
 DOMAINS = 3
 FEW, MANY = 9, 60
-# The last one in the order of all: whatever others are heard, they come before it.
-ME = max((f"host-{number}" for number in range(MANY)), key=rank)
+# The last host in the election order: any other holder comes before it.
+ME = max((f"host-{number}" for number in range(MANY)), key=order_key)
 
 
-class TellerTest(unittest.TestCase):
+class GossipProtocolTest(unittest.TestCase):
     """One host of few or of many, without a network or a clock."""
 
-    def make(self, count: int, me: str = ME) -> Teller:
+    def make_protocol(self, count: int, me: str = ME) -> GossipProtocol:
         names = [f"host-{number}" for number in range(count)]
         records = [
             HostRecord(name, f"address of {name}", f"domain-{at % DOMAINS}")
@@ -38,96 +38,98 @@
         self.hosts.replace(records, 0.0)
         self.loads = TargetLoads()
         self.roles: list[tuple[Role, bool]] = []
-        parts = DigestParts(
+        parts = DigestSources(
             me,
             self.domain,
             self.loads,
             PeerLoads(me, self.domain),
-            WarmParts(),
+            PrefixCacheIndex(),
             ExpectedPhases(),
             StoreWatch(4.0, lambda: 0.0),
             Quarantine(1.2),
             no_usage(),
             no_limits(),
         )
-        return Teller(
+        return GossipProtocol(
             parts,
             self.hosts,
             BYTE_BUDGET,
             lambda role, holds: self.roles.append((role, holds)),
         )
 
-    def hear_sum(self, teller: Teller, sender: str, domain: str, now: float) -> None:
+    def receive_aggregate(
+        self, protocol: GossipProtocol, sender: str, domain: str, now: float
+    ) -> None:
         digest = LoadDigest(sender, 1, (), scope=Scope.FLEET, domain=domain)
-        teller.hear(digest, now)
+        protocol.receive(digest, now)
 
-    def neighbour(self) -> str:
-        return self.hosts.neighbours()[0].host
+    def domain_peer(self) -> str:
+        return self.hosts.domain_peers()[0].host
 
-    def test_few_hosts_tell_all_others(self):
-        teller = self.make(FEW)
-        self.loads.sent("engine-1", 1600, Urgency.USUAL)
-        found = teller.due(0.0)
-        self.assertFalse(teller.is_gathered)
+    def test_few_hosts_send_to_all_others(self):
+        protocol = self.make_protocol(FEW)
+        self.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+        found = protocol.due(0.0)
+        self.assertFalse(protocol.uses_collectors)
         self.assertEqual(len(found[0].addresses), len(self.hosts))
 
-    def test_one_of_many_tells_its_collector_alone(self):
-        teller = self.make(MANY)
-        self.assertTrue(teller.is_gathered)
-        teller.due(0.0)
-        self.hear_sum(teller, self.neighbour(), self.domain, 0.5)
-        self.loads.sent("engine-1", 1600, Urgency.USUAL)
-        found = teller.due(0.6)
-        wanted = [f"address of {self.neighbour()}"]
+    def test_one_of_many_hosts_sends_to_its_collector_only(self):
+        protocol = self.make_protocol(MANY)
+        self.assertTrue(protocol.uses_collectors)
+        protocol.due(0.0)
+        self.receive_aggregate(protocol, self.domain_peer(), self.domain, 0.5)
+        self.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+        found = protocol.due(0.6)
+        wanted = [f"address of {self.domain_peer()}"]
         self.assertEqual([each.addresses for each in found], [wanted])
         self.assertEqual(found[0].digest.scope, Scope.HOST)
 
-    def test_a_host_that_starts_greets_its_domain(self):
-        """No collector knows it yet: the first word goes to all that may be one."""
-        teller = self.make(MANY)
-        found = teller.due(0.0)
-        self.assertEqual(len(found[0].addresses), len(self.hosts.neighbours()))
-
-    def test_where_nobody_collects_a_host_does_after_a_while(self):
-        teller = self.make(MANY)
-        teller.due(0.0)
-        domain_sum, fleet_sum = teller.due(10.0)
-        self.assertEqual(domain_sum.digest.scope, Scope.DOMAIN)
-        self.assertEqual(fleet_sum.digest.scope, Scope.FLEET)
-        self.assertEqual(len(fleet_sum.addresses), len(self.hosts.neighbours()))
+    def test_new_host_announces_itself_to_its_domain(self):
+        """No collector knows it yet: its first digest goes to all that may be one."""
+        protocol = self.make_protocol(MANY)
+        found = protocol.due(0.0)
+        self.assertEqual(len(found[0].addresses), len(self.hosts.domain_peers()))
+
+    def test_host_becomes_collector_if_there_is_none(self):
+        protocol = self.make_protocol(MANY)
+        protocol.due(0.0)
+        domain_outgoing, fleet_outgoing = protocol.due(10.0)
+        self.assertEqual(domain_outgoing.digest.scope, Scope.DOMAIN)
+        self.assertEqual(fleet_outgoing.digest.scope, Scope.FLEET)
+        self.assertEqual(len(fleet_outgoing.addresses), len(self.hosts.domain_peers()))
         self.assertIn((Role.COLLECTOR, True), self.roles)
-        self.assertEqual(teller.interval, SUM_SECONDS)
+        self.assertEqual(protocol.interval_seconds, AGGREGATE_SECONDS)
 
-    def test_a_collector_finds_those_of_domains_that_it_has_not_heard(self):
-        """It begins knowing none; the first in the order may be long gone."""
-        teller = self.make(MANY)
-        teller.due(0.0)
-        told: set[str] = set()
+    def test_collector_probes_all_hosts_of_domains_without_a_known_collector(self):
+        """The first host in the election order may be long gone."""
+        protocol = self.make_protocol(MANY)
+        protocol.due(0.0)
+        reached: set[str] = set()
         for step in range(MANY):
-            told.update(teller.due(10.0 + step * SUM_SECONDS)[0].addresses)
+            reached.update(protocol.due(10.0 + step * AGGREGATE_SECONDS)[0].addresses)
         others = self.hosts.other_domains().values()
-        self.assertEqual(told, {rec.address for recs in others for rec in recs})
+        self.assertEqual(reached, {rec.address for recs in others for rec in recs})
 
-    def test_a_collector_passes_on_what_its_hosts_read_once(self):
-        teller = self.make(MANY)
-        teller.due(0.0)
-        teller.due(10.0)
-        read = BlockPrefill(1, 2, 4000)
+    def test_collector_forwards_each_prefill_once(self):
+        protocol = self.make_protocol(MANY)
+        protocol.due(0.0)
+        protocol.due(10.0)
+        prefill = BlockPrefill(1, 2, 4000)
         for sequence in (1, 2):
             digest = LoadDigest(
-                self.neighbour(), sequence, (), (read,), domain=self.domain
+                self.domain_peer(), sequence, (), (prefill,), domain=self.domain
             )
-            teller.hear(digest, 10.1)
-        first, again = teller.due(10.2), teller.due(10.4)
-        self.assertEqual([each.digest.prefills for each in first], [(read,)] * 2)
+            protocol.receive(digest, 10.1)
+        first, again = protocol.due(10.2), protocol.due(10.4)
+        self.assertEqual([each.digest.prefills for each in first], [(prefill,)] * 2)
         self.assertEqual([each.digest.prefills for each in again], [()] * 2)
 
-    def test_idle_until_work_comes(self):
-        teller = self.make(MANY)
-        teller.due(0.0)
-        self.assertTrue(teller.is_idle(0.1))
-        self.loads.sent("engine-1", 0, Urgency.USUAL)
-        self.assertFalse(teller.is_idle(0.2))
+    def test_host_is_idle_until_work_comes(self):
+        protocol = self.make_protocol(MANY)
+        protocol.due(0.0)
+        self.assertTrue(protocol.is_idle(0.1))
+        self.loads.note_sent("engine-1", 0, Urgency.USUAL)
+        self.assertFalse(protocol.is_idle(0.2))
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -6,7 +6,7 @@
 from berylshift.messages.fingerprint import joined
 from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import LAPSE_HEARTBEATS
-from berylshift.process.gossip.protocol import TELL_SECONDS
+from berylshift.process.gossip.protocol import SEND_SECONDS
 from berylshift.process.quarantine.crash_news import (
     AGAIN_SECONDS,
     MOST_CRASHES_TOLD,
@@ -217,8 +217,8 @@
         bad = [joined(number, 1) for number in range(40)]
         for request in bad:
             self.crash(request, 1)
-        for step in range(int(TOLD_SECONDS / TELL_SECONDS)):
-            now = step * TELL_SECONDS
+        for step in range(int(TOLD_SECONDS / SEND_SECONDS)):
+            now = step * SEND_SECONDS
             self.quarantine.has_news(now)
             self.tell(now)
         self.assertEqual({self.other.crashes(request) for request in bad}, {1})
