--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -7,7 +7,7 @@
 
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import joined
-from berylshift.tests.multi_host_world import GatheredHost, GatheredWorld, Path
+from berylshift.tests.multi_host_world import MultiHostWorld, Path, WorldHost
 from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
 
 BAD = joined(7, 1)
@@ -25,20 +25,20 @@
 SEEDS = range(8)
 
 
-def holds(host: GatheredHost) -> bool:
+def holds(host: WorldHost) -> bool:
     """Return whether a host holds the request back."""
     return host.quarantine.wait(BAD, trio.current_time()) > 0
 
 
-def crash(host: GatheredHost, number: int) -> None:
+def crash(host: WorldHost, number: int) -> None:
     """Have a host see a replica end under the request."""
     now = trio.current_time()
     host.quarantine.broke_off(BAD, InstanceId(f"engine-{number}"), now)
 
 
-def two_ends(world: GatheredWorld) -> None:
+def two_ends(world: MultiHostWorld) -> None:
     """Have hosts of different domains, none of which collects, see one end each."""
-    others = [host for host in world.hosts if not host.peers.collects]
+    others = [host for host in world.hosts if not host.peers.is_collector]
     first = others[0]
     second = next(host for host in others if host.domain != first.domain)
     crash(first, 1)
@@ -96,7 +96,7 @@
 class TroubledPlay:
     """A bad caller among hosts that are cut off, stand still and start again."""
 
-    def __init__(self, world: GatheredWorld, seed: int):
+    def __init__(self, world: MultiHostWorld, seed: int):
         """Play in ``world``."""
         self.world = world
         self.rng = random.Random(seed)
@@ -113,7 +113,7 @@
                     await trio.sleep(TRY_SECONDS * self.rng.random() * 2)
                     self._try(self.rng.choice(self.world.hosts))
 
-    def _try(self, host: GatheredHost) -> None:
+    def _try(self, host: WorldHost) -> None:
         if holds(host):
             return
         now = trio.current_time()
@@ -129,7 +129,7 @@
                 await trio.sleep(self.rng.uniform(0.2, 1.5))
                 nursery.start_soon(self._trouble_one, self.rng.choice(self.world.hosts))
 
-    async def _trouble_one(self, host: GatheredHost) -> None:
+    async def _trouble_one(self, host: WorldHost) -> None:
         lasts = self.rng.uniform(0.3, 4.0)
         until = trio.current_time() + lasts + STABLE_SECONDS
         self.troubled_until[host.name] = max(
@@ -144,7 +144,7 @@
             case 2:
                 await self._on_path(host, Path.HELD, lasts)
 
-    async def _on_path(self, host: GatheredHost, path: Path, lasts: float) -> None:
+    async def _on_path(self, host: WorldHost, path: Path, lasts: float) -> None:
         self.world.net.paths[host.address] = path
         await trio.sleep(lasts)
         self.world.net.paths[host.address] = Path.OPEN
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -9,9 +9,9 @@
 from berylshift.messages.routed import Prompt, PromptPart, ReportedLoad
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE, EngineSpeeds
-from berylshift.process.targets.target_load import SEVERE, TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
+from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE, EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
+from berylshift.process.targets.target_load import SEVERE_FAILURE, TargetLoads
 from berylshift.request.placement import (
     BEGUN_TOKENS,
     DIRECT_TOKENS,
@@ -51,7 +51,7 @@
     def setUp(self):
         self.loads = TargetLoads()
         self.peers = PeerLoads("me")
-        self.warm = WarmParts()
+        self.warm = PrefixCacheIndex()
         self.placer = self.make_placer(1)
 
     def make_placer(self, seed: int) -> Placer:
@@ -100,7 +100,7 @@
 
     def busy(self, instance: str, tokens: int) -> None:
         entry = LoadEntry(target_hash(instance), 3, (0, tokens, 0), 0.0)
-        self.peers.take(LoadDigest("other", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("other", 1, (entry,)), 0.0)
 
     def warm_home(self) -> Replica:
         """Send a prompt to its home; return it."""
@@ -161,7 +161,7 @@
         of = Prompt((root, branch, PromptPart("x", 1_000)), 7_500, 80)
         home = home_of(of, READERS)
         for engine in READERS:
-            self.warm.sent("root", 2_500, engine.instance, 0.0)
+            self.warm.note_sent("root", 2_500, engine.instance, 0.0)
         self.busy(home.instance, 5_000)
         place = self.reader(of)
         self.assertEqual((place.target, place.reason), (home, Reason.HOME))
@@ -173,18 +173,18 @@
 
     def test_more_urgent_work_waits_less(self):
         home = self.warm_home()
-        self.loads.sent(home.instance, 60_000, Urgency.PATIENT)
+        self.loads.note_sent(home.instance, 60_000, Urgency.PATIENT)
         pool = Pool([home])
         urgent = self.placer.reader(pool, prompt(), Urgency.URGENT, (), 0.0)
         patient = self.placer.reader(pool, prompt(), Urgency.PATIENT, (), 0.0)
-        skipped = (60_000 - BEGUN_TOKENS) / PRIOR_READ_RATE
+        skipped = (60_000 - BEGUN_TOKENS) / PRIOR_PREFILL_RATE
         self.assertAlmostEqual(patient.seconds - urgent.seconds, skipped, delta=0.005)
 
     def test_an_urgent_prompt_avoids_an_engine_that_reads_a_long_one(self):
         # An engine finishes the prompt that it reads. A short note that went there
         # would wait up to 0.3 s for it, half of the time in which it is on time.
         engines = READERS[:2]
-        self.loads.sent(engines[0].instance, 20_000, Urgency.PATIENT)
+        self.loads.note_sent(engines[0].instance, 20_000, Urgency.PATIENT)
         short = prompt("p9", shared=200, own=2_500)
         place = self.placer.reader(Pool(engines), short, Urgency.URGENT, (), 0.0)
         self.assertIs(place.target, engines[1])
@@ -205,7 +205,7 @@
     def test_engines_that_keep_the_parts_are_too(self):
         home = home_of(prompt(), self.MANY)
         keeper = next(rep for rep in self.MANY if rep != home)
-        self.warm.sent("p1", 13_000, keeper.instance, 0.0)
+        self.warm.note_sent("p1", 13_000, keeper.instance, 0.0)
         place = self.reader(prompt(), engines=self.MANY)
         self.assertEqual((place.target, place.reason), (keeper, Reason.WARM))
 
@@ -226,7 +226,7 @@
 
     def test_not_where_answering_engines_have_a_queue(self):
         for engine in DECODERS:
-            self.loads.sent(engine.instance, 20_000, Urgency.URGENT)
+            self.loads.note_sent(engine.instance, 20_000, Urgency.URGENT)
         self.assertIsNotNone(self.reader(prompt(shared=300, own=1000)))
 
     def test_without_reading_engines_the_answering_one_reads(self):
@@ -241,7 +241,7 @@
     def test_least_loaded(self):
         for engine in DECODERS[:-1]:
             for _ in range(10):
-                self.loads.sent(engine.instance, 0, Urgency.USUAL)
+                self.loads.note_sent(engine.instance, 0, Urgency.USUAL)
         place = self.placer.answerer(Pool(ENGINES), prompt(), READERS[0], (), 0.0)
         self.assertEqual(place.target, DECODERS[-1])
 
@@ -264,7 +264,7 @@
         near = replica(1, EnginePhase.DECODE, "d1")
         far = replica(2, EnginePhase.DECODE, "d2")
         for _ in range(running):
-            self.loads.sent(near.instance, 0, Urgency.USUAL)
+            self.loads.note_sent(near.instance, 0, Urgency.USUAL)
         reader = replica(3, EnginePhase.PREFILL, "d3")
         place = self.placer.answerer(Pool([near, far]), of, reader, (), 0.0)
         return place, place.target is near
@@ -292,24 +292,24 @@
 
     def test_a_busy_neighbour_is_passed_by(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
-        self.loads.heard(near.instance, ReportedLoad(8, 6, 8), 0.0)
+        self.loads.note_report(near.instance, ReportedLoad(8, 6, 8), 0.0)
         self.assertEqual(self.placer.plain(Pool([far, near]), (), 0.0).target, far)
 
     def test_a_failing_replica_is_avoided_and_tried_again(self):
         one, two = replica(1), replica(2)
-        self.loads.failed(one.instance, SEVERE, 0.0)
+        self.loads.note_failure(one.instance, SEVERE_FAILURE, 0.0)
         self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, two)
         for _ in range(3):
-            self.loads.sent(two.instance, 0, Urgency.USUAL)
+            self.loads.note_sent(two.instance, 0, Urgency.USUAL)
         self.assertEqual(self.placer.plain(Pool([one, two]), (), 15.0).target, one)
 
     def test_one_cut_off_host_does_not_condemn_a_replica_for_all(self):
         """A host that is cut off finds every replica failing and says so."""
         one, two = replica(1), replica(2, domain="d2")
         entry = LoadEntry(target_hash(one.instance), 0, (0, 0, 0), 5.0)
-        self.peers.take(LoadDigest("cut-off", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("cut-off", 1, (entry,)), 0.0)
         self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, one)
-        self.peers.take(LoadDigest("another", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("another", 1, (entry,)), 0.0)
         self.assertEqual(self.placer.plain(Pool([one, two]), (), 0.1).target, two)
 
 
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -8,8 +8,8 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placing_policies import PLACINGS, PlacingParts
 from berylshift.settings import CHOICES
 from berylshift.tests.test_request_placement import DECODERS, ENGINES, READERS, prompt
@@ -23,7 +23,7 @@
         self.parts = PlacingParts(
             self.loads,
             PeerLoads("me"),
-            WarmParts(),
+            PrefixCacheIndex(),
             EngineSpeeds(),
             "d1",
             random.Random(1),
@@ -47,7 +47,7 @@
 
     def test_least_reported_goes_by_the_last_word(self):
         for number, rep in enumerate(DECODERS):
-            self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
+            self.loads.note_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         placing = PLACINGS["least-reported"](self.parts)
         place = placing.answerer(self.pool, prompt(), READERS[0], (), 0.0)
         self.assertIs(place.target, DECODERS[-1])
@@ -57,8 +57,8 @@
         of = prompt()
         home = self.pool.homes(of.shared[-1].part)[0]
         for part in of.shared:
-            self.parts.warm.sent(part.part, part.tokens, home.instance, 0.0)
-        self.loads.sent(home.instance, 5_000, Urgency.USUAL)
+            self.parts.warm.note_sent(part.part, part.tokens, home.instance, 0.0)
+        self.loads.note_sent(home.instance, 5_000, Urgency.USUAL)
         place = placing.reader(self.pool, of, Urgency.USUAL, (), 0.0)
         self.assertIsNot(place.target, home)
         self.assertIs(self.reader("warm", of).target, home)
--- a/berylshift/tests/test_request_reading_choice.py
+++ b/berylshift/tests/test_request_reading_choice.py
@@ -7,9 +7,9 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE, EngineSpeeds
+from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE, EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import Placer
 from berylshift.request.reading_choice import ReadingAsk, ReadingChoice, ReadingChooser
 from berylshift.request.standing import LEAST_LATE_SHARE, Standing
@@ -21,7 +21,7 @@
 READER = replica(1, EnginePhase.PREFILL)
 POOL = Pool([READER, replica(2, EnginePhase.DECODE)])
 # What the engine reads in half a second.
-HALF_A_SECOND = int(PRIOR_READ_RATE / 2)
+HALF_A_SECOND = int(PRIOR_PREFILL_RATE / 2)
 
 
 class RushTest(unittest.TestCase):
@@ -35,7 +35,7 @@
 
     def setUp(self):
         self.loads, speeds = TargetLoads(), EngineSpeeds()
-        peers, warm, rng = PeerLoads("me"), WarmParts(), random.Random(1)
+        peers, warm, rng = PeerLoads("me"), PrefixCacheIndex(), random.Random(1)
         placer = Placer(self.loads, peers, warm, speeds, "d1", rng)
         self.chooser = ReadingChooser(placer, speeds, lambda: 1)
         self.now = 0.0
@@ -49,7 +49,7 @@
             if choice.standing is Standing.LATE:
                 urgency = Urgency.PATIENT
             self.chooser.sent(ask, choice, self.now)
-            self.loads.sent(READER.instance, choice.place.tokens, urgency)
+            self.loads.note_sent(READER.instance, choice.place.tokens, urgency)
         return choice
 
     def test_of_a_rush_the_first_are_on_time_and_the_last_are_refused(self):
@@ -65,7 +65,7 @@
     def test_who_comes_when_the_engine_has_read_on_passes_the_late_ones(self):
         for _ in range(60):
             self.come()
-        self.loads.of(READER.instance).reading[Urgency.URGENT] = 0
+        self.loads.of(READER.instance).prefill_tokens[Urgency.URGENT] = 0
         choice = self.come()
         self.assertIs(choice.standing, Standing.ON_TIME)
         self.assertLess(choice.seconds, WAY.objective)
@@ -80,7 +80,7 @@
         for _ in range(40):
             place = self.chooser.choose(ask, self.now).place
             self.chooser.sent(ask, ReadingChoice(place, standing, 0.0), self.now)
-        self.loads.sent(READER.instance, 2 * HALF_A_SECOND, Urgency.URGENT)
+        self.loads.note_sent(READER.instance, 2 * HALF_A_SECOND, Urgency.URGENT)
         return self.come().seconds
 
     def test_late_ones_expect_to_be_overtaken(self):
--- a/berylshift/tests/test_request_standing.py
+++ b/berylshift/tests/test_request_standing.py
@@ -5,7 +5,7 @@
 import msgspec
 
 from berylshift.messages.load_digest import Urgency
-from berylshift.process.targets.prefill_send_rate import FLOW_SECONDS, ReadingFlow
+from berylshift.process.targets.prefill_send_rate import DECAY_SECONDS, PrefillSendRate
 from berylshift.request.standing import (
     LAST_RANK,
     LEAST_LATE_SHARE,
@@ -55,16 +55,16 @@
     """How much reading goes before late prompts."""
 
     def test_a_steady_flow_is_its_rate(self):
-        flow = ReadingFlow()
+        flow = PrefillSendRate()
         for number in range(100):
-            flow.sent("s", 500, number * 0.1)
+            flow.note_sent("s", 500, number * 0.1)
         self.assertAlmostEqual(flow.rate("s", 10.0), 5_000, delta=500)
         self.assertEqual(flow.rate("other", 10.0), 0.0)
 
     def test_a_flow_that_ended_is_forgotten(self):
-        flow = ReadingFlow()
-        flow.sent("s", 50_000, 0.0)
-        self.assertLess(flow.rate("s", 10 * FLOW_SECONDS), 5)
+        flow = PrefillSendRate()
+        flow.note_sent("s", 50_000, 0.0)
+        self.assertLess(flow.rate("s", 10 * DECAY_SECONDS), 5)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -75,7 +75,7 @@
         async def task(client):
             control = FlowControl(retry_after=3.0)
             now = trio.current_time()
-            self.throttle.heard(NAME, control, now, now)
+            self.throttle.apply_flow_control(NAME, control, now, now)
             with self.assertRaises(ThrottledError):
                 await self.call(client)
 
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.process.gossip.protocol import PROBE_SECONDS
-from berylshift.tests.multi_host_world import GatheredWorld, Path
+from berylshift.tests.multi_host_world import MultiHostWorld, Path
 from berylshift.tests.test_gossip_collectors import BOUND_SECONDS, run_world
 
 BYTE_BUDGET = 16_384
@@ -18,7 +18,7 @@
     return run_world(task, HOSTS, DOMAINS, BYTE_BUDGET)
 
 
-def heard_by(world: GatheredWorld, seconds: float) -> list[int]:
+def heard_by(world: MultiHostWorld, seconds: float) -> list[int]:
     """Return how many others each host has heard within ``seconds``."""
     now = trio.current_time()
     return [
@@ -96,13 +96,13 @@
 
         async def task(world):
             host = next(each for each in world.hosts if not each.watch.follows)
-            host.view.turned_away = True
+            host.view.refused = True
             await trio.sleep(1)
             world.store.restore(1.0)
             version = world.put_routes()
             await trio.sleep(BOUND_SECONDS)
             era, before = host.watch.eras.current, host.version
-            host.view.turned_away = False
+            host.view.refused = False
             await trio.sleep(BOUND_SECONDS)
             return era, before > 0, host.version == version
 
--- a/berylshift/tests/test_targets_engine_speeds.py
+++ b/berylshift/tests/test_targets_engine_speeds.py
@@ -1,102 +1,108 @@
-"""Speeds of engines that nobody has told."""
+"""Learning the speeds of engines that no setting states."""
 
 import random
 import unittest
 
 from berylshift.process.targets.engine_speeds import (
-    PRIOR_READ_RATE,
-    SAMPLES,
+    MAX_SAMPLES,
+    PRIOR_PREFILL_RATE,
     EngineSpeeds,
 )
 from berylshift.version.routes import EngineFacts
 
-# Prompts of one host a second, and how long a change of the engines may take to show.
-PROMPTS_A_SECOND = 14
-BELIEVED_SECONDS = 6.0
+# Prompts of one host a second, and the time to adapt to a change of the engines.
+PROMPTS_PER_SECOND = 14
+ADAPTATION_SECONDS = 6.0
 FACTORS = (1 / 8, 1 / 2, 2, 8)
-ERROR = 0.3
+MAX_RELATIVE_ERROR = 0.3
 
 
-class ReadRateTest(unittest.TestCase):
-    """A host is started before engines of any speed; prompts vary by a factor of 20.
+class PrefillRateTest(unittest.TestCase):
+    """A host starts with engines of unknown speed; prompts vary by a factor of 20.
 
-    With the speed of other engines it would refuse callers that could be served, or
-    take eight times the work that can be done and serve all of it late.
+    With the speed of other engines it would reject requests that could be served, or
+    accept eight times the work that can be done and serve all of it late.
     """
 
     def setUp(self):
         self.rng = random.Random(1)
         self.speeds = EngineSpeeds()
 
-    def read(self, rate: float, prompts: int) -> None:
-        """Have prompts read at ``rate``, some behind a queue that is not known."""
+    def prefill(self, rate: float, prompts: int) -> None:
+        """Record prefills at ``rate``, some of them behind an unknown queue."""
         for _ in range(prompts):
             tokens = int(min(40_000, self.rng.lognormvariate(8.3, 0.8)))
             ahead = self.rng.choice((0, 0, 1_000, 30_000))
             hidden = self.rng.choice((0, 0, 0, 5_000))
             seconds = 0.0015 + (tokens + ahead + hidden) / rate
-            self.speeds.was_read("s", tokens, ahead, seconds)
+            self.speeds.note_prefill("s", tokens, ahead, seconds)
 
     def check(self, rate: float) -> None:
-        found = self.speeds.read_rate("s")
-        self.assertLess(abs(found - rate), ERROR * rate)
+        found = self.speeds.prefill_rate("s")
+        self.assertLess(abs(found - rate), MAX_RELATIVE_ERROR * rate)
 
-    def test_engines_of_other_speeds_are_known_within_seconds(self):
+    def test_speed_is_learned_within_seconds(self):
         for factor in FACTORS:
             with self.subTest(factor=factor):
                 self.setUp()
-                self.read(factor * PRIOR_READ_RATE, int(3 * PROMPTS_A_SECOND))
-                self.check(factor * PRIOR_READ_RATE)
+                self.prefill(factor * PRIOR_PREFILL_RATE, int(3 * PROMPTS_PER_SECOND))
+                self.check(factor * PRIOR_PREFILL_RATE)
 
-    def test_engines_that_change_in_mid_day_are_believed(self):
-        self.read(PRIOR_READ_RATE, 10 * SAMPLES)
+    def test_change_of_speed_is_followed(self):
+        self.prefill(PRIOR_PREFILL_RATE, 10 * MAX_SAMPLES)
         for factor in (1 / 2, 2):
             with self.subTest(factor=factor):
-                prompts = int(BELIEVED_SECONDS * PROMPTS_A_SECOND)
-                self.read(factor * PRIOR_READ_RATE, prompts)
-                self.check(factor * PRIOR_READ_RATE)
+                prompts = int(ADAPTATION_SECONDS * PROMPTS_PER_SECOND)
+                self.prefill(factor * PRIOR_PREFILL_RATE, prompts)
+                self.check(factor * PRIOR_PREFILL_RATE)
 
-    def test_one_bad_second_is_not_believed(self):
-        self.read(PRIOR_READ_RATE, 10 * SAMPLES)
-        self.read(PRIOR_READ_RATE / 8, PROMPTS_A_SECOND)
-        self.check(PRIOR_READ_RATE)
+    def test_one_slow_second_does_not_change_the_estimate(self):
+        self.prefill(PRIOR_PREFILL_RATE, 10 * MAX_SAMPLES)
+        self.prefill(PRIOR_PREFILL_RATE / 8, PROMPTS_PER_SECOND)
+        self.check(PRIOR_PREFILL_RATE)
 
-    def test_a_long_queue_says_nothing_of_the_speed(self):
-        for _ in range(SAMPLES):
-            self.speeds.was_read("s", 5_000, 100_000, 0.1)
-        self.assertEqual(self.speeds.read_rate("s"), PRIOR_READ_RATE)
+    def test_prefills_behind_a_long_queue_are_no_samples(self):
+        for _ in range(MAX_SAMPLES):
+            self.speeds.note_prefill("s", 5_000, 100_000, 0.1)
+        self.assertEqual(self.speeds.prefill_rate("s"), PRIOR_PREFILL_RATE)
 
-    def test_services_are_told_apart(self):
-        self.read(4 * PRIOR_READ_RATE, SAMPLES)
-        self.assertEqual(self.speeds.read_rate("other"), PRIOR_READ_RATE)
+    def test_services_have_separate_estimates(self):
+        self.prefill(4 * PRIOR_PREFILL_RATE, MAX_SAMPLES)
+        self.assertEqual(self.speeds.prefill_rate("other"), PRIOR_PREFILL_RATE)
 
 
 class OtherTimesTest(unittest.TestCase):
-    """Moves, running requests and slots."""
-
-    def test_moves_follow_the_configuration(self):
-        slow = EngineSpeeds(lambda name: EngineFacts(64, 1, 35_136, 370_000.0))
-        quick = EngineSpeeds(lambda name: EngineFacts(64, 1, 163_840, 12_000_000.0))
-        self.assertAlmostEqual(slow.move_seconds("s", 17_000), 0.016, delta=0.001)
-        self.assertAlmostEqual(quick.move_seconds("s", 17_000), 0.005, delta=0.001)
-
-    def test_first_pieces_tell_what_a_running_request_costs(self):
+    """KV cache transfers, running requests and slots."""
+
+    def test_transfer_time_follows_the_configuration(self):
+        slow_link = EngineSpeeds(lambda name: EngineFacts(64, 1, 35_136, 370_000.0))
+        fast_link = EngineSpeeds(lambda name: EngineFacts(64, 1, 163_840, 12_000_000.0))
+        self.assertAlmostEqual(
+            slow_link.kv_transfer_seconds("s", 17_000), 0.016, delta=0.001
+        )
+        self.assertAlmostEqual(
+            fast_link.kv_transfer_seconds("s", 17_000), 0.005, delta=0.001
+        )
+
+    def test_first_tokens_show_the_delay_per_running_request(self):
         speeds = EngineSpeeds()
         for running in range(30):
-            speeds.began("s", 0, running, 0.003 + 0.0005 * (running + 1))
-        self.assertAlmostEqual(speeds.running_seconds("s"), 0.0005, delta=0.0001)
+            speeds.note_first_token("s", 0, running, 0.003 + 0.0005 * (running + 1))
+        self.assertAlmostEqual(
+            speeds.seconds_per_running_request("s"), 0.0005, delta=0.0001
+        )
 
-    def test_slots_are_free_as_fast_as_answers_end(self):
+    def test_slot_time_follows_the_response_time(self):
         speeds = EngineSpeeds()
-        for _ in range(SAMPLES):
-            speeds.answered("s", 0.32)
+        for _ in range(MAX_SAMPLES):
+            speeds.note_response("s", 0.32)
         self.assertAlmostEqual(speeds.slot_seconds("s", 64), 0.005)
 
-    def test_a_change_is_logged_once(self):
+    def test_change_is_logged_once(self):
         speeds = EngineSpeeds()
         with self.assertLogs("berylshift.process.targets.engine_speeds") as logs:
-            for _ in range(SAMPLES):
-                speeds.answered("s", 0.3)
+            for _ in range(MAX_SAMPLES):
+                speeds.note_response("s", 0.3)
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(logs.records[0].value, 0.3)
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -1,4 +1,4 @@
-"""Routes in force, loads, shares of limits, and what other hosts tell."""
+"""Routes in force, loads, limit shares, and the digests of other hosts."""
 
 import unittest
 
@@ -29,30 +29,34 @@
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.process.gossip.collector import MOST_READS, READS_A_CRASH
-from berylshift.process.gossip.peer_loads import LIFE_SECONDS, PeerLoads
+from berylshift.process.gossip.collector import MAX_PREFILLS, PREFILLS_PER_CRASH
+from berylshift.process.gossip.peer_loads import DIGEST_TTL_SECONDS, PeerLoads
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.crash_news import MOST_CRASHES_TOLD
-from berylshift.process.targets.limit_gossip import MOST_TOLD as MOST_LIMITS
-from berylshift.process.targets.target_load import SEVERE, TargetLoads
-from berylshift.process.targets.warm_parts import MOST_KEPT, SHARED_ROOM, WarmParts
+from berylshift.process.targets.limit_gossip import MAX_UPDATES as MAX_LIMITS
+from berylshift.process.targets.prefix_cache_index import (
+    MAX_BLOCKS,
+    PREFIX_CACHE_SHARE,
+    PrefixCacheIndex,
+)
+from berylshift.process.targets.target_load import SEVERE_FAILURE, TargetLoads
 from berylshift.tests.entry_world import routes
 from berylshift.tests.support import EXPLORE
 
 
 class RouteHolderTest(unittest.TestCase):
-    """Versions only rise."""
+    """The version of the routes in force only rises."""
 
     @EXPLORE
     @given(st.lists(st.integers(1, 9), max_size=12))
-    def test_whatever_is_read_no_version_goes_back(self, versions):
+    def test_version_never_goes_back(self, versions):
         holder, newest = RouteHolder(), 0
         for version in versions:
             holder.take(routes(version), 0.0)
             newest = max(newest, version)
             self.assertEqual(holder.table.version, newest)
 
-    def test_nothing_new_still_confirms(self):
+    def test_read_without_a_change_confirms_the_routes(self):
         holder = RouteHolder()
         holder.take(routes(3), 1.0)
         holder.take(None, 4.0)
@@ -61,10 +65,10 @@
 
 
 class ArrivalBudgetTest(unittest.TestCase):
-    """The share of a host."""
+    """A host's share of the retry budget."""
 
-    def test_all_hosts_together_stay_below_the_bound(self):
-        """Nine hosts use all they may, at uneven loads, without a word."""
+    def test_all_hosts_together_stay_within_the_budget(self):
+        """Nine hosts use up their shares at uneven loads, without communication."""
         ratio, window, burst = 0.2, 10.0, 58.0
         loads = [1, 2, 3, 5, 8, 13, 21, 34, 55]
         budgets = [ArrivalBudget(ratio, window, burst) for _ in loads]
@@ -83,7 +87,7 @@
             more = sum(now - window < at <= now for at in extra)
             self.assertLessEqual(more, ratio * asked + burst)
 
-    def test_unknown_number_of_hosts_leaves_little_of_the_burst(self):
+    def test_unknown_number_of_hosts_allows_a_small_burst(self):
         budget = ArrivalBudget(0.2, 10.0, 58.0)
         self.assertTrue(budget.take(0.0))
         self.assertFalse(budget.take(0.0))
@@ -96,35 +100,35 @@
 
 
 class TargetLoadsTest(unittest.TestCase):
-    """What this process knows of each replica."""
+    """This process's load and failures at each replica."""
 
-    def test_reports_age(self):
+    def test_reports_lose_weight_with_age(self):
         loads = TargetLoads()
-        loads.heard("i-1", ReportedLoad(4, 6, 8), 0.0)
+        loads.note_report("i-1", ReportedLoad(4, 6, 8), 0.0)
         load = loads.of("i-1")
         self.assertEqual((load.waiting(0.0), load.running(0.0)), (6, 4))
         self.assertLess(load.waiting(1.0), 3)
         self.assertEqual(load.waiting(5.0), 0)
 
-    def test_sends_since_the_report_count(self):
+    def test_requests_sent_since_the_report_count(self):
         loads = TargetLoads()
-        loads.heard("i-1", ReportedLoad(4, 0, 8), 0.0)
-        loads.sent("i-1", 100, Urgency.USUAL)
+        loads.note_report("i-1", ReportedLoad(4, 0, 8), 0.0)
+        loads.note_sent("i-1", 100, Urgency.USUAL)
         self.assertEqual(loads.of("i-1").running(0.0), 5)
 
-    def test_failures_fade_and_answers_outweigh_them(self):
+    def test_failures_decay_and_good_responses_halve_them(self):
         loads = TargetLoads()
-        loads.failed("i-1", SEVERE, 0.0)
+        loads.note_failure("i-1", SEVERE_FAILURE, 0.0)
         load = loads.of("i-1")
         self.assertEqual(load.failures(2.0), 0.5)
-        loads.succeeded("i-1", 2.0)
+        loads.note_success("i-1", 2.0)
         self.assertEqual(load.failures(2.0), 0.25)
 
-    def test_entries_name_open_work_only(self):
+    def test_entries_hold_open_requests_only(self):
         loads = TargetLoads()
-        loads.sent("i-1", 640, Urgency.PATIENT)
-        loads.sent("i-2", 0, Urgency.USUAL)
-        loads.ended("i-2")
+        loads.note_sent("i-1", 640, Urgency.PATIENT)
+        loads.note_sent("i-2", 0, Urgency.USUAL)
+        loads.note_ended("i-2")
         found = loads.entries(0.0)
         self.assertEqual(
             [(e.in_flight, e.prefill_tokens) for e in found], [(1, (0, 0, 640))]
@@ -136,94 +140,96 @@
 
     def digest(self, host: str, sequence: int, tokens: int) -> LoadDigest:
         loads = TargetLoads()
-        loads.sent("i-1", tokens, Urgency.USUAL)
+        loads.note_sent("i-1", tokens, Urgency.USUAL)
         return LoadDigest(host, sequence, loads.entries(0.0))
 
-    def test_sum_over_hosts_without_this_one(self):
+    def test_loads_are_summed_over_the_other_hosts(self):
         peers = PeerLoads("me")
         for host in ("a", "b", "me"):
-            peers.take(self.digest(host, 1, 160), 0.0)
-        self.assertEqual(peers.reading("i-1", 0.1), (0, 320, 0))
+            peers.receive(self.digest(host, 1, 160), 0.0)
+        self.assertEqual(peers.prefill_tokens("i-1", 0.1), (0, 320, 0))
         self.assertEqual(peers.in_flight("i-1", 0.1), 2)
-        self.assertEqual(peers.members(0.1), 2)
+        self.assertEqual(peers.member_count(0.1), 2)
 
-    def test_an_overtaken_datagram_changes_nothing(self):
+    def test_overtaken_datagram_is_ignored(self):
         peers = PeerLoads("me")
-        peers.take(self.digest("a", 2, 160), 0.0)
-        peers.take(self.digest("a", 1, 16), 0.1)
-        self.assertEqual(peers.reading("i-1", 0.1)[1], 160)
+        peers.receive(self.digest("a", 2, 160), 0.0)
+        peers.receive(self.digest("a", 1, 16), 0.1)
+        self.assertEqual(peers.prefill_tokens("i-1", 0.1)[1], 160)
 
-    def test_a_restarted_host_is_heard_again(self):
-        """Its numbers start anew; after a silence the lower one is taken."""
+    def test_restarted_host_is_accepted_after_a_silence(self):
+        """It numbers its digests from the beginning again."""
         peers = PeerLoads("me")
-        peers.take(self.digest("a", 900, 160), 0.0)
-        peers.take(self.digest("a", 1, 16), LIFE_SECONDS + 0.1)
-        self.assertEqual(peers.reading("i-1", LIFE_SECONDS + 0.2)[1], 16)
+        peers.receive(self.digest("a", 900, 160), 0.0)
+        peers.receive(self.digest("a", 1, 16), DIGEST_TTL_SECONDS + 0.1)
+        self.assertEqual(peers.prefill_tokens("i-1", DIGEST_TTL_SECONDS + 0.2)[1], 16)
 
 
-class WarmPartsTest(unittest.TestCase):
-    """Where parts were sent, and what engines still keep of them."""
+class PrefixCacheIndexTest(unittest.TestCase):
+    """Where prefix blocks were sent, and which of them engines still cache."""
 
-    ROOM = 100_000
+    CAPACITY_TOKENS = 100_000
 
     def setUp(self):
-        self.warm = WarmParts()
-        self.kept = int(SHARED_ROOM * self.ROOM)
+        self.index = PrefixCacheIndex()
+        self.prefix_tokens = int(PREFIX_CACHE_SHARE * self.CAPACITY_TOKENS)
 
-    def use(self, part: str, tokens: int, engine: str = "i-3") -> None:
-        self.warm.sent(part, tokens, engine, 0.0)
+    def use(self, block: str, tokens: int, engine: str = "i-3") -> None:
+        self.index.note_sent(block, tokens, engine, 0.0)
 
-    def keeps(self, part: str, engine: str = "i-3") -> bool:
-        return self.warm.keeps(part, engine, self.ROOM)
+    def is_cached(self, block: str, engine: str = "i-3") -> bool:
+        return self.index.is_cached(block, engine, self.CAPACITY_TOKENS)
 
-    def test_told(self):
-        there = WarmParts()
+    def test_other_hosts_learn_of_prefills(self):
+        other = PrefixCacheIndex()
         self.use("p1", 4_000)
-        there.heard(self.warm.to_tell(0.1))
-        self.assertTrue(there.keeps("p1", "i-3", self.ROOM))
-        self.assertFalse(there.keeps("p1", "i-4", self.ROOM))
-        self.assertEqual(self.warm.to_tell(1.0), ())
+        other.merge(self.index.prefills_to_send(0.1))
+        self.assertTrue(other.is_cached("p1", "i-3", self.CAPACITY_TOKENS))
+        self.assertFalse(other.is_cached("p1", "i-4", self.CAPACITY_TOKENS))
+        self.assertEqual(self.index.prefills_to_send(1.0), ())
 
-    def test_what_is_beyond_the_memory_has_gone_the_longest_unused_first(self):
-        """An engine reads more parts than it can keep.
+    def test_least_recently_used_blocks_beyond_the_capacity_are_evicted(self):
+        """An engine prefills more blocks than fit in its KV cache.
 
-        Prompts that go there for a part that it has let go wait behind each other
-        while each of them reads it anew.
+        Prompts sent there for an evicted block would queue up while each of them
+        prefills it again.
         """
-        half = self.kept // 2
+        half = self.prefix_tokens // 2
         self.use("p1", half)
         self.use("p2", half)
         self.use("p1", half)
         self.use("p3", half)
         self.assertEqual(
-            [self.keeps(p) for p in ("p1", "p2", "p3")], [True, False, True]
+            [self.is_cached(p) for p in ("p1", "p2", "p3")], [True, False, True]
         )
-        self.assertEqual(self.warm.keepers("p2"), [])
+        self.assertEqual(self.index.engines_caching("p2"), [])
 
-    def test_an_engine_that_reads_nothing_else_keeps_a_part(self):
+    def test_prefills_of_other_engines_evict_nothing(self):
         self.use("p1", 4_000)
         for number in range(100):
             self.use(f"q{number}", 4_000, "i-4")
-        self.assertTrue(self.keeps("p1"))
+        self.assertTrue(self.is_cached("p1"))
 
-    def test_told_twice_is_kept_once(self):
-        reads = (BlockPrefill(1, 2, self.kept),)
-        self.warm.heard(reads)
-        self.warm.heard(reads)
+    def test_repeated_prefills_count_once(self):
+        prefills = (BlockPrefill(1, 2, self.prefix_tokens),)
+        self.index.merge(prefills)
+        self.index.merge(prefills)
         self.use("p1", 0)
-        self.assertTrue(self.keeps("p1"))
+        self.assertTrue(self.is_cached("p1"))
 
-    def test_an_engine_that_is_gone_is_forgotten(self):
+    def test_removed_engine_is_forgotten(self):
         self.use("p1", 4_000)
-        self.warm.forget("i-3")
-        self.assertFalse(self.keeps("p1"))
-        self.assertEqual(self.warm.keepers("p1"), [])
+        self.index.forget("i-3")
+        self.assertFalse(self.is_cached("p1"))
+        self.assertEqual(self.index.engines_caching("p1"), [])
 
-    def test_all_engines_together_are_bounded(self):
-        for number in range(MOST_KEPT + 50):
+    def test_total_number_of_blocks_is_bounded(self):
+        for number in range(MAX_BLOCKS + 50):
             self.use(f"p{number}", 16, f"i-{number % 7}")
-        held = sum(len(self.warm.keepers(f"p{n}")) for n in range(MOST_KEPT + 50))
-        self.assertEqual(held, MOST_KEPT)
+        cached = sum(
+            len(self.index.engines_caching(f"p{n}")) for n in range(MAX_BLOCKS + 50)
+        )
+        self.assertEqual(cached, MAX_BLOCKS)
 
 
 class LoadCodecTest(unittest.TestCase):
@@ -244,42 +250,42 @@
         codec = LoadCodec("key")
         self.assertEqual(codec.decode(codec.encode(self.DIGEST, 1400)), self.DIGEST)
 
-    def test_a_strangers_datagram_is_refused(self):
+    def test_datagram_with_another_key_is_rejected(self):
         data = LoadCodec("other").encode(self.DIGEST, 1400)
         with self.assertRaises(BadDatagramError):
             LoadCodec("key").decode(data)
 
-    def test_rubbish_with_a_right_tag_is_refused(self):
+    def test_garbage_with_a_valid_tag_is_rejected(self):
         for body in (b"", b"\xff" * 40):
             with self.subTest(body=body), self.assertRaises(BadDatagramError):
                 LoadCodec("key").decode(Tagger("key").seal(body))
 
-    def test_a_long_digest_is_cut_to_fit(self):
+    def test_long_digest_is_truncated_to_fit(self):
         entries = tuple(LoadEntry(n * 9999, 1, (16, 16, 16), 0.0) for n in range(400))
         data = LoadCodec("key").encode(LoadDigest("h", 1, entries), 1400)
         self.assertLessEqual(len(data), 1400)
         self.assertGreater(len(LoadCodec("key").decode(data).entries), 20)
 
-    def test_sums_of_all_hosts_fit_in_a_datagram(self):
-        """A collector tells of fifty replicas, what was read, orders and the store.
+    def test_fleet_aggregate_fits_in_a_datagram(self):
+        """A collector sends fifty replicas' load, prefills, orders and store status.
 
-        What does not fit is left out: the others would not know of work that is there.
+        Entries that don't fit are left out, and their load stays unknown to the others.
         """
-        self.check_sums_fit(MOST_READS, 0)
+        self.check_aggregate_fits(MAX_PREFILLS, 0)
 
-    def test_sums_fit_beside_replicas_that_broke_off(self):
-        reads = MOST_READS - READS_A_CRASH * MOST_CRASHES_TOLD
-        self.check_sums_fit(reads, MOST_CRASHES_TOLD)
+    def test_fleet_aggregate_fits_beside_crash_reports(self):
+        prefills = MAX_PREFILLS - PREFILLS_PER_CRASH * MOST_CRASHES_TOLD
+        self.check_aggregate_fits(prefills, MOST_CRASHES_TOLD)
 
-    def check_sums_fit(self, reads: int, crashes: int) -> None:
-        """Check that all entries of a usual sum are told beside the rest."""
+    def check_aggregate_fits(self, prefills: int, crashes: int) -> None:
+        """Check that all entries of a typical aggregate fit beside the rest."""
         entries = tuple(
             LoadEntry(2**31 + n * 77_777, 12, (800, 40_000, 16_000), 0.5, 0.25)
             for n in range(50)
         )
-        reads = tuple(
+        prefills = tuple(
             BlockPrefill(2**31 + n * 999_983, 2**31 + n * 77_777, 6_300)
-            for n in range(reads)
+            for n in range(prefills)
         )
         reports = tuple(
             CrashReport(joined(2**31 + n * 999_983, 2**31 + n), 2**31 + n * 77_777, 9.5)
@@ -294,7 +300,7 @@
             "frontend-derwent-b-17",
             123_456,
             entries,
-            reads,
+            prefills,
             phases,
             Scope.FLEET,
             "derwent-b",
@@ -303,7 +309,7 @@
             StoreStatus(feed, feed, 86_300_000),
             reports,
             limits=tuple(
-                LimitUpdate(2**31 + n * 77_777, 2.5, 1.5) for n in range(MOST_LIMITS)
+                LimitUpdate(2**31 + n * 77_777, 2.5, 1.5) for n in range(MAX_LIMITS)
             ),
         )
         data = LoadCodec("key").encode(digest, LARGEST_DATAGRAM)
@@ -311,7 +317,7 @@
         self.assertEqual(len(LoadCodec("key").decode(data).entries), 50)
 
     def test_nine_engines_fit_in_few_bytes(self):
-        """Nine hosts tell each other 12 times a second; bytes between domains cost."""
+        """Nine hosts send 12 digests a second each; traffic between domains costs."""
         entries = tuple(LoadEntry(2**31 + n, 2, (0, 250, 0), 0.0) for n in range(9))
         data = LoadCodec("key").encode(LoadDigest("host-1", 99, entries), 1400)
         self.assertLess(len(data), 200)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -499,7 +499,7 @@
     Proof(
         "orders are told to the other hosts",
         "process/gossip/protocol.py",
-        "        parts.phases.heard(digest.phases, now)\n",
+        "        sources.phases.heard(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
         "test_an_ordered_engine_is_used_although_the_store_is_down",
@@ -507,8 +507,8 @@
     Proof(
         "one host's word condemns no replica",
         "process/gossip/peer_loads.py",
-        "return work.second",
-        "return work.failures",
+        "return load.second_failures",
+        "return load.failures",
         "test_request_placement.PlainTest",
     ),
     Proof(
@@ -516,15 +516,15 @@
         "process/directory/store_watch.py",
         "return self._boot_clock() + max(self._offsets) - store_ms / 1000",
         "return 0.0",
-        "test_gossip_collectors.SharedReadsTest."
-        "test_old_word_that_comes_late_is_not_taken_for_fresh",
+        "test_gossip_collectors.FeedReaderTest."
+        "test_delayed_status_is_not_taken_for_fresh",
     ),
     Proof(
         "a host reads by itself when the word it has grows old",
         "process/directory/store_watch.py",
         "left = self._patience - self.clock.age(state.heard.store_ms)",
         "left = 60.0",
-        "test_gossip_collectors.SharedReadsTest.test_followers_that_the_store_turns_away",
+        "test_gossip_collectors.FeedReaderTest.test_feed_readers_that_the_store_refuses",
     ),
     Proof(
         "a change that was not read is not passed over",
@@ -538,23 +538,23 @@
         "process/directory/directory_loop.py",
         "            self._replicas.store_was_back(",
         "            float(",
-        "test_gossip_collectors.SharedReadsTest."
-        "test_entries_that_lapsed_in_an_outage_that_most_hosts_did_not_notice",
+        "test_gossip_collectors.FeedReaderTest."
+        "test_entries_that_expired_in_an_outage_most_hosts_did_not_notice",
     ),
     Proof(
         "a holder that falls silent is followed by the next host",
         "process/gossip/election.py",
-        "if now - at < SILENT_SECONDS",
+        "if now - at < HOLDER_TIMEOUT_SECONDS",
         "if now >= at",
-        "test_gossip_collectors.SumsTest.test_a_collector_is_lost",
+        "test_gossip_collectors.AggregateTest.test_lost_collector_is_replaced",
     ),
     Proof(
         "a new collector's count does not raise shares at once",
         "process/gossip/peer_loads.py",
-        "if hosts >= self._most_hosts or now",
+        "if hosts >= self._max_hosts or now",
         "if hosts or now",
-        "test_gossip_collectors.SumsTest."
-        "test_a_new_collector_does_not_raise_the_shares_of_the_limits",
+        "test_gossip_collectors.AggregateTest."
+        "test_new_collector_does_not_raise_the_limit_shares",
     ),
     Proof(
         "a full pipe of logs blocks nothing",
@@ -646,10 +646,10 @@
     ),
     Proof(
         "what is beyond an engine's memory is not taken for kept",
-        "process/targets/warm_parts.py",
-        "return self._tokens > room and bool(self._parts)",
+        "process/targets/prefix_cache_index.py",
+        "return self._tokens > capacity_tokens and bool(self._blocks)",
         "return False",
-        "test_targets_knowledge.WarmPartsTest",
+        "test_targets_knowledge.PrefixCacheIndexTest",
     ),
     Proof(
         "warm is who keeps all shared parts",
@@ -734,8 +734,9 @@
     Proof(
         "hosts tell each other which replicas broke off",
         "process/gossip/protocol.py",
-        "        parts.quarantine.heard(\n"
-        "            digest.crashes, digest.finished, now, self._is_near(digest)\n"
+        "        sources.quarantine.heard(\n"
+        "            digest.crashes, digest.finished, now, "
+        "self._is_own_domain(digest)\n"
         "        )\n",
         "",
         "test_quarantine_spread.SpreadTest",
@@ -750,8 +751,8 @@
     Proof(
         "a collector tells on what its hosts saw",
         "process/gossip/protocol.py",
-        "return digest.domain == self._parts.domain\n\n    def _heard",
-        "return False\n\n    def _heard",
+        "return digest.domain == self._sources.domain\n\n    def _note",
+        "return False\n\n    def _note",
         "test_quarantine_spread.SpreadTest.test_all_hosts_know_in_half_of_the_time",
     ),
     Proof(
@@ -921,26 +922,26 @@
         "connection/target_client.py",
         "        self._on_head(self.status, self.headers)\n",
         "",
-        f"{LIMITS}.KeptTest.test_all_hosts_together_keep_a_replicas_limit",
+        f"{LIMITS}.SomeLimitedTest.test_all_hosts_together_keep_a_replicas_limit",
     ),
     Proof(
         "another replica's answer asks for nothing",
         "platform/exchange.py",
         "        if status == STATUS_WRONG_INSTANCE:\n            return None\n",
         "",
-        f"{LIMITS}.LiftedTest.test_another_replicas_answer_sets_no_limit",
+        f"{LIMITS}.LiftedTest.test_response_of_another_replica_sets_no_limit",
     ),
     Proof(
         "hosts share a limit",
         "process/targets/limit_shares.py",
-        "            return LimitShare(HELD_PART / count, True)\n",
+        "            return LimitShare(HOLDERS_FRACTION / count, True)\n",
         "            return LimitShare(1.0, True)\n",
         RATES,
     ),
     Proof(
         "turns are not saved up by hosts without a share",
         "process/targets/rate_limits.py",
-        "if now > limit.lapses_at:",
+        "if now > limit.slot_expires_at:",
         "if False:",
         RATES,
     ),
@@ -954,30 +955,30 @@
     Proof(
         "placing leaves out replicas that take nothing now",
         "request/replica_choice.py",
-        "        closed = self._parts.throttle.closed(self._now())\n        avoided",
+        "        closed = self._parts.throttle.blocked(self._now())\n        avoided",
         "        closed = []\n        avoided",
-        f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
+        f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
         "a throttled engine's turn is kept while a prompt is read",
         "request/relay.py",
         "            self._choice.reserve(place.target.instance)\n",
         "",
-        f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
+        f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
         "other engines answer for those in need",
         "process/duties/phase_loop.py",
         "if not self._is_limited(rep.instance)",
         "if True",
-        f"{LIMITS}.OtherEnginesTest",
+        f"{LIMITS}.PrefillEnginesTest",
     ),
     Proof(
         "a limit's end is told to all hosts",
         "process/targets/throttle.py",
-        "            self._news.given(target_hash(instance), None, now)\n",
+        "            self._gossip.note_own(target_hash(instance), None, now)\n",
         "            pass\n",
-        "test_targets_limit_gossip.SpreadTest",
+        "test_targets_limit_gossip.PropagationTest",
     ),
     Proof(
         "a replica's own word that it leaves counts",
@@ -998,8 +999,8 @@
         "process/directory/directory_loop.py",
         "            self._replicas.store_answered(self._clock.monotonic())\n",
         "",
-        "test_gossip_collectors.SharedReadsTest."
-        "test_a_replica_that_goes_long_after_an_outage_gets_no_work",
+        "test_gossip_collectors.FeedReaderTest."
+        "test_replica_removed_long_after_an_outage_gets_no_work",
     ),
 )
 
