--- a/bench/placing.py
+++ b/bench/placing.py
@@ -1,18 +1,22 @@
 """Processor time of one placement by the size of the pool and the number of hosts."""
 
-import random
-import time
-
 from bench.report import print_rows
-from berylshift.messages.load_digest import LoadDigest, LoadEntry, Urgency, target_hash
-from berylshift.messages.replicas import EnginePhase, Replica
-from berylshift.messages.routed import Prompt, PromptBlock
+from berylshift.messages.load_digest import LoadDigest
+from berylshift.messages.load_digest import LoadEntry
+from berylshift.messages.load_digest import Urgency
+from berylshift.messages.load_digest import target_hash
+from berylshift.messages.replicas import EnginePhase
+from berylshift.messages.replicas import Replica
+from berylshift.messages.routed import Prompt
+from berylshift.messages.routed import PromptBlock
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import Placer
+import random
+import time
 
 SIZES = ((9, 9), (45, 78), (400, 370), (1600, 370))
 ROUNDS = 2000
@@ -49,7 +53,7 @@
         entries = tuple(
             LoadEntry(target_hash(rep.instance), 2, (0, 4000, 0), 0.0) for rep in chosen
         )
-        peers.take(LoadDigest(f"host-{number}", 1, entries), 0.0)
+        peers.receive(LoadDigest(f"host-{number}", 1, entries), 0.0)
     return peers
 
 
@@ -58,7 +62,7 @@
     rng = random.Random(1)
     pool = make_pool(engines)
     peers = make_peers(hosts, pool, rng)
-    placer = Placer(TargetLoads(), peers, WarmParts(), EngineSpeeds(), "d1", rng)
+    placer = Placer(TargetLoads(), peers, PrefixCacheIndex(), EngineSpeeds(), "d1", rng)
     prompts = [
         Prompt((PromptBlock(f"p{n}", 13_000), PromptBlock("own", 3_000)), 16_000, 80)
         for n in range(PARTS)
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -1,49 +1,54 @@
 """The entry application: wires a host that serves the platform's routes."""
 
-import logging
-import random
-from collections.abc import Callable
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
 from berylshift.connection.entry_status import EntryStatus
-from berylshift.connection.http_server import HttpServer, ServerLimits
+from berylshift.connection.http_server import HttpServer
+from berylshift.connection.http_server import ServerLimits
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_duties import DutyParts, EntryDuties
+from berylshift.entry_duties import DutyParts
+from berylshift.entry_duties import EntryDuties
 from berylshift.entry_gauges import report_gauges
-from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
+from berylshift.ids import DomainName
+from berylshift.ids import HostName
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.messages.routed import WireCodec
-from berylshift.messages.scaling import ScaleOrdering, ScaleRows
-from berylshift.messages.usage import UsageReporting, UsageRows
+from berylshift.messages.scaling import ScaleOrdering
+from berylshift.messages.scaling import ScaleRows
+from berylshift.messages.usage import UsageReporting
+from berylshift.messages.usage import UsageRows
 from berylshift.process.directory.directory_loop import DirectoryLoop
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.gossip.digest_builder import DigestParts
-from berylshift.process.gossip.load_loop import LoadLink, LoadLoop, LoadParts
+from berylshift.process.gossip.digest_builder import DigestSources
+from berylshift.process.gossip.load_loop import LoadLink
+from berylshift.process.gossip.load_loop import LoadLoop
+from berylshift.process.gossip.load_loop import LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.leader_tasks.leader_lease import DutyLease
 from berylshift.process.leader_tasks.phase_loop import PhaseLoop
 from berylshift.process.leader_tasks.phase_planner import PhasePlanner
-from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
+from berylshift.process.limits.arrival_budget import ArrivalBudget
+from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.limit_shares import LimitShare, LimitShares
+from berylshift.process.targets.limit_shares import LimitShare
+from berylshift.process.targets.limit_shares import LimitShares
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.rate_limits import RateLimits
-from berylshift.process.targets.recent_durations import RecentTimes
+from berylshift.process.targets.recent_durations import RecentDurations
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.key_gate import KeyGate
-from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES
+from berylshift.request.placement_policies import PlacementContext
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.request.relay_dependencies import RelayDependencies
@@ -55,7 +60,14 @@
 from berylshift.store.host_rows import HostRows
 from berylshift.store.lease_rows import LeaseRows
 from berylshift.telemetry import Telemetry
-from berylshift.version.routes import EngineFacts, RouteTable, Service
+from berylshift.version.routes import EngineFacts
+from berylshift.version.routes import RouteTable
+from berylshift.version.routes import Service
+from collections.abc import Callable
+from dataclasses import dataclass
+import logging
+import random
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -110,10 +122,10 @@
         self.phases = ExpectedPhases()
         self.heartbeat = cfg.directory.heartbeat_ms / 1000
         self.replicas = ReplicaSet(self.phases, ENTRY_TTL_HEARTBEATS * self.heartbeat)
-        self.loads = TargetLoads(lambda: self.load_loop.work_came())
+        self.loads = TargetLoads(lambda: self.load_loop.notify_work())
         self.leaving = False
         self.shutdown = Shutdown(ports.clock)
-        self.times = RecentTimes(ports.clock)
+        self.times = RecentDurations(ports.clock)
         self._started = ports.clock.monotonic()
         self._pools: set[ServiceName] = set()
         self._budgets: dict[ServiceName, ArrivalBudget] = {}
@@ -121,7 +133,7 @@
         self.peers = PeerLoads(cfg.host.name, cfg.host.domain)
         in_force = min(cfg.directory.in_force_ms, cfg.directory.leaving_ms) / 1000
         self.watch = StoreWatch(in_force, ports.boot_clock)
-        self.warm = WarmParts()
+        self.warm = PrefixCacheIndex()
         self.quarantine = Quarantine(self.heartbeat)
         self.fingerprints = RequestFingerprinter()
         self.speeds = EngineSpeeds(self._engine_facts)
@@ -212,27 +224,27 @@
 
     def _make_load_loop(self) -> LoadLoop:
         cfg, ports = self.cfg, self.ports
-        digest = DigestParts(
+        digest = DigestSources(
             host=cfg.host.name,
             domain=cfg.host.domain,
             loads=self.loads,
             peers=self.peers,
-            warm=self.warm,
+            prefix_cache=self.warm,
             phases=self.phases,
             watch=self.watch,
             quarantine=self.quarantine,
             usage=self.duties.usage,
             throttle=self.throttle,
         )
-        parts = LoadParts(
-            digest=digest,
+        parts = LoadLoopDependencies(
+            sources=digest,
             address=cfg.host.peer_address,
             rows=ports.hosts,
             make_link=ports.make_link,
             clock=ports.clock,
             rng=ports.rng,
             byte_budget=cfg.peers.byte_budget,
-            on_news=lambda: self.follower.notify_change(),
+            on_store_change=lambda: self.follower.notify_change(),
             eras=self.watch.eras,
             on_joined=self.fingerprints.use_key,
         )
@@ -345,7 +357,7 @@
 
     def _duty_place(self, duty: str) -> int | None:
         """Return this host's place in order for a duty; none while it leaves."""
-        return None if self.leaving else self.load_loop.duty_place(duty)
+        return None if self.leaving else self.load_loop.duty_rank(duty)
 
     def _make_pool(self, service: ServiceName) -> PhaseLoop:
         cfg, ports = self.cfg, self.ports
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -14,9 +14,9 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoad
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from collections.abc import Iterable
 from enum import StrEnum
 from typing import Protocol
@@ -138,7 +138,7 @@
         self,
         loads: TargetLoads,
         peers: PeerLoads,
-        warm: WarmParts,
+        warm: PrefixCacheIndex,
         speeds: EngineSpeeds,
         domain: DomainName,
         rng: random.Random,
@@ -227,7 +227,7 @@
             rep.instance: rep for rep in (*homes, *self._sample(pool.prefill_engines))
         }
         if homes:
-            for engine_hash in self._warm.keepers(prompt.prefix_blocks[-1].id):
+            for engine_hash in self._warm.engines_caching(prompt.prefix_blocks[-1].id):
                 caching_engine = pool.prefill_engine(engine_hash)
                 if caching_engine is not None:
                     candidates[caching_engine.instance] = caching_engine
@@ -262,7 +262,7 @@
         return Placement(replica, reason, seconds, tokens, cost, queued, uncached)
 
     def _prefill_rate(self, replica: Replica) -> float:
-        return self._speeds.read_rate(replica.service)
+        return self._speeds.prefill_rate(replica.service)
 
     def _reason(
         self, replica: Replica, homes: tuple[Replica, ...], caches_all: bool
@@ -287,9 +287,9 @@
     def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
         """Return the leading tokens of a prompt that an engine probably has cached."""
         cached = 0
-        capacity_tokens = self._speeds.memory_tokens(replica.service)
+        capacity_tokens = self._speeds.kv_capacity_tokens(replica.service)
         for block in prompt.prefix_blocks:
-            if not self._warm.keeps(block.id, replica.instance, capacity_tokens):
+            if not self._warm.is_cached(block.id, replica.instance, capacity_tokens):
                 break
             cached += block.tokens
         return cached
@@ -298,14 +298,14 @@
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._warm.sent(block.id, block.tokens, placement.target.instance, now)
+                self._warm.note_sent(block.id, block.tokens, placement.target.instance, now)
 
     def _queued_tokens(self, replica: Replica, urgency: Urgency, now: float) -> float:
         """Return the known tokens that are prefilled before a new prompt."""
         load = self._loads.of(replica.instance)
-        others = self._peers.reading(replica.instance, now)
-        known = sum(load.reading[: urgency + 1]) + sum(others[: urgency + 1])
-        patient = sum(load.reading[urgency + 1 :]) + sum(others[urgency + 1 :])
+        others = self._peers.prefill_tokens(replica.instance, now)
+        known = sum(load.prefill_tokens[: urgency + 1]) + sum(others[: urgency + 1])
+        patient = sum(load.prefill_tokens[urgency + 1 :]) + sum(others[urgency + 1 :])
         known += min(BEGUN_TOKENS, patient)
         return max(known, load.waiting(now) * WAITING_TOKENS)
 
@@ -318,15 +318,17 @@
     ) -> Placement:
         load, service = self._loads.of(replica.instance), replica.service
         running = self._running_requests(replica, load, now)
-        seconds = running * self._speeds.running_seconds(service)
+        seconds = running * self._speeds.seconds_per_running_request(service)
         waiting = max(0.0, running + 1 - replica.slots)
         seconds += waiting * self._speeds.slot_seconds(service, replica.slots)
-        queued = sum(load.reading) + sum(self._peers.reading(replica.instance, now))
+        queued = sum(load.prefill_tokens) + sum(
+            self._peers.prefill_tokens(replica.instance, now)
+        )
         tokens = 0
         if prefill_engine is None:
             tokens = prefill_work(prompt.tokens, 0)
         else:
-            transfer_seconds = self._speeds.move_seconds(service, prompt.tokens)
+            transfer_seconds = self._speeds.kv_transfer_seconds(service, prompt.tokens)
             same_domain = prefill_engine.domain == replica.domain
             seconds += (
                 transfer_seconds if same_domain else AWAY_MOVE_FACTOR * transfer_seconds
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -5,7 +5,7 @@
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.prefill_send_rate import ReadingFlow
+from berylshift.process.targets.prefill_send_rate import PrefillSendRate
 from berylshift.request.placement import Placement
 from berylshift.request.placement import PlacementPolicy
 from berylshift.request.slo_status import RouteObjective
@@ -58,7 +58,7 @@
         self._placer = placer
         self._speeds = speeds
         self._host_count = host_count
-        self._flow = ReadingFlow()
+        self._flow = PrefillSendRate()
 
     def choose(self, job: PrefillJob, now: float) -> PrefillDecision | None:
         """Return where to prefill a prompt; ``None``: the decode engine does.
@@ -81,7 +81,7 @@
         """Record that a prompt is sent as decided."""
         self._placer.note_sent(decision.placement, job.prompt, now)
         if decision.slo_status is SloStatus.ON_TIME:
-            self._flow.sent(job.service, decision.placement.tokens, now)
+            self._flow.note_sent(job.service, decision.placement.tokens, now)
 
     def _place(
         self, job: PrefillJob, slo_status: SloStatus, now: float
@@ -101,5 +101,5 @@
     def _on_time_share(self, job: PrefillJob, now: float) -> float:
         """Return the share of engine time that prompts on time take."""
         flow = self._flow.rate(job.service, now) * self._host_count()
-        rate = self._speeds.read_rate(job.service)
+        rate = self._speeds.prefill_rate(job.service)
         return flow / max(1.0, len(job.pool.prefill_engines) * rate)
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -9,8 +9,8 @@
 from berylshift.messages.routed import Dispatch
 from berylshift.messages.routed import Prompt
 from berylshift.messages.routed import RoutedRequest
-from berylshift.process.targets.target_load import MILD
-from berylshift.process.targets.target_load import SEVERE
+from berylshift.process.targets.target_load import MILD_FAILURE
+from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
@@ -346,7 +346,7 @@
             await self._record_health(place.target, found.end)
         else:
             self.crash_watch.on_response(place.target, sent_at)
-            self._deps.speeds.was_read(
+            self._deps.speeds.note_prefill(
                 self.service, place.tokens, place.queued, self._now() - sent_at
             )
         self._kv_source, self._kv_source_uses = found.source, 0
@@ -396,7 +396,7 @@
             return None
         loads, instance = self._deps.loads, place.target.instance
         limit_exempt = self._choice.use(instance)
-        loads.sent(instance, place.tokens, self._urgency)
+        loads.note_sent(instance, place.tokens, self._urgency)
         prefill = PendingPrefill(loads, instance, place.tokens, self._urgency)
         self._open_placement = place
         sent_at = self._attempt_started = self._now()
@@ -407,7 +407,7 @@
             outcome = await self._exchange.run(out, prefill)
         finally:
             prefill.done()
-            loads.ended(instance)
+            loads.note_ended(instance)
             self._report_run(
                 sent_at, self._history.has_open_attempt or outcome.may_have_run
             )
@@ -445,10 +445,10 @@
         if self._req.prompt is None or self._out.first_event_at is None:
             return
         speeds, waited = self._deps.speeds, self._out.first_event_at - sent_at
-        speeds.answered(self.service, self._now() - sent_at)
+        speeds.note_response(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.began(self.service, tokens, place.queued, waited)
+            speeds.note_first_token(self.service, tokens, place.queued, waited)
 
     def _settle_kv_source(self, outcome: AttemptOutcome) -> None:
         """Keep the KV cache for another engine if this one did not take it.
@@ -462,12 +462,12 @@
         self._kv_source_uses += 1
         loads, prefill_engine = self._deps.loads, self._kv_source.engine.instance
         if outcome.may_have_run:
-            loads.succeeded(prefill_engine, self._now())
+            loads.note_success(prefill_engine, self._now())
             self._kv_source = None
         elif self._kv_source_uses < MAX_KV_SOURCE_USES:
-            loads.failed(prefill_engine, MILD, self._now())
+            loads.note_failure(prefill_engine, MILD_FAILURE, self._now())
         else:
-            loads.failed(prefill_engine, SEVERE, self._now())
+            loads.note_failure(prefill_engine, SEVERE_FAILURE, self._now())
             self._release_kv_source()
 
     async def _record_health(self, replica: Replica, outcome: AttemptOutcome) -> None:
@@ -478,13 +478,13 @@
         """
         loads, now, instance = self._deps.loads, self._now(), replica.instance
         if outcome is AttemptOutcome.DONE:
-            loads.succeeded(instance, now)
+            loads.note_success(instance, now)
         elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.NOT_RUN):
-            loads.failed(instance, MILD, now)
+            loads.note_failure(instance, MILD_FAILURE, now)
         elif outcome is AttemptOutcome.THROTTLED:
             logger.info("send throttled", extra={"instance": instance})
         else:
-            loads.failed(instance, SEVERE, now)
+            loads.note_failure(instance, SEVERE_FAILURE, now)
             self._deps.client.forget(instance)
         if outcome is AttemptOutcome.BROKEN:
             await self.crash_watch.on_connection_lost(replica)
--- a/berylshift/request/relay_dependencies.py
+++ b/berylshift/request/relay_dependencies.py
@@ -1,24 +1,24 @@
 """Dependencies of a relay, wired once per process."""
 
-from collections.abc import Callable
-from dataclasses import dataclass
-
 from berylshift.clock import Clock
 from berylshift.connection.target_client import TargetClient
-from berylshift.ids import CustomerName, ServiceName
+from berylshift.ids import CustomerName
+from berylshift.ids import ServiceName
 from berylshift.messages.routed import WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.limits.arrival_budget import ArrivalBudget
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.recent_durations import RecentTimes
+from berylshift.process.targets.recent_durations import RecentDurations
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.placement import PlacementPolicy
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
+from collections.abc import Callable
+from dataclasses import dataclass
 
 
 @dataclass
@@ -36,7 +36,7 @@
     shutdown: Shutdown
     retry_budget_for: Callable[[ServiceName], ArrivalBudget]
     prefill_scheduler: PrefillScheduler
-    recent_durations: RecentTimes
+    recent_durations: RecentDurations
     quarantine: Quarantine
     fingerprints: RequestFingerprinter
     throttle: Throttle
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -55,7 +55,7 @@
 
     def avoided(self, response_started: bool) -> list[InstanceId]:
         """Return the replicas that the request may not be sent to."""
-        throttled = self._parts.throttle.closed(self._now())
+        throttled = self._parts.throttle.blocked(self._now())
         avoided = [
             *self._tried,
             *(name for name in throttled if name != self._reserved),
@@ -80,7 +80,7 @@
     def check_not_throttled(self) -> None:
         """Raise ``AllThrottledError`` if all remaining decode engines are throttled."""
         throttle, now = self._parts.throttle, self._now()
-        throttled = set(throttle.closed(now)).difference(self._tried)
+        throttled = set(throttle.blocked(now)).difference(self._tried)
         answerers = [rep.instance for rep in self.pool().decode_engines]
         waits = [
             throttle.retry_after(name, now) for name in answerers if name in throttled
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -193,7 +193,7 @@
         if shutdown.has_time_for(request_timeout(route, req).seconds):
             return True
         return shutdown.is_news and shutdown.has_time_for(
-            self._deps.recent_durations.likely(route.name)
+            self._deps.recent_durations.upper_bound(route.name)
         )
 
     async def _reject(
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -1,13 +1,13 @@
 """Flow control between all calls to replicas and their connections."""
 
-import logging
-
 from berylshift.clock import Clock
 from berylshift.connection.errors import ThrottledError
 from berylshift.ids import InstanceId
-from berylshift.messages.routed import Header, WireCodec
+from berylshift.messages.routed import Header
+from berylshift.messages.routed import WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.throttle import Throttle
+import logging
 
 logger = logging.getLogger(__name__)
 
@@ -33,7 +33,7 @@
         if self._replicas.is_draining(instance):
             raise ThrottledError(f"{instance} is draining")
         now = self._clock.monotonic()
-        wait = self._throttle.take(instance, now, limit_exempt)
+        wait = self._throttle.acquire(instance, now, limit_exempt)
         if wait > 0:
             raise ThrottledError(f"{instance} accepts no request for {wait:.2f} s")
         return now
@@ -50,6 +50,6 @@
         if control is None:
             return
         now = self._clock.monotonic()
-        self._throttle.heard(instance, control, entered_at, now)
+        self._throttle.apply_flow_control(instance, control, entered_at, now)
         if control.draining and self._replicas.mark_draining(instance, now):
             logger.info("replica is draining", extra={"instance": instance})
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -1,14 +1,15 @@
 """Tests how fast many hosts learn of a request that crashes replicas."""
 
-import random
-import unittest
-
-import trio
-
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.tests.multi_host_world import GatheredHost, GatheredWorld, Path
-from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
+from berylshift.tests.multi_host_world import MultiHostWorld
+from berylshift.tests.multi_host_world import Path
+from berylshift.tests.multi_host_world import WorldHost
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS
+from berylshift.tests.test_gossip_collectors import run_world
+import random
+import trio
+import unittest
 
 BAD = combine_hashes(7, 1)
 # The platform counts a host as connected after this time without faults, and allows it
@@ -25,20 +26,20 @@
 SEEDS = range(8)
 
 
-def has_quarantined(host: GatheredHost) -> bool:
+def has_quarantined(host: WorldHost) -> bool:
     """Return whether a host has quarantined the request."""
     return host.quarantine.remaining_seconds(BAD, trio.current_time()) > 0
 
 
-def crash(host: GatheredHost, number: int) -> None:
+def crash(host: WorldHost, number: int) -> None:
     """Have a host observe a replica crash during the request."""
     now = trio.current_time()
     host.quarantine.record_crash(BAD, InstanceId(f"engine-{number}"), now)
 
 
-def crash_two_replicas(world: GatheredWorld) -> None:
+def crash_two_replicas(world: MultiHostWorld) -> None:
     """Have two hosts of different domains, neither a collector, observe one crash."""
-    others = [host for host in world.hosts if not host.peers.collects]
+    others = [host for host in world.hosts if not host.peers.is_collector]
     first = others[0]
     second = next(host for host in others if host.domain != first.domain)
     crash(first, 1)
@@ -96,7 +97,7 @@
 class FaultSchedule:
     """A caller that retries a crashing request while hosts suffer random faults."""
 
-    def __init__(self, world: GatheredWorld, seed: int):
+    def __init__(self, world: MultiHostWorld, seed: int):
         """Use ``world``, with random choices from ``seed``."""
         self.world = world
         self.rng = random.Random(seed)
@@ -113,7 +114,7 @@
                     await trio.sleep(MEAN_RETRY_SECONDS * self.rng.random() * 2)
                     self._send_request(self.rng.choice(self.world.hosts))
 
-    def _send_request(self, host: GatheredHost) -> None:
+    def _send_request(self, host: WorldHost) -> None:
         if has_quarantined(host):
             return
         now = trio.current_time()
@@ -131,7 +132,7 @@
                     self._inject_fault, self.rng.choice(self.world.hosts)
                 )
 
-    async def _inject_fault(self, host: GatheredHost) -> None:
+    async def _inject_fault(self, host: WorldHost) -> None:
         fault_seconds = self.rng.uniform(0.3, 4.0)
         until = trio.current_time() + fault_seconds + STABLE_SECONDS
         self.faulty_until[host.name] = max(until, self.faulty_until.get(host.name, 0.0))
@@ -145,7 +146,7 @@
                 await self._set_path(host, Path.HELD, fault_seconds)
 
     async def _set_path(
-        self, host: GatheredHost, path: Path, fault_seconds: float
+        self, host: WorldHost, path: Path, fault_seconds: float
     ) -> None:
         self.world.net.paths[host.address] = path
         await trio.sleep(fault_seconds)
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -12,10 +12,10 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE
-from berylshift.process.targets.target_load import SEVERE
+from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
+from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import BEGUN_TOKENS
 from berylshift.request.placement import DIRECT_TOKENS
 from berylshift.request.placement import LOOKED_AT
@@ -58,7 +58,7 @@
     def setUp(self):
         self.loads = TargetLoads()
         self.peers = PeerLoads("me")
-        self.warm = WarmParts()
+        self.warm = PrefixCacheIndex()
         self.placer = self.make_placer(1)
 
     def make_placer(self, seed: int) -> Placer:
@@ -114,7 +114,7 @@
 
     def report_queue(self, instance: str, tokens: int) -> None:
         entry = LoadEntry(target_hash(instance), 3, (0, tokens, 0), 0.0)
-        self.peers.take(LoadDigest("other", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("other", 1, (entry,)), 0.0)
 
     def fill_home_cache(self) -> Replica:
         """Send a prompt to its home engine, which is returned."""
@@ -184,7 +184,7 @@
         wanted = Prompt((root, branch, PromptBlock("x", 1_000)), 7_500, 80)
         home = home_of(wanted, PREFILL_ENGINES)
         for engine in PREFILL_ENGINES:
-            self.warm.sent("root", 2_500, engine.instance, 0.0)
+            self.warm.note_sent("root", 2_500, engine.instance, 0.0)
         self.report_queue(home.instance, 5_000)
         placement = self.choose_prefill(wanted)
         self.assertEqual(
@@ -198,18 +198,18 @@
 
     def test_more_urgent_work_waits_less(self):
         home = self.fill_home_cache()
-        self.loads.sent(home.instance, 60_000, Urgency.PATIENT)
+        self.loads.note_sent(home.instance, 60_000, Urgency.PATIENT)
         pool = Pool([home])
         urgent = self.placer.choose_prefill(pool, prompt(), Urgency.URGENT, (), 0.0)
         patient = self.placer.choose_prefill(pool, prompt(), Urgency.PATIENT, (), 0.0)
-        skipped = (60_000 - BEGUN_TOKENS) / PRIOR_READ_RATE
+        skipped = (60_000 - BEGUN_TOKENS) / PRIOR_PREFILL_RATE
         self.assertAlmostEqual(patient.seconds - urgent.seconds, skipped, delta=0.005)
 
     def test_an_urgent_prompt_avoids_an_engine_with_a_long_prefill(self):
         # An engine does not preempt the prompt that it is prefilling. A short prompt
         # sent there would wait up to 0.3 s, half of its time limit to be on time.
         engines = PREFILL_ENGINES[:2]
-        self.loads.sent(engines[0].instance, 20_000, Urgency.PATIENT)
+        self.loads.note_sent(engines[0].instance, 20_000, Urgency.PATIENT)
         short = prompt("p9", prefix_tokens=200, own_tokens=2_500)
         placement = self.placer.choose_prefill(
             Pool(engines), short, Urgency.URGENT, (), 0.0
@@ -232,7 +232,7 @@
     def test_engines_with_the_prefix_cached_are_candidates(self):
         home = home_of(prompt(), self.LARGE_POOL)
         caching_engine = next(rep for rep in self.LARGE_POOL if rep != home)
-        self.warm.sent("p1", 13_000, caching_engine.instance, 0.0)
+        self.warm.note_sent("p1", 13_000, caching_engine.instance, 0.0)
         placement = self.choose_prefill(prompt(), engines=self.LARGE_POOL)
         self.assertEqual(
             (placement.target, placement.reason), (caching_engine, PlacementReason.WARM)
@@ -259,7 +259,7 @@
 
     def test_queued_decode_engines_do_not_prefill_short_prompts(self):
         for engine in DECODE_ENGINES:
-            self.loads.sent(engine.instance, 20_000, Urgency.URGENT)
+            self.loads.note_sent(engine.instance, 20_000, Urgency.URGENT)
         self.assertIsNotNone(
             self.choose_prefill(prompt(prefix_tokens=300, own_tokens=1000))
         )
@@ -278,7 +278,7 @@
     def test_least_loaded(self):
         for engine in DECODE_ENGINES[:-1]:
             for _ in range(10):
-                self.loads.sent(engine.instance, 0, Urgency.USUAL)
+                self.loads.note_sent(engine.instance, 0, Urgency.USUAL)
         placement = self.placer.choose_decode(
             Pool(ENGINES), prompt(), PREFILL_ENGINES[0], (), 0.0
         )
@@ -307,7 +307,7 @@
         near = replica(1, EnginePhase.DECODE, "d1")
         far = replica(2, EnginePhase.DECODE, "d2")
         for _ in range(running):
-            self.loads.sent(near.instance, 0, Urgency.USUAL)
+            self.loads.note_sent(near.instance, 0, Urgency.USUAL)
         prefill_engine = replica(3, EnginePhase.PREFILL, "d3")
         placement = self.placer.choose_decode(
             Pool([near, far]), wanted, prefill_engine, (), 0.0
@@ -341,19 +341,19 @@
 
     def test_a_busy_replica_of_the_own_domain_is_skipped(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
-        self.loads.heard(near.instance, ReportedLoad(8, 6, 8), 0.0)
+        self.loads.note_report(near.instance, ReportedLoad(8, 6, 8), 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([far, near]), (), 0.0).target, far
         )
 
     def test_a_failing_replica_is_avoided_and_tried_again(self):
         one, two = replica(1), replica(2)
-        self.loads.failed(one.instance, SEVERE, 0.0)
+        self.loads.note_failure(one.instance, SEVERE_FAILURE, 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 0.1).target, two
         )
         for _ in range(3):
-            self.loads.sent(two.instance, 0, Urgency.USUAL)
+            self.loads.note_sent(two.instance, 0, Urgency.USUAL)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 15.0).target, one
         )
@@ -362,11 +362,11 @@
         """A partitioned host sees every replica fail and reports that to the others."""
         one, two = replica(1), replica(2, domain="d2")
         entry = LoadEntry(target_hash(one.instance), 0, (0, 0, 0), 5.0)
-        self.peers.take(LoadDigest("cut-off", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("cut-off", 1, (entry,)), 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 0.1).target, one
         )
-        self.peers.take(LoadDigest("another", 1, (entry,)), 0.0)
+        self.peers.receive(LoadDigest("another", 1, (entry,)), 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 0.1).target, two
         )
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -5,8 +5,8 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.request.placement_policies import PlacementContext
 from berylshift.settings import CHOICES
@@ -26,7 +26,7 @@
         self.context = PlacementContext(
             self.loads,
             PeerLoads("me"),
-            WarmParts(),
+            PrefixCacheIndex(),
             EngineSpeeds(),
             "d1",
             random.Random(1),
@@ -54,7 +54,7 @@
 
     def test_least_reported_uses_the_last_report(self):
         for number, rep in enumerate(DECODE_ENGINES):
-            self.loads.heard(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
+            self.loads.note_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         policy = PLACEMENT_POLICIES["least-reported"](self.context)
         placement = policy.choose_decode(
             self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0
@@ -66,8 +66,8 @@
         wanted = prompt()
         home = self.pool.homes(wanted.prefix_blocks[-1].id)[0]
         for block in wanted.prefix_blocks:
-            self.context.warm.sent(block.id, block.tokens, home.instance, 0.0)
-        self.loads.sent(home.instance, 5_000, Urgency.USUAL)
+            self.context.warm.note_sent(block.id, block.tokens, home.instance, 0.0)
+        self.loads.note_sent(home.instance, 5_000, Urgency.USUAL)
         placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
         self.assertIsNot(placement.target, home)
         self.assertIs(self.choose_prefill("warm", wanted).target, home)
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -5,9 +5,9 @@
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.engine_speeds import PRIOR_READ_RATE
+from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE
+from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.process.targets.warm_parts import WarmParts
 from berylshift.request.placement import Placer
 from berylshift.request.prefill_scheduler import PrefillDecision
 from berylshift.request.prefill_scheduler import PrefillJob
@@ -25,7 +25,7 @@
 PREFILL_ENGINE = replica(1, EnginePhase.PREFILL)
 POOL = Pool([PREFILL_ENGINE, replica(2, EnginePhase.DECODE)])
 # The tokens that the engine prefills in half a second.
-HALF_SECOND_TOKENS = int(PRIOR_READ_RATE / 2)
+HALF_SECOND_TOKENS = int(PRIOR_PREFILL_RATE / 2)
 
 
 class BurstTest(unittest.TestCase):
@@ -38,7 +38,7 @@
 
     def setUp(self):
         self.loads, speeds = TargetLoads(), EngineSpeeds()
-        peers, warm, rng = PeerLoads("me"), WarmParts(), random.Random(1)
+        peers, warm, rng = PeerLoads("me"), PrefixCacheIndex(), random.Random(1)
         placer = Placer(self.loads, peers, warm, speeds, "d1", rng)
         self.scheduler = PrefillScheduler(placer, speeds, lambda: 1)
         self.now = 0.0
@@ -52,7 +52,7 @@
             if decision.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
             self.scheduler.sent(job, decision, self.now)
-            self.loads.sent(PREFILL_ENGINE.instance, decision.placement.tokens, urgency)
+            self.loads.note_sent(PREFILL_ENGINE.instance, decision.placement.tokens, urgency)
         return decision
 
     def test_the_first_of_a_burst_are_on_time_and_the_last_are_refused(self):
@@ -70,7 +70,7 @@
     def test_a_prompt_that_can_be_on_time_overtakes_late_ones(self):
         for _ in range(60):
             self.arrive()
-        self.loads.of(PREFILL_ENGINE.instance).reading[Urgency.URGENT] = 0
+        self.loads.of(PREFILL_ENGINE.instance).prefill_tokens[Urgency.URGENT] = 0
         decision = self.arrive()
         self.assertIs(decision.slo_status, SloStatus.ON_TIME)
         self.assertLess(decision.seconds, ROUTE.objective)
@@ -87,7 +87,7 @@
             self.scheduler.sent(
                 job, PrefillDecision(placement, slo_status, 0.0), self.now
             )
-        self.loads.sent(PREFILL_ENGINE.instance, 2 * HALF_SECOND_TOKENS, Urgency.URGENT)
+        self.loads.note_sent(PREFILL_ENGINE.instance, 2 * HALF_SECOND_TOKENS, Urgency.URGENT)
         return self.arrive().seconds
 
     def test_late_prompts_expect_to_be_overtaken(self):
--- a/berylshift/tests/test_request_slo_status.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -1,23 +1,20 @@
 """Prompts that can still meet their objective are prefilled before late ones."""
 
-import unittest
-
-import msgspec
-
 from berylshift.messages.load_digest import Urgency
-from berylshift.process.targets.prefill_send_rate import FLOW_SECONDS, ReadingFlow
-from berylshift.request.slo_status import (
-    LAST_RANK,
-    LEAST_LATE_SHARE,
-    ON_TIME_SHARE,
-    SloStatus,
-    engine_rank,
-    late_prefill_seconds,
-    slo_status_of,
-    urgency_for,
-)
+from berylshift.process.targets.prefill_send_rate import DECAY_SECONDS
+from berylshift.process.targets.prefill_send_rate import PrefillSendRate
+from berylshift.request.slo_status import LAST_RANK
+from berylshift.request.slo_status import LEAST_LATE_SHARE
+from berylshift.request.slo_status import ON_TIME_SHARE
+from berylshift.request.slo_status import SloStatus
+from berylshift.request.slo_status import engine_rank
+from berylshift.request.slo_status import late_prefill_seconds
+from berylshift.request.slo_status import slo_status_of
+from berylshift.request.slo_status import urgency_for
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
+import msgspec
+import unittest
 
 URGENT_ROUTE = route("x", RouteKind.STREAM, objective=0.2, rank=0)
 LOW_RANK_ROUTE = route("y", RouteKind.STREAM, objective=0.2, rank=7)
@@ -55,16 +52,16 @@
     """The rate of prefill work that goes ahead of late prompts."""
 
     def test_a_steady_flow_is_its_rate(self):
-        flow = ReadingFlow()
+        flow = PrefillSendRate()
         for number in range(100):
-            flow.sent("s", 500, number * 0.1)
+            flow.note_sent("s", 500, number * 0.1)
         self.assertAlmostEqual(flow.rate("s", 10.0), 5_000, delta=500)
         self.assertEqual(flow.rate("other", 10.0), 0.0)
 
     def test_a_flow_that_ended_decays(self):
-        flow = ReadingFlow()
-        flow.sent("s", 50_000, 0.0)
-        self.assertLess(flow.rate("s", 10 * FLOW_SECONDS), 5)
+        flow = PrefillSendRate()
+        flow.note_sent("s", 50_000, 0.0)
+        self.assertLess(flow.rate("s", 10 * DECAY_SECONDS), 5)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -1,12 +1,12 @@
 """Communication between hosts after the store is restored from an older copy."""
 
-import unittest
-
-import trio
-
 from berylshift.process.gossip.protocol import PROBE_SECONDS
-from berylshift.tests.multi_host_world import GatheredWorld, Path
-from berylshift.tests.test_gossip_collectors import BOUND_SECONDS, run_world
+from berylshift.tests.multi_host_world import MultiHostWorld
+from berylshift.tests.multi_host_world import Path
+from berylshift.tests.test_gossip_collectors import BOUND_SECONDS
+from berylshift.tests.test_gossip_collectors import run_world
+import trio
+import unittest
 
 BYTE_BUDGET = 16_384
 HOSTS = 9
@@ -18,7 +18,7 @@
     return run_world(task, HOSTS, DOMAINS, BYTE_BUDGET)
 
 
-def hosts_heard_within(world: GatheredWorld, seconds: float) -> list[int]:
+def hosts_heard_within(world: MultiHostWorld, seconds: float) -> list[int]:
     """Return from how many others each host got a digest within ``seconds``."""
     now = trio.current_time()
     return [
@@ -96,13 +96,13 @@
 
         async def task(world):
             host = next(each for each in world.hosts if not each.watch.reads_feeds)
-            host.view.turned_away = True
+            host.view.refused = True
             await trio.sleep(1)
             world.store.restore(1.0)
             version = world.put_routes()
             await trio.sleep(BOUND_SECONDS)
             era, before = host.watch.eras.current, host.version
-            host.view.turned_away = False
+            host.view.refused = False
             await trio.sleep(BOUND_SECONDS)
             return era, before > 0, host.version == version
 
