--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -46,7 +46,7 @@
     version = done.unwrap().change.version
     start = trio.current_time()
     if read_by_one:
-        await world.hosts["host-1"].app.follower._from_store()
+        await world.hosts["host-1"].app.follower._read_store()
     if outage:
         world.platform.script.down = True
     while any(h.app.holder.table.version < version for h in world.hosts.values()):
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -18,7 +18,10 @@
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.engine_state.prefix_index import PrefixIndex
-from berylshift.process.engine_state.report_poller import PollerParts, ReportPoller
+from berylshift.process.engine_state.report_poller import (
+    PollerDependencies,
+    ReportPoller,
+)
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import StoreBudget
@@ -32,7 +35,7 @@
 from berylshift.process.records.sweep_loop import SweepLoop
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.table.follower import (
-    FollowerParts,
+    FollowerDependencies,
     PeerTables,
     PeerView,
     TableFollower,
@@ -245,7 +248,7 @@
     def _make_loops(self, addresses: Addresses) -> None:
         cfg, ports = self.cfg, self.ports
         self.table_log = TableLog(self.gate, ports.objects)
-        follower = FollowerParts(
+        follower = FollowerDependencies(
             holder=self.holder,
             log=self.table_log,
             fresh=self.fresh,
@@ -254,11 +257,11 @@
             peers=ports.peer_tables,
             clock=ports.clock,
             on_change=self.on_table,
-            poll=cfg.table.poll_interval,
+            poll_interval=cfg.table.poll_interval,
             seeds=[seed.strip() for seed in cfg.host.seeds.split(",") if seed.strip()],
         )
         self.follower = TableFollower(follower)
-        poller = PollerParts(
+        poller = PollerDependencies(
             client=ports.engines,
             load=self.load,
             prefixes=self.know.prefixes,
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -27,7 +27,10 @@
 from berylshift.process.duties.duty_lease import DutyLease
 from berylshift.process.duties.phase_loop import PhaseLoop
 from berylshift.process.duties.phase_planner import PhasePlanner
-from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
+from berylshift.process.limits.shared_retry_budget import (
+    DEFAULT_HOST_COUNT,
+    SharedRetryBudget,
+)
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
 from berylshift.process.shutdown import Shutdown
@@ -116,7 +119,7 @@
         self.times = RecentTimes(ports.clock)
         self._started = ports.clock.monotonic()
         self._pools: set[ServiceName] = set()
-        self._budgets: dict[ServiceName, ArrivalBudget] = {}
+        self._budgets: dict[ServiceName, SharedRetryBudget] = {}
         self._nursery: trio.Nursery | None = None
         self.peers = PeerLoads(cfg.host.name, cfg.host.domain)
         in_force = min(cfg.directory.in_force_ms, cfg.directory.leaving_ms) / 1000
@@ -195,7 +198,7 @@
         shares = LimitShares(
             HostName(self.cfg.host.name),
             lambda: self.load_loop.sharing_hosts(),
-            HOSTS_ASSUMED,
+            DEFAULT_HOST_COUNT,
         )
 
         def share_of(instance: InstanceId, per_second: float) -> LimitShare:
@@ -236,14 +239,16 @@
         )
         return LoadLoop(parts)
 
-    def budget(self, service: ServiceName) -> ArrivalBudget:
+    def budget(self, service: ServiceName) -> SharedRetryBudget:
         """Return the retry budget of a service."""
         found = self._budgets.get(service)
         if found is None:
             cfg = self.cfg.entry
-            found = ArrivalBudget(cfg.retry_ratio, cfg.retry_window, cfg.retry_burst)
+            found = SharedRetryBudget(
+                cfg.retry_ratio, cfg.retry_window, cfg.retry_burst
+            )
             self._budgets[service] = found
-        found.hosts = self._hosts_that_share()
+        found.host_count = self._hosts_that_share()
         return found
 
     def _engine_facts(self, service: ServiceName) -> EngineFacts | None:
@@ -266,7 +271,7 @@
 
     def _hosts_that_share(self) -> int:
         """Return how many hosts share a limit; many, until it is known."""
-        return self.load_loop.known_hosts or HOSTS_ASSUMED
+        return self.load_loop.known_hosts or DEFAULT_HOST_COUNT
 
     def _in_background(self, task, *args) -> None:
         """Run a task that no request waits for; what breaks in it ends it alone."""
@@ -371,7 +376,7 @@
         self.cfg = cfg
         for budget in self._budgets.values():
             entry = cfg.entry
-            budget.set_bounds(entry.retry_ratio, entry.retry_window, entry.retry_burst)
+            budget.set_limits(entry.retry_ratio, entry.retry_window, entry.retry_burst)
         logging.getLogger().setLevel(cfg.observability.log_level)
         if self.routes.table is not None:
             self._on_routes(self.routes.table)
--- a/berylshift/process/engine_state/__init__.py
+++ b/berylshift/process/engine_state/__init__.py
@@ -1,1 +1,1 @@
-"""What this process knows of engines: reports, health, costs, cached prefixes."""
+"""State of engines behind the native API: reports, health, costs, cached prefixes."""
--- a/berylshift/process/engine_state/health.py
+++ b/berylshift/process/engine_state/health.py
@@ -1,8 +1,8 @@
-"""Health of targets, by the ends of the calls sent to them.
+"""Health of targets, a circuit breaker for each by the outcomes of calls to it.
 
-A target that fails fast has short queues and looks cheap: it would draw all the
-work. After failures in a row it is suspended, for longer each time, and one call
-at a time tries it again.
+A target that fails fast has short queues and appears cheap, so it would attract all the
+load. After consecutive failures it is suspended, for longer each time, and probed by
+one call at a time.
 """
 
 from dataclasses import dataclass
@@ -10,67 +10,67 @@
 from berylshift.ids import TargetName
 from berylshift.process.targets.backoffs import Backoffs
 
-FAILURES_ALLOWED = 2
-FIRST_SUSPENSION = 0.5
-LONGEST_SUSPENSION = 15.0
+FAILURES_UNTIL_SUSPENDED = 2
+FIRST_SUSPENSION_SECONDS = 0.5
+MAX_SUSPENSION_SECONDS = 15.0
 
 
 @dataclass
 class _Record:
     failures: int = 0
-    until: float = 0.0
-    trial: bool = False
+    suspended_until: float = 0.0
+    is_probing: bool = False
 
 
 class Health:
     """Suspends targets whose calls fail; times in seconds."""
 
     def __init__(self) -> None:
-        """Start with all targets in good health."""
+        """Start with all targets healthy."""
         self._records: dict[TargetName, _Record] = {}
         self._backoffs: Backoffs[TargetName] = Backoffs()
 
-    def succeeded(self, target: TargetName) -> None:
-        """Note a call that ended well."""
+    def note_success(self, target: TargetName) -> None:
+        """Note a call that succeeded."""
         self._records.pop(target, None)
 
-    def failed(self, target: TargetName, now: float) -> None:
-        """Note a call that failed by the target's fault."""
+    def note_failure(self, target: TargetName, now: float) -> None:
+        """Note a call that failed because of the target."""
         record = self._records.setdefault(target, _Record())
         record.failures += 1
-        record.trial = False
-        over = record.failures - FAILURES_ALLOWED
-        if over >= 0:
-            seconds = min(LONGEST_SUSPENSION, FIRST_SUSPENSION * 2**over)
-            record.until = now + seconds
+        record.is_probing = False
+        excess = record.failures - FAILURES_UNTIL_SUSPENDED
+        if excess >= 0:
+            seconds = min(MAX_SUSPENSION_SECONDS, FIRST_SUSPENSION_SECONDS * 2**excess)
+            record.suspended_until = now + seconds
 
     def back_off(self, target: TargetName, seconds: float, now: float) -> None:
-        """Send nothing to a target for ``seconds``, by its own word."""
+        """Send nothing to a target for ``seconds``, as it requested."""
         if seconds > 0:
             self._backoffs.back_off(target, seconds, now)
 
-    def started(self, target: TargetName) -> None:
-        """Note that a call goes out; a suspended target is on trial by it."""
+    def note_start(self, target: TargetName) -> None:
+        """Note that a call is sent; it probes a target that was suspended."""
         record = self._records.get(target)
-        if record is not None and record.failures >= FAILURES_ALLOWED:
-            record.trial = True
+        if record is not None and record.failures >= FAILURES_UNTIL_SUSPENDED:
+            record.is_probing = True
 
-    def cancelled(self, target: TargetName) -> None:
-        """Note a call that ended by its caller's will: it says nothing."""
+    def note_cancelled(self, target: TargetName) -> None:
+        """Note a call that its caller cancelled, which shows nothing of the target."""
         record = self._records.get(target)
         if record is not None:
-            record.trial = False
+            record.is_probing = False
 
-    def usable(self, target: TargetName, now: float) -> bool:
-        """Return whether a call may go there now."""
+    def is_usable(self, target: TargetName, now: float) -> bool:
+        """Return whether a call may be sent to the target now."""
         if self._backoffs.wait(target, now) > 0:
             return False
         record = self._records.get(target)
-        if record is None or record.failures < FAILURES_ALLOWED:
+        if record is None or record.failures < FAILURES_UNTIL_SUSPENDED:
             return True
-        return now >= record.until and not record.trial
+        return now >= record.suspended_until and not record.is_probing
 
-    def suspended(self, now: float) -> list[TargetName]:
-        """Return the targets that take no call now."""
+    def suspended_targets(self, now: float) -> list[TargetName]:
+        """Return the targets that no call may be sent to now."""
         known = self._records.keys() | self._backoffs.active(now)
-        return sorted(name for name in known if not self.usable(name, now))
+        return sorted(name for name in known if not self.is_usable(name, now))
--- a/berylshift/process/engine_state/output_lengths.py
+++ b/berylshift/process/engine_state/output_lengths.py
@@ -7,15 +7,15 @@
 from berylshift.ids import CustomerName, WorkName
 
 RELATIVE_ACCURACY = 0.05
-SKETCH_CALLS = 256
-SKETCHES_KEPT = 512
+CALLS_PER_SKETCH = 256
+MAX_WINDOWS = 512
 EXPECTED_QUANTILE = 0.6
 DEFAULT_TOKENS = 128
-FEWEST_CALLS = 8
+MIN_CALLS = 8
 
 
 class _Window:
-    """Two sketches in turn, so that old calls are forgotten."""
+    """Two sketches used in rotation, so that old calls are dropped."""
 
     def __init__(self) -> None:
         self.current = DDSketch(RELATIVE_ACCURACY)
@@ -23,40 +23,40 @@
 
     def add(self, value: float) -> None:
         self.current.add(value)
-        if self.current.count >= SKETCH_CALLS:
+        if self.current.count >= CALLS_PER_SKETCH:
             self.previous = self.current
             self.current = DDSketch(RELATIVE_ACCURACY)
 
     def quantile(self) -> float | None:
         newest = self.current
-        if newest.count < FEWEST_CALLS:
+        if newest.count < MIN_CALLS:
             newest = self.previous
-        if newest.count < FEWEST_CALLS:
+        if newest.count < MIN_CALLS:
             return None
         return newest.get_quantile_value(EXPECTED_QUANTILE)
 
 
 class OutputLengths:
-    """Learns how many tokens answers have; bounded in memory."""
+    """Learns how many tokens responses have; bounded in memory."""
 
     def __init__(self) -> None:
-        """Start knowing nothing."""
+        """Start without data."""
         self._windows: OrderedDict[tuple[str, str], _Window] = OrderedDict()
 
     def learn(self, customer: CustomerName, model: WorkName, tokens: int) -> None:
-        """Take the length of a whole answer."""
+        """Add the length of a complete response."""
         for key in ((customer, model), ("", model)):
             window = self._windows.setdefault(key, _Window())
             self._windows.move_to_end(key)
             window.add(max(1, tokens))
-        while len(self._windows) > SKETCHES_KEPT:
+        while len(self._windows) > MAX_WINDOWS:
             self._windows.popitem(last=False)
 
-    def expected(self, customer: CustomerName, model: WorkName, most: int) -> int:
-        """Return the expected length, at most ``most``."""
+    def expected(self, customer: CustomerName, model: WorkName, max_tokens: int) -> int:
+        """Return the expected length, at most ``max_tokens``."""
         for key in ((customer, model), ("", model)):
             window = self._windows.get(key)
             value = window.quantile() if window else None
             if value is not None:
-                return max(1, min(most, int(value)))
-        return min(most, DEFAULT_TOKENS)
+                return max(1, min(max_tokens, int(value)))
+        return min(max_tokens, DEFAULT_TOKENS)
--- a/berylshift/process/engine_state/prefix_index.py
+++ b/berylshift/process/engine_state/prefix_index.py
@@ -1,8 +1,8 @@
-"""Which engine is likely to hold which prompt prefix in its cache.
+"""Which engine is likely to have which prompt prefix in its cache.
 
-Prompts are cut into blocks; a running hash names each leading run of blocks, as
-the engines' cache events do. Only depths of 1, 2, 4, ... blocks are kept, so a
-lookup costs the logarithm of the prompt's length.
+Prompts are divided into blocks; a running hash identifies each leading run of blocks,
+as in the engines' cache events. Only depths of 1, 2, 4, ... blocks are stored, so that
+a lookup takes the logarithm of the prompt's length.
 """
 
 from collections import OrderedDict
@@ -15,7 +15,7 @@
 BLOCK_BYTES = 256
 BLOCK_TOKENS = 64
 DEPTHS = (1, 2, 4, 8, 16, 32, 64, 128, 256, 512)
-ENTRIES_KEPT = 40_000
+MAX_ENTRIES = 40_000
 Prefixes = tuple[tuple[int, int], ...]
 
 
@@ -36,45 +36,44 @@
 
 
 class PrefixIndex:
-    """Guesses cached tokens from what was sent where; events correct it."""
+    """Infers cached prefixes from the prompts sent; cache events correct it."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._held: OrderedDict[tuple[TargetName, int], None] = OrderedDict()
+        self._entries: OrderedDict[tuple[TargetName, int], None] = OrderedDict()
 
-    def sent(self, target: TargetName, prefixes: Prefixes) -> None:
+    def note_sent(self, target: TargetName, prefixes: Prefixes) -> None:
         """Note that a prompt was prefilled at a target."""
         for _, block in prefixes:
-            self._held[target, block] = None
-            self._held.move_to_end((target, block))
-        self._trim()
+            self._entries[target, block] = None
+            self._entries.move_to_end((target, block))
+        self._evict()
 
-    def _trim(self) -> None:
-        while len(self._held) > ENTRIES_KEPT:
-            self._held.popitem(last=False)
+    def _evict(self) -> None:
+        while len(self._entries) > MAX_ENTRIES:
+            self._entries.popitem(last=False)
 
     def cached_tokens(self, target: TargetName, prefixes: Prefixes) -> int:
-        """Return how many leading tokens the target is likely to hold."""
+        """Return how many leading tokens the target is likely to have cached."""
         for tokens, block in reversed(prefixes):
-            if (target, block) in self._held:
-                self._held.move_to_end((target, block))
+            if (target, block) in self._entries:
+                self._entries.move_to_end((target, block))
                 return tokens
         return 0
 
-    def observed(self, target: TargetName, events: list[CacheEvent]) -> None:
-        """Correct the index by cache events.
+    def apply_events(self, target: TargetName, events: list[CacheEvent]) -> None:
+        """Correct the index by cache events, which include other hosts' requests.
 
-        They tell of what other hosts sent. Blocks that no request asks for go
-        first when the index is full.
+        Blocks that no request uses are the first to be evicted from a full index.
         """
         for event in events:
             if event.stored:
-                self._held[target, event.block] = None
+                self._entries[target, event.block] = None
             else:
-                self._held.pop((target, event.block), None)
-        self._trim()
+                self._entries.pop((target, event.block), None)
+        self._evict()
 
-    def lost(self, target: TargetName) -> None:
-        """Forget a target that restarted: its cache is empty."""
-        for key in [key for key in self._held if key[0] == target]:
-            del self._held[key]
+    def forget(self, target: TargetName) -> None:
+        """Drop the entries of a target that has restarted with an empty cache."""
+        for key in [key for key in self._entries if key[0] == target]:
+            del self._entries[key]
--- a/berylshift/process/engine_state/report_poller.py
+++ b/berylshift/process/engine_state/report_poller.py
@@ -1,4 +1,4 @@
-"""The loop that asks engines for their load and cache events."""
+"""The loop that polls engines for their load reports and cache events."""
 
 import logging
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 
 @dataclass
-class PollerParts:
+class PollerDependencies:
     """What polling works with; times in seconds."""
 
     client: EngineClient
@@ -29,39 +29,39 @@
 
 
 class ReportPoller:
-    """Asks engines for their load, and for what left their caches."""
+    """Polls engines for their load and for changes of their caches."""
 
-    def __init__(self, parts: PollerParts):
-        """Work with ``parts``."""
-        self._parts = parts
-        self._events_seen: dict[str, int] = {}
+    def __init__(self, deps: PollerDependencies):
+        """Work with ``deps``."""
+        self._deps = deps
+        self._last_events: dict[str, int] = {}
 
     async def run(self) -> None:
         """Poll until cancelled."""
         while True:
-            rows = self._parts.holder.table.engines()
+            rows = self._deps.holder.table.engines()
             async with trio.open_nursery() as nursery:
                 for row in rows:
-                    nursery.start_soon(self._ask, row.name, row.address)
-            await trio.sleep(self._parts.interval)
+                    nursery.start_soon(self._poll, row.name, row.address)
+            await trio.sleep(self._deps.interval)
 
-    async def _ask(self, name: TargetName, address: str) -> None:
-        asked_at = self._parts.clock.monotonic()
-        with trio.move_on_after(self._parts.timeout):
+    async def _poll(self, name: TargetName, address: str) -> None:
+        asked_at = self._deps.clock.monotonic()
+        with trio.move_on_after(self._deps.timeout):
             try:
-                old = self._parts.load.report(name)
-                report = await self._parts.client.report(address)
-                self._parts.load.reported(name, report, asked_at)
+                old = self._deps.load.report(name)
+                report = await self._deps.client.report(address)
+                self._deps.load.note_report(name, report, asked_at)
                 if old is not None and old.incarnation != report.incarnation:
-                    self._parts.prefixes.lost(name)
-                    self._events_seen[name] = 0
+                    self._deps.prefixes.forget(name)
+                    self._last_events[name] = 0
                 await self._read_events(name, address)
             except TargetError as exc:
                 logger.debug("no report", extra={"engine": name, "why": str(exc)})
 
     async def _read_events(self, name: TargetName, address: str) -> None:
-        after = self._events_seen.get(name, 0)
-        events = await self._parts.client.cache_events(address, after)
+        after = self._last_events.get(name, 0)
+        events = await self._deps.client.cache_events(address, after)
         if events:
-            self._events_seen[name] = events[-1].sequence
-            self._parts.prefixes.observed(name, events)
+            self._last_events[name] = events[-1].sequence
+            self._deps.prefixes.apply_events(name, events)
--- a/berylshift/process/limits/__init__.py
+++ b/berylshift/process/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What may be used of customers' rates, retries and calls to the store."""
+"""Limits on customers' request rates, on retries and on calls to the store."""
--- a/berylshift/process/limits/customer_limits.py
+++ b/berylshift/process/limits/customer_limits.py
@@ -1,9 +1,9 @@
-"""Customers' limits, held across all hosts without asking anyone.
+"""Rate limits of customers, enforced across all hosts without coordination.
 
-Each host spends a share of a customer's rate: its part of the demand that it and
-its peers have lately seen. A host that hears of no peer falls back to an even
-share of the hosts it last knew, so hosts cut off from each other do not together
-exceed the limit.
+Each host may use a share of a customer's rate: its part of the demand that it and its
+peers have observed recently. A host that hears from too few peers falls back to an
+equal share among the hosts it last knew, so that partitioned hosts don't exceed the
+limit together.
 """
 
 from collections import defaultdict, deque
@@ -14,13 +14,13 @@
 from berylshift.ids import CustomerName, HostName
 
 WINDOW_SECONDS = 5.0
-PEER_SECONDS = 6.0
-SEEN_KEPT = 4096
-FEWEST_TOKENS = 1.0
+PEER_EXPIRY_SECONDS = 6.0
+MAX_ARRIVALS_KEPT = 4096
+MIN_BURST_TOKENS = 1.0
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """A host's demand of one customer, in requests a second."""
+    """The demand of one customer at a host, in requests a second."""
 
     customer: CustomerName
     rate: float
@@ -28,9 +28,11 @@
 
 @dataclass
 class _Customer:
-    arrivals: deque[float] = field(default_factory=lambda: deque(maxlen=SEEN_KEPT))
+    arrivals: deque[float] = field(
+        default_factory=lambda: deque(maxlen=MAX_ARRIVALS_KEPT)
+    )
     peers: dict[HostName, tuple[float, float]] = field(default_factory=dict)
-    tokens: float = FEWEST_TOKENS
+    tokens: float = MIN_BURST_TOKENS
     filled_at: float | None = None
     admitted: int = 0
     refused: int = 0
@@ -40,29 +42,31 @@
     """Token buckets by customer; limits in requests a second, 0 for none."""
 
     def __init__(self) -> None:
-        """Start with no limits and alone."""
+        """Start without limits, as the only host."""
         self._limits: dict[CustomerName, int] = {}
         self._customers: dict[CustomerName, _Customer] = defaultdict(_Customer)
-        self._hosts = 1
-        self._connected = True
+        self._host_count = 1
+        self._is_connected = True
         self._scale = 1.0
 
     def set_limits(self, limits: dict[CustomerName, int]) -> None:
-        """Take the limits of a table version."""
+        """Set the limits of a table version."""
         self._limits = limits
 
-    def set_hosts(self, hosts: int, connected: bool, in_sight: int) -> None:
-        """Take the number of live hosts, and how many peers are in sight.
+    def set_hosts(self, host_count: int, is_connected: bool, live_peers: int) -> None:
+        """Set the number of hosts, and of the peers that are live.
 
-        ``connected`` says whether these are as many as were asked, so that they
-        are a fair sample of the others.
+        ``is_connected``: enough of the asked peers are live to be a representative
+        sample of all peers.
         """
-        self._hosts = max(1, hosts)
-        self._connected = connected
-        self._scale = (self._hosts - 1) / in_sight if in_sight else 1.0
-
-    def peer_demand(self, peer: HostName, demands: list[Demand], at: float) -> None:
-        """Take a peer's demands, heard at ``at``."""
+        self._host_count = max(1, host_count)
+        self._is_connected = is_connected
+        self._scale = (self._host_count - 1) / live_peers if live_peers else 1.0
+
+    def note_peer_demand(
+        self, peer: HostName, demands: list[Demand], at: float
+    ) -> None:
+        """Note a peer's demands, received at ``at``."""
         for demand in demands:
             self._customers[demand.customer].peers[peer] = (at, demand.rate)
 
@@ -101,21 +105,21 @@
         }
 
     def _share(self, state: _Customer, now: float) -> float:
-        even = 1 / self._hosts
-        if not self._connected:
-            return even
+        equal_share = 1 / self._host_count
+        if not self._is_connected:
+            return equal_share
         own = _own_rate(state, now)
         others = self._scale * sum(
-            rate for at, rate in state.peers.values() if now - at <= PEER_SECONDS
+            rate for at, rate in state.peers.values() if now - at <= PEER_EXPIRY_SECONDS
         )
         if own + others <= 0:
-            return even
-        return max(own / (own + others), even / 2)
+            return equal_share
+        return max(own / (own + others), equal_share / 2)
 
     def _refill(self, state: _Customer, rate: float, now: float) -> None:
         if state.filled_at is not None:
             state.tokens += rate * (now - state.filled_at)
-        state.tokens = min(state.tokens, max(FEWEST_TOKENS, rate))
+        state.tokens = min(state.tokens, max(MIN_BURST_TOKENS, rate))
         state.filled_at = now
 
 
--- a/berylshift/process/limits/retry_budget.py
+++ b/berylshift/process/limits/retry_budget.py
@@ -4,8 +4,8 @@
 class RetryBudget:
     """Allows retries up to a share of recent first attempts, plus a floor.
 
-    Without it, each failing target turns one request into several, and a fleet
-    that is short of capacity is pushed further down.
+    Without it, each failing target turns one request into several, and a fleet that
+    lacks capacity is overloaded further.
     """
 
     def __init__(self, share: float, floor: float):
@@ -13,16 +13,16 @@
         self._share = share
         self._floor = floor
         self._tokens = floor
-        self._largest = max(10.0, 10 * floor)
+        self._max_tokens = max(10.0, 10 * floor)
         self._filled_at: float | None = None
 
-    def first(self, now: float) -> None:
+    def note_first_attempt(self, now: float) -> None:
         """Note a request's first attempt."""
         self._refill(now)
-        self._tokens = min(self._largest, self._tokens + self._share)
+        self._tokens = min(self._max_tokens, self._tokens + self._share)
 
-    def take(self, now: float) -> bool:
-        """Take leave for one retry."""
+    def try_acquire(self, now: float) -> bool:
+        """Take a token and return ``True`` if a retry is allowed."""
         self._refill(now)
         if self._tokens < 1:
             return False
@@ -32,5 +32,5 @@
     def _refill(self, now: float) -> None:
         if self._filled_at is not None:
             gained = self._floor * (now - self._filled_at)
-            self._tokens = min(self._largest, self._tokens + gained)
+            self._tokens = min(self._max_tokens, self._tokens + gained)
         self._filled_at = now
--- a/berylshift/process/limits/store_budget.py
+++ b/berylshift/process/limits/store_budget.py
@@ -1,20 +1,20 @@
-"""One budget for all of a process's calls to the table service.
+"""One rate limit for all calls of a process to the table service.
 
-Leases and confirmations go before the rest. After failures the process backs
-off with jitter, so that a store that comes back is not run down at once.
+Leases and confirmations take precedence. After failures the process backs off with
+jitter, so that a store that recovers is not overloaded at once.
 """
 
 import random
 from dataclasses import dataclass, field
 from enum import IntEnum
 
-FIRST_BACKOFF = 0.1
-LONGEST_BACKOFF = 3.0
-LEAST_WAIT = 0.001
+BASE_BACKOFF_SECONDS = 0.1
+MAX_BACKOFF_SECONDS = 3.0
+MIN_WAIT_SECONDS = 0.001
 
 
 class Priority(IntEnum):
-    """Who goes first; a lower number does."""
+    """Priorities of calls; a lower number takes precedence."""
 
     LEASE = 0
     CONFIRMATION = 1
@@ -22,8 +22,8 @@
     UPKEEP = 3
 
 
-# The share of the budget that must be left over for those who go first.
-RESERVED = {
+# The share of the budget that a call must leave for calls of higher priority.
+RESERVED_SHARES = {
     Priority.LEASE: 0.0,
     Priority.CONFIRMATION: 0.1,
     Priority.TABLE: 0.2,
@@ -33,38 +33,38 @@
 
 @dataclass
 class StoreBudget:
-    """A token bucket for one kind of call; ``rate`` a second."""
+    """A token bucket for one kind of call; ``rate`` in calls a second."""
 
     rate: float
     rng: random.Random
     failures: int = 0
-    closed_until: float = 0.0
+    blocked_until: float = 0.0
     _tokens: float = field(default=0.0)
     _filled_at: float | None = None
 
     def wait_seconds(self, priority: Priority, now: float) -> float:
         """Take a token and return 0, or return the seconds to wait first."""
         self._refill(now)
-        if now < self.closed_until and priority is not Priority.LEASE:
-            return max(LEAST_WAIT, self.closed_until - now)
-        reserved = RESERVED[priority] * self.rate
+        if now < self.blocked_until and priority is not Priority.LEASE:
+            return max(MIN_WAIT_SECONDS, self.blocked_until - now)
+        reserved = RESERVED_SHARES[priority] * self.rate
         missing = 1 + reserved - self._tokens
         if missing > 0:
-            # A wait that rounds to nothing on the clock would never end.
-            return max(LEAST_WAIT, missing / self.rate)
+            # A wait below the resolution of the clock would never end.
+            return max(MIN_WAIT_SECONDS, missing / self.rate)
         self._tokens -= 1
         return 0.0
 
-    def succeeded(self) -> None:
-        """Note an answer of the store."""
+    def note_success(self) -> None:
+        """Note a call that the store answered."""
         self.failures = 0
-        self.closed_until = 0.0
+        self.blocked_until = 0.0
 
-    def failed(self, now: float) -> None:
-        """Note a call that failed: the next ones wait, longer each time."""
+    def note_failure(self, now: float) -> None:
+        """Note a failed call; the next ones wait, longer each time."""
         self.failures += 1
-        longest = min(LONGEST_BACKOFF, FIRST_BACKOFF * 2**self.failures)
-        self.closed_until = now + self.rng.uniform(0.5, 1.0) * longest
+        max_backoff = min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * 2**self.failures)
+        self.blocked_until = now + self.rng.uniform(0.5, 1.0) * max_backoff
 
     def _refill(self, now: float) -> None:
         if self._filled_at is None:
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -72,15 +72,15 @@
         confirmation = deps.members.receive(digest, now)
         if confirmation is not None:
             deps.fresh.peer_confirmed(confirmation)
-        deps.load.peer_shares(digest.host, digest.shares, now)
-        deps.limits.peer_demand(digest.host, digest.demands, now)
+        deps.load.note_peer_shares(digest.host, digest.shares, now)
+        deps.limits.note_peer_demand(digest.host, digest.demands, now)
         deps.meter.peer_mixes(digest.host, digest.mixes, now)
         # Each host sends to few others, so whatever is new here is passed on.
         deps.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
         peer = deps.members.peers[digest.host]
         if peer.entry is None:
             return
-        deps.follower.peer_has(
+        deps.follower.note_peer_versions(
             peer.entry.admin_address, digest.table_version, digest.plan_version
         )
         if not digest.is_reply:
@@ -99,9 +99,9 @@
         host_count = deps.members.host_count()
         live_peers = len(deps.members.live_hosts(now)) - 1
         asked = deps.cfg.fanout * deps.cfg.silent_after / deps.cfg.interval
-        connected = live_peers + 1 > min(host_count, asked) / 2
+        is_connected = live_peers + 1 > min(host_count, asked) / 2
         deps.fresh.hosts = host_count
-        deps.limits.set_hosts(host_count, connected, live_peers)
+        deps.limits.set_hosts(host_count, is_connected, live_peers)
         deps.meter.set_hosts(host_count, live_peers)
 
     async def _send_replies(self) -> None:
--- a/berylshift/process/records/__init__.py
+++ b/berylshift/process/records/__init__.py
@@ -1,1 +1,1 @@
-"""Rows of confirmations that wait to be written or swept."""
+"""Confirmation rows: deferred writes and removal of expired rows."""
--- a/berylshift/process/records/pending_loop.py
+++ b/berylshift/process/records/pending_loop.py
@@ -1,4 +1,4 @@
-"""The loop that writes the results which could not be written at once."""
+"""The loop that retries deferred writes of confirmation rows."""
 
 import random
 
@@ -17,24 +17,24 @@
     as_raw,
 )
 
-PENDING_PAUSE = 0.5
+RETRY_INTERVAL_SECONDS = 0.5
 
 
 class PendingLoop:
-    """Writes the confirmations' results that could not be written at once."""
+    """Writes confirmation rows whose first write failed."""
 
     def __init__(self, pending: PendingRecords, gate: TableGate, rng: random.Random):
-        """Write ``pending`` through ``gate``."""
+        """Write the rows in ``pending`` through ``gate``."""
         self._pending = pending
         self._gate = gate
         self._rng = rng
 
     async def run(self) -> None:
-        """Write what waits until cancelled."""
+        """Write pending rows until cancelled."""
         while True:
-            item = self._pending.first()
+            item = self._pending.oldest()
             if item is None or not await self._write(*item):
-                await trio.sleep(PENDING_PAUSE * self._rng.uniform(0.5, 1.5))
+                await trio.sleep(RETRY_INTERVAL_SECONDS * self._rng.uniform(0.5, 1.5))
 
     async def _write(self, key: str, row: ConfirmRow) -> bool:
         try:
@@ -47,10 +47,10 @@
             )
             if revision is not None:
                 condition = Condition(key, revision)
-                answer = await self._gate.put_row(condition, Write(key, as_raw(row)))
-                if not answer.committed:
+                result = await self._gate.put_row(condition, Write(key, as_raw(row)))
+                if not result.committed:
                     return True
         except PlatformError:
             return False
-        self._pending.done(key)
+        self._pending.remove(key)
         return True
--- a/berylshift/process/records/sweep_loop.py
+++ b/berylshift/process/records/sweep_loop.py
@@ -1,4 +1,4 @@
-"""The loop that removes confirmations' rows at the end of their life."""
+"""The loop that removes expired confirmation rows."""
 
 import logging
 import random
@@ -21,23 +21,23 @@
 
 logger = logging.getLogger(__name__)
 
-DUTY = "sweep"
+TASK_NAME = "sweep"
 PAGE_ROWS = 50
 PAGE_SECONDS = 2.0
-MARGIN_SECONDS = 3600.0
+EXPIRY_MARGIN_SECONDS = 3600.0
 
 
 class SweepLoop:
-    """Pages through the rows; one host does it, two at once do no harm.
+    """Pages through the rows on one host; two hosts at once do no harm.
 
-    A row is removed only a margin after its end: calendars differ, and a row that
-    goes early would let its key run again.
+    A row is removed only some margin after it has expired: wall clocks differ, and a
+    call could run a second time if its row were removed early.
     """
 
     def __init__(
         self, gate: TableGate, members: Membership, clock: Clock, rng: random.Random
     ):
-        """Sweep through ``gate`` while this host is first among ``members``."""
+        """Sweep through ``gate`` while this host ranks first among ``members``."""
         self._gate = gate
         self._members = members
         self._clock = clock
@@ -48,31 +48,33 @@
         """Sweep until cancelled."""
         while True:
             await trio.sleep(PAGE_SECONDS * self._rng.uniform(0.75, 1.25))
-            if self._members.rank(DUTY) == 0:
+            if self._members.rank(TASK_NAME) == 0:
                 await self.sweep_page()
 
     async def sweep_page(self) -> None:
-        """Look at one page of rows and remove those that are over."""
+        """Read one page of rows and remove the expired ones."""
         try:
             rows = await self._gate.scan(
                 PREFIX, self._after, PAGE_ROWS, Priority.UPKEEP
             )
             self._after = rows[-1].key if len(rows) == PAGE_ROWS else ""
-            over = [row for row in rows if self._is_over(row)]
-            if over:
-                await self._remove(over)
+            expired = [row for row in rows if self._is_expired(row)]
+            if expired:
+                await self._remove(expired)
         except PlatformError as exc:
             logger.debug("sweep put off", extra={"why": str(exc)})
 
-    def _is_over(self, row: StoredRow) -> bool:
-        found = msgspec.json.decode(row.value, type=ConfirmRow)
-        return self._clock.now().timestamp() > found.expires + MARGIN_SECONDS
+    def _is_expired(self, row: StoredRow) -> bool:
+        confirmation = msgspec.json.decode(row.value, type=ConfirmRow)
+        return (
+            self._clock.now().timestamp() > confirmation.expires + EXPIRY_MARGIN_SECONDS
+        )
 
     async def _remove(self, rows: list[StoredRow]) -> None:
         transaction = Transaction(
             [Condition(row.key, row.revision) for row in rows],
             [Write(row.key, delete=True) for row in rows],
         )
-        answer = await self._gate.transact(transaction, Priority.UPKEEP)
-        if answer.committed:
+        result = await self._gate.transact(transaction, Priority.UPKEEP)
+        if result.committed:
             logger.info("old confirmations removed", extra={"rows": len(rows)})
--- a/berylshift/process/table/__init__.py
+++ b/berylshift/process/table/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' table in this process, kept up to date."""
+"""This process's copy of the operators' table, kept up to date."""
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -1,4 +1,4 @@
-"""The loop that keeps the operators' table up to date in this process."""
+"""The loop that keeps this process's copy of the operators' table up to date."""
 
 import logging
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class PeerView(msgspec.Struct, frozen=True):
-    """What a peer holds: the rows of a table version, the plans, its host list."""
+    """A peer's table version with its rows, its plans and its host list."""
 
     version: TableVersion
     rows: list[Row]
@@ -31,15 +31,15 @@
 
 
 class PeerTables(Protocol):
-    """Fetches tables from peers."""
+    """Fetches peers' views."""
 
     async def fetch(self, address: str) -> PeerView | None:
-        """Return a peer's view, or ``None``."""
+        """Return a peer's view, ``None`` if it can't be fetched."""
 
 
 @dataclass
 class TableHolder:
-    """The table version in force here; versions only rise."""
+    """The table version in force in this process; versions only grow."""
 
     table: Table = EMPTY_TABLE
 
@@ -48,7 +48,7 @@
         return self.table
 
     def offer(self, table: Table) -> bool:
-        """Put a table in force if it is newer."""
+        """Put a table in force if it is newer; return whether it was."""
         if table.version <= self.table.version:
             return False
         self.table = table
@@ -56,12 +56,13 @@
 
 
 @dataclass
-class FollowerParts:
-    """What following the table works with.
+class FollowerDependencies:
+    """What the table follower works with.
 
-    ``on_change`` is told the old and the new table. ``seeds`` are peers' admin
-    addresses, asked while no table is held: a process that starts while store and
-    host list are down knows no peer. ``poll`` is in seconds.
+    ``on_change`` is called with the old and the new table. ``seeds`` are admin
+    addresses of peers that are asked while there is no table yet: a process that starts
+    while the store and the host list are down knows no peers. ``poll_interval`` is in
+    seconds.
     """
 
     holder: TableHolder
@@ -72,81 +73,81 @@
     peers: PeerTables
     clock: Clock
     on_change: Callable[[Table, Table], None]
-    poll: float
+    poll_interval: float
     seeds: list[str]
 
 
 class TableFollower:
     """Keeps the table up to date, from the store and from peers."""
 
-    def __init__(self, parts: FollowerParts):
-        """Work with ``parts``."""
-        self._parts = parts
-        self._hint = trio.Event()
-        self._ahead: set[str] = set()
+    def __init__(self, deps: FollowerDependencies):
+        """Work with ``deps``."""
+        self._deps = deps
+        self._wake = trio.Event()
+        self._newer_peers: set[str] = set()
 
-    def peer_has(self, address: str, version: int, plan_version: int) -> None:
-        """Note what a peer holds; what is newer is fetched at once."""
-        newer = version > self._parts.holder.table.version
-        if newer or plan_version > self._parts.plans.total:
-            self._ahead.add(address)
-            self._hint.set()
+    def note_peer_versions(self, address: str, version: int, plan_version: int) -> None:
+        """Note a peer's versions; newer ones are fetched at once."""
+        newer = version > self._deps.holder.table.version
+        if newer or plan_version > self._deps.plans.total:
+            self._newer_peers.add(address)
+            self._wake.set()
 
     async def run(self) -> None:
         """Follow the table until cancelled."""
         while True:
-            if not await self._from_store():
-                await self._from_peers()
-            self._ahead.clear()
-            self._hint = trio.Event()
-            with trio.move_on_after(self._parts.poll):
-                await self._hint.wait()
-
-    async def _from_store(self) -> bool:
-        asked_at = self._parts.clock.monotonic()
+            if not await self._read_store():
+                await self._fetch_from_peers()
+            self._newer_peers.clear()
+            self._wake = trio.Event()
+            with trio.move_on_after(self._deps.poll_interval):
+                await self._wake.wait()
+
+    async def _read_store(self) -> bool:
+        asked_at = self._deps.clock.monotonic()
         try:
-            pools = sorted({row.serves for row in self._parts.holder.table.engines()})
+            pools = sorted({row.serves for row in self._deps.holder.table.engines()})
             keys = [plan_key(pool) for pool in pools]
-            head, stored = await self._parts.log.read_with_head(keys)
+            head, stored = await self._deps.log.read_with_head(keys)
             self._offer_plans(pools, stored)
-            if head.version > self._parts.holder.table.version:
+            if head.version > self._deps.holder.table.version:
                 self._offer(
-                    await self._parts.log.catch_up(self._parts.holder.table, head)
+                    await self._deps.log.catch_up(self._deps.holder.table, head)
                 )
         except (PlatformError, TableLogError, ValueError) as exc:
             logger.warning("table not read", extra={"why": str(exc)})
             return False
-        self._parts.fresh.store_confirmed(asked_at, head.version)
+        self._deps.fresh.store_confirmed(asked_at, head.version)
         return True
 
-    async def _from_peers(self) -> None:
-        starting = not self._parts.holder.table.version
-        asked = self._ahead | set(self._parts.seeds if starting else ())
+    async def _fetch_from_peers(self) -> None:
+        is_starting = not self._deps.holder.table.version
+        asked = self._newer_peers | set(self._deps.seeds if is_starting else ())
         for address in sorted(asked):
-            view = await self._parts.peers.fetch(address)
+            view = await self._deps.peers.fetch(address)
             if view is None:
                 continue
-            if starting and not self._parts.members.peers:
-                self._parts.members.update_host_list(view.hosts)
+            if is_starting and not self._deps.members.peers:
+                self._deps.members.update_host_list(view.hosts)
             self._offer(Table(view.version, view.rows))
             for pool, plan in view.plans.items():
-                self._parts.plans.offer(pool, plan, self._parts.clock.monotonic())
-            self._parts.fresh.plan = self._parts.plans.total
+                self._deps.plans.offer(pool, plan, self._deps.clock.monotonic())
+            self._deps.fresh.plan = self._deps.plans.total
 
     def _offer_plans(
         self, pools: list[PoolName], stored: list[StoredRow | None]
     ) -> None:
-        now = self._parts.clock.monotonic()
+        now = self._deps.clock.monotonic()
         for pool, found in zip(pools, stored, strict=True):
             if found is not None:
                 plan = msgspec.json.decode(found.value, type=PlanRow)
-                self._parts.plans.offer(pool, plan, now)
-        self._parts.fresh.plan = self._parts.plans.total
+                self._deps.plans.offer(pool, plan, now)
+        self._deps.fresh.plan = self._deps.plans.total
 
     def _offer(self, table: Table) -> None:
-        old = self._parts.holder.table
-        if not self._parts.holder.offer(table):
+        old = self._deps.holder.table
+        if not self._deps.holder.offer(table):
             return
-        self._parts.fresh.version = table.version
-        self._parts.on_change(old, table)
+        self._deps.fresh.version = table.version
+        self._deps.on_change(old, table)
         logger.info("table in force", extra={"version": table.version})
--- a/berylshift/request/choice.py
+++ b/berylshift/request/choice.py
@@ -102,7 +102,7 @@
         name = found.row.name
         if name in item.exclude or self.plans.is_moving(name):
             return False
-        if not self.health.usable(name, now):
+        if not self.health.is_usable(name, now):
             return False
         if not found.limit:
             return True
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -217,7 +217,7 @@
             return bool(found)
 
         await stream.run(take)
-        self._parts.know.prefixes.sent(row.name, self._prefixes)
+        self._parts.know.prefixes.note_sent(row.name, self._prefixes)
         return found[0]
 
     async def _generate(self, row: Row, plan: Plan, kv: KvSource | None) -> None:
@@ -231,7 +231,7 @@
         async def take(chunks: Chunks) -> bool:
             if not first_at:
                 first_at.append(self._now())
-                self._parts.know.prefixes.sent(row.name, self._prefixes)
+                self._parts.know.prefixes.note_sent(row.name, self._prefixes)
             verdict = self._take_chunks(row.name, chunks)
             count = sum(len(chunk.texts) for chunk in chunks)
             pool = PoolName(self._call.model)
@@ -278,7 +278,7 @@
         predicted = plan.prediction
         if predicted.end <= 0:
             return
-        cost.learn_first(role, predicted.first_token, first - start)
+        cost.learn_first_token(role, predicted.first_token, first - start)
         if tokens > 1 and plan.output_tokens > 1:
             per_token = (predicted.end - predicted.first_token) / plan.output_tokens
             cost.learn_decode(role, per_token, (self._now() - first) / tokens)
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -91,28 +91,28 @@
         know = self._parts.know
         fleet = self._asked.caller.fleet
         now = self._now()
-        know.load.sent(name, attempt, fleet, self._prefill_tokens, now)
+        know.load.note_sent(name, attempt, fleet, self._prefill_tokens, now)
         pool = PoolName(self._asked.model)
         self._parts.meter.prefill(pool, self._prefill_tokens, now)
-        know.health.started(name)
+        know.health.note_start(name)
         try:
             await self._read(take)
-            know.health.succeeded(name)
+            know.health.note_success(name)
         except AttemptFailedError as exc:
             await self._note_failure(exc)
             raise
         except BaseException:
-            know.health.cancelled(name)
+            know.health.note_cancelled(name)
             await self._cancel()
             raise
         finally:
-            know.load.ended(name, attempt, self._now())
+            know.load.note_ended(name, attempt, self._now())
 
     def _now(self) -> float:
         return self._parts.clock.monotonic()
 
     async def _note_failure(self, exc: AttemptFailedError) -> None:
-        self._parts.know.health.failed(self._row.name, self._now())
+        self._parts.know.health.note_failure(self._row.name, self._now())
         if exc.end in (SendEnd.SILENT, SendEnd.SPOILED):
             await self._cancel()
 
@@ -150,7 +150,9 @@
         if not self._got_first:
             self._got_first = True
             now = self._now()
-            self._parts.know.load.first_token(self._row.name, self._call.attempt, now)
+            self._parts.know.load.note_first_token(
+                self._row.name, self._call.attempt, now
+            )
 
     async def _cancel(self) -> None:
         """Tell the engine, so that it does not go on for nobody."""
--- a/berylshift/request/plain_send.py
+++ b/berylshift/request/plain_send.py
@@ -111,22 +111,22 @@
             key=call.key,
         )
         load, health = self.know.load, self.know.health
-        load.sent(name, attempt, call.caller.fleet, 0, self.clock.monotonic())
-        health.started(name)
+        load.note_sent(name, attempt, call.caller.fleet, 0, self.clock.monotonic())
+        health.note_start(name)
         try:
             answer = await self._bounded(plan.target.address, out)
-            health.succeeded(name)
+            health.note_success(name)
             return PlainSent(SendEnd.DONE, answer)
         except TargetError as exc:
             now = self.clock.monotonic()
-            health.failed(name, now)
+            health.note_failure(name, now)
             health.back_off(name, retry_after_of(exc), now)
             return PlainSent(end_of(exc))
         except trio.Cancelled:
-            health.cancelled(name)
+            health.note_cancelled(name)
             raise
         finally:
-            load.ended(name, attempt, self.clock.monotonic())
+            load.note_ended(name, attempt, self.clock.monotonic())
 
     async def _bounded(self, address: str, out: ServiceCall) -> ServiceAnswer:
         with trio.move_on_after(self.timeout):
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -276,7 +276,7 @@
         tried: list[InstanceId] = []
         while (choice := self._choose_reader(prompt, tried)) is not None:
             self._check_may_go()
-            if self._reads and not self._budget.take(self._now()):
+            if self._reads and not self._budget.try_acquire(self._now()):
                 return False
             self._parts.readings.sent(self._ask(prompt, tried), choice, self._now())
             tried.append(choice.place.target.instance)
@@ -284,7 +284,7 @@
             if end is SendEnd.DONE:
                 return True
             if self._reads == 1 and end not in NEVER_SENT:
-                self._budget.spend(self._now())
+                self._budget.note_retry(self._now())
             if len(tried) >= MOST_READS:
                 return False
         return not tried
--- a/berylshift/request/relay_parts.py
+++ b/berylshift/request/relay_parts.py
@@ -8,7 +8,7 @@
 from berylshift.ids import CustomerName, ServiceName
 from berylshift.messages.routed import Language
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.limits.arrival_budget import ArrivalBudget
+from berylshift.process.limits.shared_retry_budget import SharedRetryBudget
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
@@ -34,7 +34,7 @@
     placer: Placing
     reads: PromptReads
     shutdown: Shutdown
-    budget: Callable[[ServiceName], ArrivalBudget]
+    budget: Callable[[ServiceName], SharedRetryBudget]
     readings: ReadingChooser
     times: RecentTimes
     quarantine: Quarantine
--- a/berylshift/request/send_loop.py
+++ b/berylshift/request/send_loop.py
@@ -40,10 +40,10 @@
 class Budget(Protocol):
     """Bounds the further sends of all requests together."""
 
-    def first(self, now: float) -> None:
+    def note_first_attempt(self, now: float) -> None:
         """Note a request's first send."""
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take leave for one further send."""
 
 
@@ -58,7 +58,7 @@
 
     A request that never went out costs nothing: no target had work with it.
     """
-    budget.first(clock.monotonic())
+    budget.note_first_attempt(clock.monotonic())
     while True:
         sent = await sender.send()
         if sent is None:
@@ -72,5 +72,5 @@
             return LoopEnd.LATE
         if sent.end in NEVER_SENT:
             continue
-        if not budget.take(clock.monotonic()) and not sender.must_finish():
+        if not budget.try_acquire(clock.monotonic()) and not sender.must_finish():
             return LoopEnd.NO_BUDGET
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -158,7 +158,7 @@
         try:
             answer = await call(*args)
         except (StoreUnavailableError, AnswerLostError):
-            budget.failed(self._clock.monotonic())
+            budget.note_failure(self._clock.monotonic())
             raise
-        budget.succeeded()
+        budget.note_success()
         return answer
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -101,7 +101,7 @@
         # it here would leave the caller with a cut answer.
         async def fail(world, engine):
             retries = world.hosts["host-1"].app.front._parts.completions.retries
-            while retries.take(trio.current_time()):
+            while retries.try_acquire(trio.current_time()):
                 pass
             engine.crash(trio.current_time())
 
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -44,19 +44,19 @@
         self.health.back_off(TARGET, 3.0, 10.0)
 
     def test_it_holds_whatever_else_ends_well(self):
-        self.health.succeeded(TARGET)
-        self.assertFalse(self.health.usable(TARGET, 12.9))
-        self.assertEqual(self.health.suspended(12.9), [TARGET])
-        self.assertTrue(self.health.usable(TARGET, 13.0))
+        self.health.note_success(TARGET)
+        self.assertFalse(self.health.is_usable(TARGET, 12.9))
+        self.assertEqual(self.health.suspended_targets(12.9), [TARGET])
+        self.assertTrue(self.health.is_usable(TARGET, 13.0))
 
     def test_a_later_word_does_not_shorten_it(self):
         self.health.back_off(TARGET, 0.5, 10.5)
-        self.assertFalse(self.health.usable(TARGET, 12.9))
+        self.assertFalse(self.health.is_usable(TARGET, 12.9))
 
     def test_a_refusal_without_one_asks_for_none(self):
         health = Health()
         health.back_off(TARGET, 0.0, 10.0)
-        self.assertTrue(health.usable(TARGET, 10.0))
+        self.assertTrue(health.is_usable(TARGET, 10.0))
 
 
 class RetryAfterTest(unittest.TestCase):
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -129,7 +129,7 @@
     @rule()
     def upkeep(self):
         """Write a result that could not be written before."""
-        item = self.pending.first()
+        item = self.pending.oldest()
         if item is None:
             return
         key, row = item
@@ -140,7 +140,7 @@
         )
         if revision is not None:
             self._put(key, revision, row)
-        self.pending.done(key)
+        self.pending.remove(key)
 
     def _run(self, arrival: Arrival) -> ServiceAnswer:
         call = ServiceCall(
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -40,13 +40,13 @@
 
     def _watch(self, name: str) -> None:
         load = self.world.hosts[name].app.load
-        original = load.sent
+        original = load.note_sent
 
         def sent(target, attempt, fleet, prefill, now):
             self.sent.append((now, name, target))
             original(target, attempt, fleet, prefill, now)
 
-        load.sent = sent
+        load.note_sent = sent
 
     async def run(self, seconds: float) -> None:
         """Send calls at all hosts in turn and wait for their answers."""
@@ -132,7 +132,7 @@
             async def drain():
                 await trio.sleep(5)
                 marked.append(await mark(world, EventKind.DRAIN, "engine-1"))
-                await world.hosts["host-3"].app.follower._from_store()
+                await world.hosts["host-3"].app.follower._read_store()
                 world.platform.script.down = True
 
             async with trio.open_nursery() as nursery:
@@ -206,7 +206,7 @@
     def test_one_host_that_read_it_spreads_it_while_the_store_is_down(self):
         async def task(world):
             await self.edit(world, 1, 7)
-            await world.hosts["host-5"].app.follower._from_store()
+            await world.hosts["host-5"].app.follower._read_store()
             world.platform.script.down = True
             await trio.sleep(6)
             return self.versions(world)
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.platform import names
-from berylshift.process.limits.arrival_budget import USED
+from berylshift.process.limits.shared_retry_budget import USED_FRACTION
 from berylshift.stand_ins.entry_replica import Fault
 from berylshift.tests.entry_world import (
     prompt_headers,
@@ -251,7 +251,7 @@
             read = {name for replica in replicas for name in replica.reads}
             return arrived - 60 - len(read)
 
-        share = USED * (0.2 * 60 + 10)
+        share = USED_FRACTION * (0.2 * 60 + 10)
         self.assertLessEqual(run_entry(task, plain=0, engines="ppdddd"), share)
 
     def test_engines_that_all_failed_are_still_tried(self):
--- a/berylshift/tests/test_request_send_loop.py
+++ b/berylshift/tests/test_request_send_loop.py
@@ -39,10 +39,10 @@
         self.room = room
         self.requests = 0
 
-    def first(self, now: float) -> None:
+    def note_first_attempt(self, now: float) -> None:
         self.requests += 1
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         self.room -= 1
         return self.room >= 0
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -29,7 +29,7 @@
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.process.limits.arrival_budget import ArrivalBudget
+from berylshift.process.limits.shared_retry_budget import SharedRetryBudget
 from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
 from berylshift.process.targets.limit_news import MOST_TOLD as MOST_LIMITS
 from berylshift.process.targets.target_load import SEVERE, TargetLoads
@@ -60,39 +60,41 @@
         self.assertEqual(holder.table.version, 3)
 
 
-class ArrivalBudgetTest(unittest.TestCase):
+class SharedRetryBudgetTest(unittest.TestCase):
     """The share of a host."""
 
     def test_all_hosts_together_stay_below_the_bound(self):
         """Nine hosts use all they may, at uneven loads, without a word."""
         ratio, window, burst = 0.2, 10.0, 58.0
         loads = [1, 2, 3, 5, 8, 13, 21, 34, 55]
-        budgets = [ArrivalBudget(ratio, window, burst) for _ in loads]
+        budgets = [SharedRetryBudget(ratio, window, burst) for _ in loads]
         extra: list[float] = []
         first: list[float] = []
         for tick in range(300):
             now = tick / 10
             for budget, load in zip(budgets, loads, strict=True):
-                budget.hosts = len(loads)
+                budget.host_count = len(loads)
                 if tick % 60 < load:
-                    budget.first(now)
+                    budget.note_first_attempt(now)
                     first.append(now)
-                while budget.take(now):
+                while budget.try_acquire(now):
                     extra.append(now)
             asked = sum(now - window < at <= now for at in first)
             more = sum(now - window < at <= now for at in extra)
             self.assertLessEqual(more, ratio * asked + burst)
 
     def test_unknown_number_of_hosts_leaves_little_of_the_burst(self):
-        budget = ArrivalBudget(0.2, 10.0, 58.0)
-        self.assertTrue(budget.take(0.0))
-        self.assertFalse(budget.take(0.0))
+        budget = SharedRetryBudget(0.2, 10.0, 58.0)
+        self.assertTrue(budget.try_acquire(0.0))
+        self.assertFalse(budget.try_acquire(0.0))
 
     def test_window_slides(self):
-        budget = ArrivalBudget(0.0, 10.0, 10.0)
-        budget.hosts = 1
-        taken = sum(budget.take(0.0) for _ in range(20))
-        self.assertEqual((taken, budget.take(9.9), budget.take(10.1)), (8, False, True))
+        budget = SharedRetryBudget(0.0, 10.0, 10.0)
+        budget.host_count = 1
+        taken = sum(budget.try_acquire(0.0) for _ in range(20))
+        self.assertEqual(
+            (taken, budget.try_acquire(9.9), budget.try_acquire(10.1)), (8, False, True)
+        )
 
 
 class TargetLoadsTest(unittest.TestCase):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -298,7 +298,7 @@
     Proof(
         "retries keep to a share",
         "request/send_loop.py",
-        "not budget.take(clock.monotonic()) and",
+        "not budget.try_acquire(clock.monotonic()) and",
         "False and",
         f"{RELAY}.RetryTest.test_retries_keep_to_the_share_of_all_hosts",
     ),
@@ -320,7 +320,7 @@
     Proof(
         "further readings are further sends",
         "request/relay.py",
-        "if self._reads and not self._budget.take(self._now()):",
+        "if self._reads and not self._budget.try_acquire(self._now()):",
         "if False:",
         f"{RELAY}.RetryTest.test_readings_count_as_sends",
     ),
