--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -24,7 +24,7 @@
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
-from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.leader_tasks.phase_loop import PhaseLoop
 from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 from berylshift.process.limits.arrival_budget import HOSTS_ASSUMED, ArrivalBudget
@@ -305,9 +305,9 @@
                     self._pools.add(service.name)
                     self._nursery.start_soon(self._make_pool(service.name).run)
 
-    def _lease(self, duty: str, keeps: bool = False) -> DutyLease:
+    def _lease(self, duty: str, keeps: bool = False) -> LeaderLease:
         cfg, ports = self.cfg, self.ports
-        return DutyLease(
+        return LeaderLease(
             ports.leases,
             duty,
             cfg.host.name,
@@ -357,10 +357,10 @@
             phases=self.phases,
             clock=ports.clock,
             rng=ports.rng,
-            calm=self.is_calm,
-            hosts=self._hosts_that_share,
+            is_idle=self.is_calm,
+            host_count=self._hosts_that_share,
             holder=cfg.host.name,
-            leaving=lambda: self.leaving,
+            is_stopping=lambda: self.leaving,
             is_limited=lambda instance: self.throttle.is_limited(
                 instance, ports.clock.monotonic()
             ),
--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -11,7 +11,7 @@
 from berylshift.messages.usage import UsageReporting, UsageRows
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
 from berylshift.process.usage.true_time import TrueTime
 from berylshift.process.usage.usage_book import UsageBook
@@ -38,7 +38,7 @@
     replicas: ReplicaSet
     eras: StoreEraTracker
     services: Callable[[], Iterable[Service]]
-    lease: Callable[[str], DutyLease]
+    lease: Callable[[str], LeaderLease]
     place: Callable[[str], int | None]
     calm: Callable[[], bool]
 
@@ -74,8 +74,8 @@
             ordering=parts.scale_ordering,
             rows=parts.scale_rows,
             clock=parts.clock,
-            place=parts.place,
-            calm=parts.calm,
+            rank=parts.place,
+            is_idle=parts.calm,
         )
 
     def run_began(self, customer: CustomerName | None, ago: float) -> None:
--- a/berylshift/messages/engine_control.py
+++ b/berylshift/messages/engine_control.py
@@ -1,4 +1,4 @@
-"""Reports of engines and orders to them, free of any platform's names."""
+"""Reports of engines and orders to them, independent of any platform's names."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -9,9 +9,9 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """What an engine says of itself; ``orders`` counts those it has accepted.
+    """What an engine reports; ``orders`` counts the orders it has accepted.
 
-    ``started_ms``: the Unix time of its start, ``None`` where it does not tell.
+    ``started_ms``: the Unix time of its start, ``None`` if not reported.
     """
 
     phase: EnginePhase
@@ -21,7 +21,7 @@
 
 
 class PhaseOrder(msgspec.Struct, frozen=True):
-    """An order to change phase; carried out only while ``orders`` still holds."""
+    """An order to change phase; refused unless the engine's ``orders`` is the same."""
 
     phase: EnginePhase
     holder: str
@@ -30,7 +30,7 @@
 
 
 class OrderAnswer(StrEnum):
-    """What became of an order, as far as it is known."""
+    """Result of an order, as far as it is known."""
 
     ACCEPTED = "accepted"
     HOLDS = "holds"
@@ -41,10 +41,10 @@
 
 
 class EngineControl(Protocol):
-    """Asks and orders engines."""
+    """Queries engines and sends them orders."""
 
     async def report(self, replica: Replica) -> EngineReport | None:
-        """Return an engine's report, ``None`` if there is none to be had."""
+        """Return an engine's report, ``None`` if unavailable."""
 
     async def order(self, replica: Replica, order: PhaseOrder) -> OrderAnswer:
         """Send an order once."""
--- a/berylshift/messages/leader_calls.py
+++ b/berylshift/messages/leader_calls.py
@@ -1,25 +1,25 @@
-"""Calls to the platform that one host at a time may make."""
+"""Calls to the platform that only one host at a time, the leader, may make."""
 
 from enum import StrEnum
 
 import msgspec
 
 
-class DutyHolder(msgspec.Struct, frozen=True):
-    """Who makes a call, under which fence."""
+class LeaseHolder(msgspec.Struct, frozen=True):
+    """The host that makes a call, and its fencing token."""
 
     host: str
     fence: int
 
 
-class DutyAnswer(StrEnum):
-    """What a call came to."""
+class CallResult(StrEnum):
+    """Result of a call."""
 
     DONE = "done"
-    # Not possible at the moment: nothing is to be had.
+    # Not possible now: no capacity is available.
     UNAVAILABLE = "unavailable"
     # Too many calls, or the platform is down: nothing was done.
     BUSY = "busy"
     REFUSED = "refused"
-    # No answer: it may have been done, or may be yet.
+    # No answer: it may have been done or may still be done.
     UNKNOWN = "unknown"
--- a/berylshift/messages/scaling.py
+++ b/berylshift/messages/scaling.py
@@ -1,4 +1,4 @@
-"""Orders for replicas: how many of which kind a service is to have in a domain."""
+"""Orders for replicas: how many of each kind a service should have in a domain."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -6,20 +6,20 @@
 import msgspec
 
 from berylshift.ids import DomainName, ServiceName
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 
 
 class ReplicaKind(StrEnum):
-    """What a replica costs and promises."""
+    """Price and availability class of a replica."""
 
-    # Paid in full; it stays until it is no longer wanted.
-    STANDING = "standing"
-    # Cheap; the platform may take all of a domain away within seconds.
+    # Full price; it runs until it is released.
+    ON_DEMAND = "standing"
+    # Cheaper; the platform may reclaim all of a domain within seconds.
     INTERRUPTIBLE = "interruptible"
 
 
 class ScaleOrder(msgspec.Struct, frozen=True):
-    """``desired`` replicas of a kind; the same order again changes nothing."""
+    """Target of ``desired`` replicas of a kind; repeating an order changes nothing."""
 
     service: ServiceName
     domain: DomainName
@@ -28,14 +28,14 @@
 
 
 class ScaleRows(Protocol):
-    """Keeps how many replicas services need; all calls raise ``PlatformError``."""
+    """Stores how many replicas services need; all calls raise ``PlatformError``."""
 
     async def settle_needed(self, service: ServiceName, needed: int) -> int:
-        """Keep a number, unless there is one; return the one that holds."""
+        """Store a number unless there is one; return the stored number."""
 
 
 class ScaleOrdering(Protocol):
     """Orders replicas from the platform."""
 
-    async def scale(self, order: ScaleOrder, holder: DutyHolder) -> DutyAnswer:
-        """Send an order once; ``UNAVAILABLE``: none of the kind are to be had there."""
+    async def scale(self, order: ScaleOrder, holder: LeaseHolder) -> CallResult:
+        """Send an order once; ``UNAVAILABLE``: there are none of that kind there."""
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -7,7 +7,7 @@
 import xxhash
 
 from berylshift.ids import CustomerName, StoreEra
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.store.eras import FIRST_ERA
 
 HASHES_KEPT = 8192
@@ -59,7 +59,9 @@
 class UsageReporting(Protocol):
     """Tells the platform of usage."""
 
-    async def report_usage(self, report: UsageReport, holder: DutyHolder) -> DutyAnswer:
+    async def report_usage(
+        self, report: UsageReport, holder: LeaseHolder
+    ) -> CallResult:
         """Send a report once; an exact repeat of an earlier one changes nothing."""
 
 
--- a/berylshift/platform/duties.py
+++ b/berylshift/platform/duties.py
@@ -5,20 +5,20 @@
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import UsageReport
 from berylshift.platform import names
 
 ANSWERS = {
-    200: DutyAnswer.DONE,
-    202: DutyAnswer.DONE,
-    409: DutyAnswer.UNAVAILABLE,
-    429: DutyAnswer.BUSY,
-    503: DutyAnswer.BUSY,
-    400: DutyAnswer.REFUSED,
-    404: DutyAnswer.REFUSED,
-    412: DutyAnswer.REFUSED,
+    200: CallResult.DONE,
+    202: CallResult.DONE,
+    409: CallResult.UNAVAILABLE,
+    429: CallResult.BUSY,
+    503: CallResult.BUSY,
+    400: CallResult.REFUSED,
+    404: CallResult.REFUSED,
+    412: CallResult.REFUSED,
 }
 
 
@@ -44,19 +44,21 @@
         self._address = address
         self._timeout = timeout
 
-    async def report_usage(self, report: UsageReport, holder: DutyHolder) -> DutyAnswer:
+    async def report_usage(
+        self, report: UsageReport, holder: LeaseHolder
+    ) -> CallResult:
         """Send a report once; an exact repeat of an earlier one changes nothing."""
         counts = {found.customer: found.count for found in report.counts}
         body = msgspec.json.encode(_Usage(report.window, counts))
         return await self._call(names.USAGE_PATH, body, holder)
 
-    async def scale(self, order: ScaleOrder, holder: DutyHolder) -> DutyAnswer:
+    async def scale(self, order: ScaleOrder, holder: LeaseHolder) -> CallResult:
         """Send an order once; ``UNAVAILABLE``: none of the kind are to be had there."""
         interruptible = order.kind is ReplicaKind.INTERRUPTIBLE
         body = _Scale(order.service, order.domain, order.desired, interruptible)
         return await self._call(names.SCALE_PATH, msgspec.json.encode(body), holder)
 
-    async def _call(self, path: str, body: bytes, holder: DutyHolder) -> DutyAnswer:
+    async def _call(self, path: str, body: bytes, holder: LeaseHolder) -> CallResult:
         headers = {
             "content-type": "application/json",
             names.DUTY_HOLDER: holder.host,
@@ -68,9 +70,9 @@
             try:
                 async with self._client.request(out) as resp:
                     await resp.read()
-                    return ANSWERS.get(resp.status, DutyAnswer.UNKNOWN)
+                    return ANSWERS.get(resp.status, CallResult.UNKNOWN)
             except ConnectFailedError:
-                return DutyAnswer.BUSY
+                return CallResult.BUSY
             except ConnectionLayerError:
-                return DutyAnswer.UNKNOWN
-        return DutyAnswer.UNKNOWN
+                return CallResult.UNKNOWN
+        return CallResult.UNKNOWN
--- a/berylshift/process/leader_tasks/__init__.py
+++ b/berylshift/process/leader_tasks/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one host has at a time: leases, and the orders given under them."""
+"""Tasks that one host performs at a time: leases, and the phases of engines."""
--- a/berylshift/process/leader_tasks/leader_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -1,17 +1,17 @@
-"""The right to a duty that one host has at a time, taken when there is something to do.
+"""Lease that elects one host at a time as the leader of a task.
 
-A duty is ordering a service's engines, reporting usage, or ordering replicas. Its lease
-lies in the store and ends by the store's clock. Its holder stops well before
-that end on a clock of its own that also counts the time a host stands still, and the
-next holder starts only after the end: between two holders' orders lies at least the
-time that those who get orders need to tell them apart.
+A task is ordering a service's engines, reporting usage, or ordering replicas. Its lease
+is a row in the store and expires by the store's clock. The holder stops well before the
+expiry, by its own clock that runs while the host is suspended, and the next holder
+starts only after the expiry. Between the orders of two holders there is at least the
+time that recipients need to tell the holders apart.
 
-A holder that keeps its duty takes the lease again at once while its own row stands:
-nobody has had it in between. One that does not lets others take their turn.
+A holder that may reacquire the lease takes it again at once while its own row is still
+there, since nobody else has held it in between. One that may not lets others go first.
 
-A store that comes back from an older copy may have lost the row. Its holder stops as
-it learns of the new era, and nobody takes a lease whose row is missing, or of a former
-era, until the era has been known for as long as a lost row may have granted.
+A store that is restored from an older copy may have lost the row. Its holder stops when
+it learns of the new era, and nobody acquires a lease whose row is missing, or of a
+former era, until the era has been known for as long as a lost row may have granted.
 """
 
 import random
@@ -24,24 +24,24 @@
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.lease_rows import Granted, LeaseRecord, LeaseRow, LeaseRows
 
-# How long a holder may act after it asked for the lease, in seconds.
-USE_SECONDS = 2.0
-# Rates of two clocks and the way of an order on the wire, in seconds.
-MARGIN_SECONDS = 1.0
+# How long a holder may act after it requested the lease, in seconds.
+USABLE_SECONDS = 2.0
+# Allows for clock rates that differ and for the network delay of an order, in seconds.
+CLOCK_MARGIN_SECONDS = 1.0
 
 
-# Bits of a fence below the store's era: revisions of one era are fewer by far, and the
-# whole still fits into the integers that JSON keeps exactly.
+# Bits of a fencing token below the store's era: an era has far fewer revisions, and the
+# token still fits into the integers that JSON represents exactly.
 REVISION_BITS = 36
-# Whom a refusal names while a lost row may still grant.
+# The holder named in a refusal while a lost row may still grant the lease.
 UNKNOWN_HOLDER = "unknown"
 
 
 class Grant(msgspec.Struct, frozen=True):
-    """A lease held: ``fence`` only rises from holder to holder.
+    """A lease held; ``fence`` is a fencing token that increases with each holder.
 
-    ``until`` is on the clock that also runs while the host stands still; it counts in
-    ``era`` of the store alone.
+    ``until`` is by the clock that runs while the host is suspended; the grant is valid
+    only in ``era`` of the store.
     """
 
     fence: int
@@ -50,120 +50,120 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The lease is another's; ``seconds``: when to ask again."""
+    """The lease is held by another host; ask again after ``seconds``."""
 
     holder: str
     seconds: float
 
 
-class DutyLease:
-    """Takes and keeps the lease of one duty for this process."""
+class LeaderLease:
+    """Acquires and keeps the lease of one task for this process."""
 
     def __init__(
         self,
         rows: LeaseRows,
         name: str,
         holder: str,
-        apart: float,
+        holder_gap_seconds: float,
         rng: random.Random,
         boot_clock: Callable[[], float],
         eras: StoreEraTracker | None = None,
-        first_start: bool = False,
-        keeps: bool = False,
+        is_first_start: bool = False,
+        can_reacquire: bool = False,
     ):
-        """Keep what two holders do ``apart`` seconds apart.
+        """Separate the actions of two holders by ``holder_gap_seconds``.
 
-        ``boot_clock`` gives seconds that run on while the host is suspended: a
-        holder that slept through its lease must not believe in it on waking.
-        ``eras`` tells of a store that came back older; ``first_start``: nobody has
-        ever held the lease; ``keeps``: the holder takes it again before others may.
+        ``boot_clock`` gives seconds and runs while the host is suspended: a holder that
+        was suspended past its lease must not use it after resuming. ``eras`` tells of a
+        restore of the store; ``is_first_start``: nobody has ever held the lease;
+        ``can_reacquire``: the holder may take it again before others do.
         """
-        self._keeps = keeps
-        self._first_start = first_start
+        self._can_reacquire = can_reacquire
+        self._is_first_start = is_first_start
         self._rows = rows
         self._name = name
         self._holder = holder
-        self._apart = apart
+        self._holder_gap_seconds = holder_gap_seconds
         self._rng = rng
         self._boot_clock = boot_clock
         self._eras = eras or StoreEraTracker(boot_clock)
         self._grant: Grant | None = None
-        # Names this process's newest try to take the lease.
-        self._newest_try = ""
+        # Identifies this process's newest attempt to acquire the lease.
+        self._last_attempt = ""
 
     @property
-    def _lasts(self) -> float:
-        """Return for how many seconds a row keeps other holders off."""
-        return USE_SECONDS + self._apart + MARGIN_SECONDS
+    def _exclusive_seconds(self) -> float:
+        """Return for how many seconds a row excludes other holders."""
+        return USABLE_SECONDS + self._holder_gap_seconds + CLOCK_MARGIN_SECONDS
 
     def held(self) -> Grant | None:
-        """Return the grant if it may still be used."""
+        """Return the grant if it is still valid."""
         grant = self._grant
         if grant is None or self._boot_clock() >= grant.until:
             return None
         return None if self._eras.is_old(grant.era) else grant
 
     async def acquire(self) -> Grant | Refused:
-        """Take or keep the lease; raise ``PlatformError``."""
+        """Acquire or keep the lease; raise ``PlatformError``."""
         held = self.held()
         if held is not None:
             return held
-        asked = self._boot_clock()
+        requested_at = self._boot_clock()
         row = await self._rows.read(self._name)
         self._eras.observe(row.era, EraSource.OWN_READ)
-        refused = self._refused(row)
+        refused = self._refusal(row)
         if refused is not None:
             return refused
-        record = self._record(row)
+        record = self._new_record(row)
         granted = await self._rows.swap(self._name, record, row.revision)
         if granted is None:
-            return Refused("another", self._apart)
+            return Refused("another", self._holder_gap_seconds)
         if granted.era != row.era:
-            # The condition held by a revision that was given out again.
+            # The condition matched a revision that was assigned again after a restore.
             self._eras.observe(granted.era, EraSource.OWN_READ)
-            return Refused(UNKNOWN_HOLDER, self._lasts)
-        return self._take(granted, asked)
+            return Refused(UNKNOWN_HOLDER, self._exclusive_seconds)
+        return self._hold(granted, requested_at)
 
-    def _refused(self, row: LeaseRow) -> Refused | None:
-        """Return why the lease can't be had now."""
-        if self._is_own(row):
+    def _refusal(self, row: LeaseRow) -> Refused | None:
+        """Return why the lease can't be acquired now."""
+        if self._is_own_row(row):
             return None
         if row.record is not None and row.store_ms < row.record.until_ms:
-            left = (row.record.until_ms - row.store_ms) / 1000
-            return Refused(row.record.holder, left)
+            seconds_left = (row.record.until_ms - row.store_ms) / 1000
+            return Refused(row.record.holder, seconds_left)
         if row.record is not None and row.record.era == row.era:
             return None
-        left = self._lasts - self._eras.age()
-        if left > 0 and self._may_be_lost(row):
-            return Refused(UNKNOWN_HOLDER, left)
+        seconds_left = self._exclusive_seconds - self._eras.age()
+        if seconds_left > 0 and self._may_be_lost(row):
+            return Refused(UNKNOWN_HOLDER, seconds_left)
         return None
 
-    def _is_own(self, row: LeaseRow) -> bool:
-        """Return whether the row is what this process wrote last.
+    def _is_own_row(self, row: LeaseRow) -> bool:
+        """Return whether the row is the last one that this process wrote.
 
-        In a former era it says nothing: another's row that followed it may be lost.
+        In a former era that proves nothing: a later row of another host may be lost.
         """
         record = row.record
-        if not self._keeps or record is None or record.era != row.era:
+        if not self._can_reacquire or record is None or record.era != row.era:
             return False
-        return record.grant == self._newest_try
+        return record.grant == self._last_attempt
 
     def _may_be_lost(self, row: LeaseRow) -> bool:
-        """Return whether a row may have been lost that still grants the lease.
+        """Return whether a lost row may still grant the lease to another host.
 
-        A host that has just started can't know how long the era has lasted.
+        A host that has just started can't know for how long the era has lasted.
         """
         if row.record is not None or self._eras.changes:
             return True
-        return row.era > FIRST_ERA and not self._first_start
+        return row.era > FIRST_ERA and not self._is_first_start
 
-    def _record(self, row: LeaseRow) -> LeaseRecord:
+    def _new_record(self, row: LeaseRow) -> LeaseRecord:
         grant = f"{self._rng.getrandbits(64):016x}"
-        self._newest_try = grant
-        until_ms = row.store_ms + int(self._lasts * 1000)
+        self._last_attempt = grant
+        until_ms = row.store_ms + int(self._exclusive_seconds * 1000)
         return LeaseRecord(self._holder, grant, until_ms, row.era)
 
-    def _take(self, granted: Granted, asked: float) -> Grant:
+    def _hold(self, granted: Granted, requested_at: float) -> Grant:
         fence = granted.era << REVISION_BITS | granted.revision
-        self._grant = Grant(fence, asked + USE_SECONDS, granted.era)
+        self._grant = Grant(fence, requested_at + USABLE_SECONDS, granted.era)
         return self._grant
--- a/berylshift/process/leader_tasks/phase_loop.py
+++ b/berylshift/process/leader_tasks/phase_loop.py
@@ -1,4 +1,4 @@
-"""Carries out phase plans: takes the lease, asks each engine, orders it."""
+"""Executes phase plans: acquires the lease, queries each engine and orders it."""
 
 import logging
 import random
@@ -16,7 +16,7 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
+from berylshift.process.leader_tasks.leader_lease import Grant, LeaderLease, Refused
 from berylshift.process.leader_tasks.phase_planner import (
     PhaseChange,
     PhasePlanner,
@@ -26,42 +26,43 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_SECONDS = 0.25
-# All hosts see the same plan; whoever waits the shortest time takes the lease. The
-# others hear of its orders while they wait, and need not ask the store.
+CHECK_INTERVAL_SECONDS = 0.25
+# All hosts compute the same plan; the one with the shortest random delay acquires the
+# lease. The others learn of its orders during their delay and need not call the store.
 JITTER_SECONDS_PER_HOST = 0.1
 RETRY_SECONDS = 1.0
-# Answers after which an engine may come to the phase that was ordered.
-MAY_BE_CARRIED_OUT = frozenset(
+# Answers after which an engine may still change to the ordered phase.
+MAY_TAKE_EFFECT = frozenset(
     {OrderAnswer.ACCEPTED, OrderAnswer.HOLDS, OrderAnswer.UNKNOWN}
 )
 
 
 class PhaseLoop:
-    """Keeps one pool's engines in their phases; one host at a time orders."""
+    """Keeps one pool's engines in their planned phases; one host at a time orders."""
 
     def __init__(
         self,
         service: ServiceName,
         planner: PhasePlanner,
-        lease: DutyLease,
+        lease: LeaderLease,
         control: EngineControl,
         replicas: ReplicaSet,
         phases: ExpectedPhases,
         clock: Clock,
         rng: random.Random,
-        calm: Callable[[], bool],
-        hosts: Callable[[], int],
+        is_idle: Callable[[], bool],
+        host_count: Callable[[], int],
         holder: str,
-        leaving: Callable[[], bool],
+        is_stopping: Callable[[], bool],
         is_limited: Callable[[InstanceId], bool],
     ):
-        """Order as ``holder``, unless it is ``leaving``; ``calm``: no traffic.
+        """Order as ``holder`` unless the host is stopping.
 
-        Engines that are ``is_limited`` take little work, whatever their phase.
+        ``is_idle``: whether there is no traffic. Engines that are ``is_limited`` take
+        little work in any phase and are left out of the plan.
         """
         self._is_limited = is_limited
-        self._hosts = hosts
+        self._host_count = host_count
         self._service = service
         self._planner = planner
         self._lease = lease
@@ -70,48 +71,51 @@
         self._phases = phases
         self._clock = clock
         self._rng = rng
-        self._calm = calm
+        self._is_idle = is_idle
         self._holder = holder
-        self._leaving = leaving
+        self._is_stopping = is_stopping
 
     async def run(self) -> None:
-        """Look at the pool until cancelled."""
+        """Check the pool until cancelled."""
         while True:
-            await trio.sleep(LOOK_SECONDS)
-            if not self._due():
+            await trio.sleep(CHECK_INTERVAL_SECONDS)
+            if not self._changes_due():
                 continue
-            longest = JITTER_SECONDS_PER_HOST * self._hosts()
-            await trio.sleep(self._rng.uniform(0, longest))
-            changes = self._due()
+            max_jitter = JITTER_SECONDS_PER_HOST * self._host_count()
+            await trio.sleep(self._rng.uniform(0, max_jitter))
+            changes = self._changes_due()
             if not changes:
                 continue
             try:
-                await self._carry_out(changes)
+                await self._execute(changes)
             except PlatformError as exc:
-                logger.info("lease not had", extra={"reason": str(exc)})
+                logger.info(
+                    "failed to acquire lease for phase orders",
+                    extra={"reason": str(exc)},
+                )
                 await trio.sleep(RETRY_SECONDS)
 
-    def _due(self) -> tuple[PhaseChange, ...]:
-        """Return the changes due; none while former ones may still take effect.
+    def _changes_due(self) -> tuple[PhaseChange, ...]:
+        """Return the changes due; none while earlier ones may still take effect.
 
-        None at a host that leaves, either: it would end with a lease that all others
-        then have to wait for, and perhaps with an order half sent.
+        None on a host that is stopping either: it would end while holding a lease whose
+        expiry all others have to wait for, perhaps in the middle of sending an order.
         """
-        if self._leaving():
+        if self._is_stopping():
             return ()
         now = self._clock.monotonic()
         listed = self._replicas.with_ordered_phases(self._service, now)
         engines = [rep for rep in listed if not self._is_limited(rep.instance)]
         if any(rep.phase is EnginePhase.NONE for rep in engines):
             return ()
-        changes = self._planner.plan(engines, now, self._calm())
+        changes = self._planner.plan(engines, now, self._is_idle())
         return tuple(
             change
             for change in changes
             if not self._phases.has_pending_order(change.replica.instance, now)
         )
 
-    async def _carry_out(self, changes: tuple[PhaseChange, ...]) -> None:
+    async def _execute(self, changes: tuple[PhaseChange, ...]) -> None:
         grant = await self._lease.acquire()
         if isinstance(grant, Refused):
             logger.info(
@@ -135,29 +139,31 @@
                 nursery.start_soon(self._order, change, grant)
 
     async def _order(self, change: PhaseChange, grant: Grant) -> None:
-        """Order one engine, while the lease still holds at the moment of sending."""
+        """Order one engine if the lease is still held at the time of sending."""
         replica = change.replica
         report = await self._control.report(replica)
         if report is None or report.busy:
-            self._note(change, grant, OrderAnswer.REFUSED)
+            self._record_answer(change, grant, OrderAnswer.REFUSED)
             return
         if report.started_ms != replica.started_ms:
-            # The plan was made for another start of the engine: its entry is old.
-            self._note(change, grant, OrderAnswer.REFUSED)
+            # The plan was made for a previous instance of the engine from an old entry.
+            self._record_answer(change, grant, OrderAnswer.REFUSED)
             return
         if report.phase is change.phase:
-            self._note(change, grant, OrderAnswer.HOLDS)
+            self._record_answer(change, grant, OrderAnswer.HOLDS)
             return
         if self._lease.held() is not grant:
-            self._note(change, grant, OrderAnswer.FENCED)
+            self._record_answer(change, grant, OrderAnswer.FENCED)
             return
         order = PhaseOrder(change.phase, self._holder, grant.fence, report.orders)
         answer = await self._control.order(replica, order)
-        self._note(change, grant, answer)
+        self._record_answer(change, grant, answer)
 
-    def _note(self, change: PhaseChange, grant: Grant, answer: OrderAnswer) -> None:
+    def _record_answer(
+        self, change: PhaseChange, grant: Grant, answer: OrderAnswer
+    ) -> None:
         now = self._clock.monotonic()
-        if answer in MAY_BE_CARRIED_OUT:
+        if answer in MAY_TAKE_EFFECT:
             self._phases.record_order(change.replica.instance, change.phase, now)
         logger.info(
             "engine ordered",
--- a/berylshift/process/scaling/__init__.py
+++ b/berylshift/process/scaling/__init__.py
@@ -1,1 +1,1 @@
-"""How many replicas of which kind a service gets in each failure domain."""
+"""Scaling: how many replicas of each kind a service gets per failure domain."""
--- a/berylshift/process/scaling/scale_loop.py
+++ b/berylshift/process/scaling/scale_loop.py
@@ -1,4 +1,4 @@
-"""Orders replicas of services that can be scaled, one host at a time."""
+"""Orders replicas of scalable services from the platform, one host at a time."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -7,42 +7,42 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import ServiceName
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.scaling import ScaleOrder, ScaleOrdering, ScaleRows
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
+from berylshift.process.leader_tasks.leader_lease import Grant, LeaderLease, Refused
 from berylshift.process.scaling.scale_planner import ScalePlanner
 from berylshift.store.interfaces import PlatformError
 from berylshift.version.routes import Service
 
 logger = logging.getLogger(__name__)
 
-DUTY = "scaling"
-LOOK_SECONDS = 0.25
+TASK = "scaling"
+CHECK_INTERVAL_SECONDS = 0.25
 RETRY_SECONDS = 0.5
-# How much longer each further host in order waits with an order that the first one
-# should have sent: longer than replicas take to start.
-PLACE_SECONDS = 8.0
-# Hosts that stand behind so many others leave it to those.
-MOST_PLACES = 2
+# How much longer each further host in rank order waits before it sends an order that is
+# due: longer than replicas take to start.
+RANK_DELAY_SECONDS = 8.0
+# Hosts with a higher rank never order.
+MAX_RANK = 2
 
 
 class ScaleLoop:
-    """Plans and orders while it is this host's turn."""
+    """Plans and orders replicas while this host is the leader."""
 
     def __init__(
         self,
         host: str,
         services: Callable[[], Iterable[Service]],
         replicas: ReplicaSet,
-        lease: DutyLease,
+        lease: LeaderLease,
         ordering: ScaleOrdering,
         rows: ScaleRows,
         clock: Clock,
-        place: Callable[[str], int | None],
-        calm: Callable[[], bool],
+        rank: Callable[[str], int | None],
+        is_idle: Callable[[], bool],
     ):
-        """Order as ``host``; ``place``: its place in order, ``calm``: no traffic."""
+        """Order as ``host``; ``rank``: its rank for a task, ``is_idle``: no traffic."""
         self._host = host
         self._services = services
         self._replicas = replicas
@@ -50,29 +50,29 @@
         self._ordering = ordering
         self._rows = rows
         self._clock = clock
-        self._place = place
-        self._calm = calm
+        self._rank = rank
+        self._is_idle = is_idle
         self._planners: dict[ServiceName, ScalePlanner] = {}
         self._due_since: float | None = None
         self._refused_until = float("-inf")
 
     async def run(self) -> None:
-        """Look at the services until cancelled."""
+        """Check the services until cancelled."""
         while True:
-            await trio.sleep(LOOK_SECONDS)
-            orders = self._due()
+            await trio.sleep(CHECK_INTERVAL_SECONDS)
+            orders = self._orders_due()
             try:
-                await self._learn_needed()
+                await self._load_needed()
                 if orders:
-                    await self._carry_out(orders)
+                    await self._execute(orders)
             except PlatformError as exc:
-                logger.info("nothing ordered", extra={"reason": str(exc)})
+                logger.info("failed to order replicas", extra={"reason": str(exc)})
                 await trio.sleep(RETRY_SECONDS)
 
-    def _due(self) -> tuple[ScaleOrder, ...]:
-        """Return the orders that are this host's to send now."""
-        place, now = self._place(DUTY), self._clock.monotonic()
-        if place is None or place > MOST_PLACES:
+    def _orders_due(self) -> tuple[ScaleOrder, ...]:
+        """Return the orders that this host must send now."""
+        rank, now = self._rank(TASK), self._clock.monotonic()
+        if rank is None or rank > MAX_RANK:
             self._planners.clear()
             self._due_since = None
             return ()
@@ -87,8 +87,8 @@
             return ()
         if self._due_since is None:
             self._due_since = now
-        waited = now - self._due_since
-        if waited < PLACE_SECONDS * place or now < self._refused_until:
+        waited_seconds = now - self._due_since
+        if waited_seconds < RANK_DELAY_SECONDS * rank or now < self._refused_until:
             return ()
         return orders
 
@@ -97,12 +97,12 @@
         if planner is None or planner.scaling != service.scaling:
             planner = ScalePlanner(service.name, service.scaling)
             self._planners[service.name] = planner
-        return planner.plan(self._replicas.listed(service.name), now, self._calm())
+        return planner.plan(self._replicas.listed(service.name), now, self._is_idle())
 
-    async def _learn_needed(self) -> None:
-        """Learn what services need: what the first host found to stand.
+    async def _load_needed(self) -> None:
+        """Get the number of replicas that each service needs, as first stored.
 
-        A host that takes the duty over finds more or fewer, in the middle of a change.
+        A host that becomes leader in the middle of a change would count more or fewer.
         """
         for service, planner in self._planners.items():
             if planner.found and not planner.needed:
@@ -117,7 +117,7 @@
                     },
                 )
 
-    async def _carry_out(self, orders: tuple[ScaleOrder, ...]) -> None:
+    async def _execute(self, orders: tuple[ScaleOrder, ...]) -> None:
         grant = await self._lease.acquire()
         if isinstance(grant, Refused):
             self._refused_until = self._clock.monotonic() + grant.seconds
@@ -128,7 +128,7 @@
             await self._order(order, grant)
 
     async def _order(self, order: ScaleOrder, grant: Grant) -> None:
-        holder = DutyHolder(self._host, grant.fence)
+        holder = LeaseHolder(self._host, grant.fence)
         answer = await self._ordering.scale(order, holder)
         self._planners[order.service].answered(order, answer, self._clock.monotonic())
         logger.info(
@@ -143,5 +143,5 @@
                 "replicas_age": self._replicas.age(self._clock.monotonic()),
             },
         )
-        if answer is DutyAnswer.BUSY:
+        if answer is CallResult.BUSY:
             await trio.sleep(RETRY_SECONDS)
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -1,9 +1,9 @@
-"""Which replicas to order: interruptible ones where they are to be had, else standing.
+"""Plans which replicas to order: interruptible if available, otherwise on-demand ones.
 
-Interruptible replicas go a whole domain at a time, and for a while no new ones are to
-be had there. So many are ordered in each domain that the others still have what the
-service needs when one is lost. Standing replicas fill up what is missing, and are given
-up once interruptible ones are there.
+Interruptible replicas are reclaimed by whole domains, and for a while no new ones are
+available there. Each domain gets so many that the others still have what the service
+needs when one is lost. On-demand replicas make up for what is missing and are released
+once interruptible ones are running.
 """
 
 import math
@@ -11,47 +11,46 @@
 from dataclasses import dataclass
 
 from berylshift.ids import DomainName, ServiceName
-from berylshift.messages.leader_calls import DutyAnswer
+from berylshift.messages.leader_calls import CallResult
 from berylshift.messages.replicas import Replica
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.version.routes import Scaling
 
-# While a system starts, replicas enter the list one by one: what stands is known once
-# their number has not changed for this long, in seconds.
-SETTLED_SECONDS = 1.2
-# How long replicas may be missing before others are ordered, in seconds. Longer than
-# one that crashed needs to come back; those that said that they leave are missed at
-# once.
-MISSING_SECONDS = 3.0
-# How much longer than its start a replica may take until it is listed, in seconds.
-LISTED_SECONDS = 2.0
-# How long to wait where none were to be had, in seconds.
-UNAVAILABLE_SECONDS = 2.0
-# While there is traffic, standing replicas are given up in one domain at a time, in
-# seconds from one to the next: those that take over have read no prompt yet.
-GIVE_UP_SECONDS = 3.0
-# Domains among which interruptible replicas have to be spread: fewer lose too much at
-# once.
-LEAST_DOMAINS = 2
+# While a system starts, replicas are listed one by one: they are counted once their
+# number has not changed for this long, in seconds.
+STABLE_COUNT_SECONDS = 1.2
+# How long replicas may be missing before others are ordered, in seconds: longer than a
+# crashed one needs to come back. Draining replicas are replaced at once.
+MAX_MISSING_SECONDS = 3.0
+# How long after its start a replica may take to be listed, in seconds.
+LISTING_DELAY_SECONDS = 2.0
+# How long to wait where no interruptible replicas were available, in seconds.
+UNAVAILABLE_RETRY_SECONDS = 2.0
+# While there is traffic, on-demand replicas are released in one domain at a time, with
+# this interval in seconds, because their replacements have no cached prompts yet.
+RELEASE_INTERVAL_SECONDS = 3.0
+# Minimum number of domains among which to spread interruptible replicas: with fewer, a
+# reclaim loses too large a share at once.
+MIN_DOMAINS = 2
 
 
 @dataclass
 class DomainCount:
-    """The replicas listed of one domain, without those that leave."""
+    """The listed replicas of one domain; draining ones only as ``leaving``."""
 
-    standing: int = 0
+    on_demand: int = 0
     interruptible: int = 0
-    # Interruptible ones that said that they leave.
+    # Interruptible replicas that are draining.
     leaving: int = 0
 
     @property
     def total(self) -> int:
-        """Return how many are or were lately there."""
-        return self.standing + self.interruptible + self.leaving
+        """Return the number of replicas including draining ones."""
+        return self.on_demand + self.interruptible + self.leaving
 
 
 @dataclass
-class _Ordered:
+class _SentOrder:
     desired: int
     at: float
 
@@ -64,40 +63,40 @@
         self._service = service
         self.scaling = scaling
         self._prices = {found.domain: found.price for found in scaling.prices}
-        # Replicas that the service needs; 0: not known yet.
+        # The replicas that the service needs; 0: not known yet.
         self.needed = 0
-        # What stands, as far as it is known: what the service is taken to need.
+        # The estimate of what is needed, from the running replicas.
         self.found = 0
-        self._ordered: dict[tuple[DomainName, ReplicaKind], _Ordered] = {}
+        self._ordered: dict[tuple[DomainName, ReplicaKind], _SentOrder] = {}
         self._unavailable_until: dict[DomainName, float] = {}
         self._missing_since: float | None = None
-        self._listed = -1
-        self._listed_since = 0.0
-        self._gave_up_at = float("-inf")
+        self._listed_count = -1
+        self._listed_count_since = 0.0
+        self._released_at = float("-inf")
 
     def plan(
-        self, replicas: Iterable[Replica], now: float, calm: bool
+        self, replicas: Iterable[Replica], now: float, is_idle: bool
     ) -> tuple[ScaleOrder, ...]:
-        """Return the orders due; ``calm``: no traffic needs the replicas."""
+        """Return the orders due; ``is_idle``: no traffic needs the replicas."""
         counts = self._counts(replicas)
-        if not self._orders_pay(counts):
+        if not self._is_worthwhile(counts):
             return ()
         if not self.needed:
-            self._look(counts, now)
+            self._estimate_needed(counts, now)
             return ()
         interruptible = [
             order
             for domain in sorted(counts)
             for order in self._interruptible_orders(domain, counts, now)
         ]
-        return (*interruptible, *self._standing_orders(counts, now, calm))
+        return (*interruptible, *self._on_demand_orders(counts, now, is_idle))
 
-    def answered(self, order: ScaleOrder, answer: DutyAnswer, now: float) -> None:
-        """Note what an order came to."""
-        if answer is DutyAnswer.UNAVAILABLE:
-            self._unavailable_until[order.domain] = now + UNAVAILABLE_SECONDS
-        elif answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
-            self._ordered[order.domain, order.kind] = _Ordered(order.desired, now)
+    def answered(self, order: ScaleOrder, answer: CallResult, now: float) -> None:
+        """Record the result of an order."""
+        if answer is CallResult.UNAVAILABLE:
+            self._unavailable_until[order.domain] = now + UNAVAILABLE_RETRY_SECONDS
+        elif answer in (CallResult.DONE, CallResult.UNKNOWN):
+            self._ordered[order.domain, order.kind] = _SentOrder(order.desired, now)
 
     def _counts(self, replicas: Iterable[Replica]) -> dict[DomainName, DomainCount]:
         found = {domain: DomainCount() for domain in self._prices}
@@ -108,47 +107,49 @@
             elif replica.interruptible:
                 count.interruptible += 1
             else:
-                count.standing += 1
+                count.on_demand += 1
         return found
 
-    def _look(self, counts: dict[DomainName, DomainCount], now: float) -> None:
-        """Take what stands for what is needed, once their number is steady.
+    def _estimate_needed(
+        self, counts: dict[DomainName, DomainCount], now: float
+    ) -> None:
+        """Estimate what is needed from the running replicas when steady.
 
-        Of interruptible ones there are more than are needed, by one domain's.
+        One domain's share of the interruptible replicas is spare and not counted.
         """
         total = sum(count.total for count in counts.values())
-        if total != self._listed:
-            self._listed, self._listed_since = total, now
-        if not total or now - self._listed_since < SETTLED_SECONDS:
+        if total != self._listed_count:
+            self._listed_count, self._listed_count_since = total, now
+        if not total or now - self._listed_count_since < STABLE_COUNT_SECONDS:
             return
-        standing = sum(count.standing for count in counts.values())
-        spare = math.ceil((total - standing) / len(counts))
+        on_demand = sum(count.on_demand for count in counts.values())
+        spare = math.ceil((total - on_demand) / len(counts))
         self.found = total - spare
 
-    def _orders_pay(self, counts: dict[DomainName, DomainCount]) -> bool:
-        """Return whether there is anything to gain; else operators' numbers stay.
+    def _is_worthwhile(self, counts: dict[DomainName, DomainCount]) -> bool:
+        """Return whether scaling can save cost; otherwise operators' numbers stay.
 
-        Interruptible replicas that are there are looked after all the same.
+        Interruptible replicas that are already running are managed in any case.
         """
         if any(count.interruptible or count.leaving for count in counts.values()):
             return True
         price, domains = self.scaling.interruptible_price, len(counts)
-        if price is None or domains < LEAST_DOMAINS:
+        if price is None or domains < MIN_DOMAINS:
             return False
         return price * domains / (domains - 1) < 1.0
 
     # Interruptible replicas
 
-    def _interruptible_in_each(self, counts: dict[DomainName, DomainCount]) -> int:
+    def _interruptible_per_domain(self, counts: dict[DomainName, DomainCount]) -> int:
         """Return how many interruptible replicas each domain should have.
 
-        None where they would cost more than the standing ones that they replace.
+        0 if they would cost more than the on-demand replicas that they replace.
         """
         price, domains = self.scaling.interruptible_price, len(counts)
-        if price is None or domains < LEAST_DOMAINS:
+        if price is None or domains < MIN_DOMAINS:
             return 0
-        each = math.ceil(self.needed / (domains - 1))
-        return each if price * each * domains < self.needed else 0
+        per_domain = math.ceil(self.needed / (domains - 1))
+        return per_domain if price * per_domain * domains < self.needed else 0
 
     def _interruptible_orders(
         self, domain: DomainName, counts: dict[DomainName, DomainCount], now: float
@@ -156,62 +157,66 @@
         if now < self._unavailable_until.get(domain, 0.0):
             return []
         count = counts[domain]
-        room = self.scaling.most - count.standing
-        desired = max(0, min(self._interruptible_in_each(counts), room))
+        room = self.scaling.most - count.on_demand
+        desired = max(0, min(self._interruptible_per_domain(counts), room))
         if desired == count.interruptible:
             return []
         return self._order_once(domain, ReplicaKind.INTERRUPTIBLE, desired, now)
 
-    # Standing replicas
+    # On-demand replicas
 
-    def _standing_orders(
-        self, counts: dict[DomainName, DomainCount], now: float, calm: bool
+    def _on_demand_orders(
+        self, counts: dict[DomainName, DomainCount], now: float, is_idle: bool
     ) -> list[ScaleOrder]:
-        desired = self._standing_wanted(counts, now, calm)
-        changed = [name for name in counts if desired[name] != counts[name].standing]
-        more = [name for name in changed if desired[name] > counts[name].standing]
-        if more and self._are_missing(counts, now):
-            return self._standing_in(more, desired, now)
+        desired = self._on_demand_targets(counts, now, is_idle)
+        changed = [name for name in counts if desired[name] != counts[name].on_demand]
+        more = [name for name in changed if desired[name] > counts[name].on_demand]
+        if more and self._is_shortage_lasting(counts, now):
+            return self._on_demand_orders_in(more, desired, now)
         if not more:
             self._missing_since = None
         fewer = [name for name in changed if name not in more]
-        if not fewer or (not calm and now - self._gave_up_at < GIVE_UP_SECONDS):
+        if not fewer or (
+            not is_idle and now - self._released_at < RELEASE_INTERVAL_SECONDS
+        ):
             return []
-        found = self._standing_in(fewer if calm else fewer[:1], desired, now)
+        found = self._on_demand_orders_in(fewer if is_idle else fewer[:1], desired, now)
         if found:
-            self._gave_up_at = now
+            self._released_at = now
         return found
 
-    def _standing_in(
+    def _on_demand_orders_in(
         self, domains: list[DomainName], desired: dict[DomainName, int], now: float
     ) -> list[ScaleOrder]:
         return [
             order
             for domain in domains
             for order in self._order_once(
-                domain, ReplicaKind.STANDING, desired[domain], now
+                domain, ReplicaKind.ON_DEMAND, desired[domain], now
             )
         ]
 
-    def _are_missing(self, counts: dict[DomainName, DomainCount], now: float) -> bool:
-        """Return whether replicas are missing that will not soon be back."""
+    def _is_shortage_lasting(
+        self, counts: dict[DomainName, DomainCount], now: float
+    ) -> bool:
+        """Return whether replicas are missing that will not be back soon."""
         if self._missing_since is None:
             self._missing_since = now
         if any(count.leaving for count in counts.values()):
             return True
-        return now - self._missing_since >= MISSING_SECONDS
+        return now - self._missing_since >= MAX_MISSING_SECONDS
 
-    def _standing_wanted(
-        self, counts: dict[DomainName, DomainCount], now: float, calm: bool
+    def _on_demand_targets(
+        self, counts: dict[DomainName, DomainCount], now: float, is_idle: bool
     ) -> dict[DomainName, int]:
-        """Return how many standing replicas each domain should have.
+        """Return how many on-demand replicas each domain should have.
 
-        Those that stand stay as far as they are needed; further ones come where they
-        are cheapest, and the dearest go first.
+        Running ones stay as far as they are needed; additional ones are placed in the
+        cheapest domains, and those in the most expensive domains are released first.
         """
-        coming = self._coming(counts, now) if calm else {}
+        starting = self._starting(counts, now) if is_idle else {}
         interruptible = sum(
-            max(count.interruptible, coming.get(name, 0))
+            max(count.interruptible, starting.get(name, 0))
             for name, count in counts.items()
         )
         missing = max(0, self.needed - interruptible)
@@ -220,37 +225,39 @@
             for name, count in counts.items()
         }
         missing -= sum(found.values())
-        by_price = sorted(counts, key=lambda name: (self._prices.get(name, 1.0), name))
-        for name in by_price:
-            kept = min(missing, max(0, counts[name].standing - found[name]))
+        domains_by_price = sorted(
+            counts, key=lambda name: (self._prices.get(name, 1.0), name)
+        )
+        for name in domains_by_price:
+            kept = min(missing, max(0, counts[name].on_demand - found[name]))
             found[name] += max(0, kept)
             missing -= max(0, kept)
-        for name in by_price:
+        for name in domains_by_price:
             room = self.scaling.most - counts[name].interruptible - found[name]
             added = max(0, min(missing, room))
             found[name] += added
             missing -= added
         return found
 
-    def _coming(
+    def _starting(
         self, counts: dict[DomainName, DomainCount], now: float
     ) -> dict[DomainName, int]:
-        """Return the interruptible replicas that were ordered and may still start."""
-        takes = self.scaling.boot_seconds + LISTED_SECONDS
+        """Return the ordered interruptible replicas that may still start."""
+        start_seconds = self.scaling.boot_seconds + LISTING_DELAY_SECONDS
         found = {}
         for name in counts:
             ordered = self._ordered.get((name, ReplicaKind.INTERRUPTIBLE))
-            if ordered is not None and now - ordered.at < takes:
+            if ordered is not None and now - ordered.at < start_seconds:
                 found[name] = ordered.desired
         return found
 
     def _order_once(
         self, domain: DomainName, kind: ReplicaKind, desired: int, now: float
     ) -> list[ScaleOrder]:
-        """Return the order, unless the same one may still take effect."""
+        """Return the order unless an equal one may still take effect."""
         former = self._ordered.get((domain, kind))
         if former is not None and former.desired == desired:
-            takes = self.scaling.boot_seconds + LISTED_SECONDS
-            if now - former.at < takes:
+            start_seconds = self.scaling.boot_seconds + LISTING_DELAY_SECONDS
+            if now - former.at < start_seconds:
                 return []
         return [ScaleOrder(self._service, domain, kind, desired)]
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -11,10 +11,10 @@
 import trio
 
 from berylshift.clock import Clock
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
+from berylshift.process.leader_tasks.leader_lease import Grant, LeaderLease, Refused
 from berylshift.process.usage.true_time import SAMPLE_SECONDS, TrueTime
 from berylshift.process.usage.usage_book import UsageBook
 from berylshift.process.usage.windows import UsageWindows
@@ -26,7 +26,7 @@
 LOOK_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is over: sent, or refused for good.
-FINAL = frozenset({DutyAnswer.DONE, DutyAnswer.REFUSED})
+FINAL = frozenset({CallResult.DONE, CallResult.REFUSED})
 
 
 class UsageLoop:
@@ -38,7 +38,7 @@
         windows: UsageWindows,
         book: UsageBook,
         time: TrueTime,
-        lease: DutyLease,
+        lease: LeaderLease,
         rows: UsageRows,
         reporting: UsageReporting,
         eras: StoreEraTracker,
@@ -105,7 +105,7 @@
             return self._give_up(window, "not known whether it was settled")
         if self._lease.held() is not grant:
             return False
-        holder = DutyHolder(self._host, grant.fence)
+        holder = LeaseHolder(self._host, grant.fence)
         answer = await self._reporting.report_usage(report, holder)
         logger.info(
             "usage sent",
@@ -116,7 +116,7 @@
         if answer not in FINAL:
             await trio.sleep(RETRY_SECONDS)
             return False
-        self.sent += answer is DutyAnswer.DONE
+        self.sent += answer is CallResult.DONE
         self._done(window)
         return True
 
--- a/berylshift/request/routed_front.py
+++ b/berylshift/request/routed_front.py
@@ -179,7 +179,9 @@
         stop = self._parts.shutdown
         if stop.has_time_for(allowance_of(route, req).seconds):
             return True
-        return stop.is_news and stop.has_time_for(self._parts.times.likely(route.name))
+        return stop.is_balancer_unaware and stop.has_time_for(
+            self._parts.times.likely(route.name)
+        )
 
     async def _turn_away(
         self, req: RoutedRequest, responder: Responder, reason: str, wait: float
@@ -194,7 +196,7 @@
                 "reason": reason,
                 "outcome": refusal.status,
                 "again": refusal.again,
-                "stopping_for": _rounded(self._parts.shutdown.running_for),
+                "stopping_for": _rounded(self._parts.shutdown.seconds_since_begin),
             },
         )
         await refuse(responder, refusal)
@@ -319,7 +321,7 @@
                 "detail": result.detail,
                 "sends": result.sends,
                 "bound": result.bound,
-                "stopping_for": _rounded(self._parts.shutdown.running_for),
+                "stopping_for": _rounded(self._parts.shutdown.seconds_since_begin),
                 "ms": round(seconds * 1000, 1),
                 "first_ms": relay.first_ms,
                 "pause_ms": relay.pause_ms,
--- a/berylshift/stand_ins/fake_duties.py
+++ b/berylshift/stand_ins/fake_duties.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.ids import ServiceName, StoreEra
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.scaling import ScaleOrder
 from berylshift.messages.usage import SettledUsage, UsageReport
 from berylshift.store.eras import FIRST_ERA
@@ -17,7 +17,7 @@
     """One report as it arrived."""
 
     report: UsageReport
-    holder: DutyHolder
+    holder: LeaseHolder
     at: float
 
 
@@ -78,18 +78,20 @@
         """Start without calls."""
         self.usage: list[UsageCall] = []
         self.orders: list[ScaleOrder] = []
-        self.answers: list[DutyAnswer] = []
+        self.answers: list[CallResult] = []
 
-    async def report_usage(self, report: UsageReport, holder: DutyHolder) -> DutyAnswer:
+    async def report_usage(
+        self, report: UsageReport, holder: LeaseHolder
+    ) -> CallResult:
         """Take a report, unless another answer is due."""
-        answer = self.answers.pop(0) if self.answers else DutyAnswer.DONE
-        if answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
+        answer = self.answers.pop(0) if self.answers else CallResult.DONE
+        if answer in (CallResult.DONE, CallResult.UNKNOWN):
             self.usage.append(UsageCall(report, holder, trio.current_time()))
         return answer
 
-    async def scale(self, order: ScaleOrder, holder: DutyHolder) -> DutyAnswer:
+    async def scale(self, order: ScaleOrder, holder: LeaseHolder) -> CallResult:
         """Take an order, unless another answer is due."""
-        answer = self.answers.pop(0) if self.answers else DutyAnswer.DONE
-        if answer in (DutyAnswer.DONE, DutyAnswer.UNKNOWN):
+        answer = self.answers.pop(0) if self.answers else CallResult.DONE
+        if answer in (CallResult.DONE, CallResult.UNKNOWN):
             self.orders.append(order)
         return answer
--- a/berylshift/tests/test_entry_leaving.py
+++ b/berylshift/tests/test_entry_leaving.py
@@ -1,4 +1,4 @@
-"""Replicas that say in their answers that they leave, whatever the store lists."""
+"""Replicas that state in their responses that they are draining."""
 
 import unittest
 
@@ -7,12 +7,12 @@
 from berylshift.tests.limit_play import LimitPlay
 
 EVEN = (1, 1, 1)
-# The platform's bound on requests to a replica that has said that it leaves.
+# The platform's limit for requests to a replica that has stated that it drains.
 DRAIN_SECONDS = 2.0
 
 
 def calls_after(replica: EntryReplica) -> int:
-    """Return the calls of hosts that had been told for longer than allowed."""
+    """Return the calls of hosts that were informed of the drain too long before."""
     told = replica.told_leaving
     return sum(
         call.at > told.get(call.host, float("inf")) + DRAIN_SECONDS
@@ -20,11 +20,11 @@
     )
 
 
-class SaidInAnswersTest(unittest.TestCase):
-    """The store is away, so no entry tells of the leaving."""
+class StatedInResponsesTest(unittest.TestCase):
+    """The store is down, so no entry shows the draining."""
 
     def play(self, path: str, number: int, **world) -> tuple[EntryReplica, LimitPlay]:
-        """Have one replica leave among callers; its entry goes on saying ready."""
+        """Have one replica drain under load while its entry still says ready."""
 
         async def play(world):
             replica = list(world.replicas.values())[number]
@@ -36,31 +36,31 @@
 
         return run_entry(play, hosts=3, **world)
 
-    def test_a_replica_that_says_it_leaves_gets_nothing_more(self):
-        """Guards against leaving that is known from the store alone."""
+    def test_a_draining_replica_gets_no_more_requests(self):
+        """Guards against draining that is known from the store only."""
         replica, callers = self.play("/look/", 0, plain=3)
         self.assertEqual(len(replica.told_leaving), 3)
         self.assertEqual(calls_after(replica), 0)
         self.assertEqual(callers.served, len(callers.replies))
 
-    def test_an_engine_that_says_it_leaves_gets_no_stream(self):
+    def test_a_draining_engine_gets_no_stream(self):
         replica, callers = self.play("/brief/", -1, engines="ppddd")
         self.assertEqual(calls_after(replica), 0)
         self.assertEqual(callers.served, len(callers.replies))
 
-    def test_a_reading_engine_that_says_it_leaves_reads_no_prompt(self):
-        """Guards against readings and freed caches that go round what was said."""
+    def test_a_draining_prefill_engine_gets_no_prompt(self):
+        """Guards against prefills and cache releases that ignore the drain."""
         replica, callers = self.play("/note/", -5, engines="ppddd")
         self.assertEqual(replica.phase, "prefill")
         self.assertEqual(calls_after(replica), 0)
         self.assertEqual(callers.served, len(callers.replies))
 
 
-class StaysSaidTest(unittest.TestCase):
-    """What a replica has said holds until its next start."""
+class DrainPersistsTest(unittest.TestCase):
+    """A stated drain holds until the replica's next instance."""
 
-    def test_an_entry_that_is_written_again_changes_nothing(self):
-        """Guards against a store that lists as ready what has said that it leaves."""
+    def test_a_renewed_entry_does_not_end_the_drain(self):
+        """Guards against a store that still lists a draining replica as ready."""
 
         async def play(world):
             replica = world.replicas["10.0.0.1:80"]
@@ -74,7 +74,7 @@
 
         self.assertEqual(calls_after(run_entry(play, plain=2)), 0)
 
-    def test_its_next_start_is_used(self):
+    def test_the_next_instance_is_used(self):
         async def play(world):
             replica = world.add_replica("engine-9", ENGINES, "decode")
             replica.says_leaving = True
--- a/berylshift/tests/test_entry_orders.py
+++ b/berylshift/tests/test_entry_orders.py
@@ -1,4 +1,4 @@
-"""Orders to engines, and the lease for them, of platform hosts that stop."""
+"""Orders to engines, and the lease for them, while hosts shut down."""
 
 import unittest
 
@@ -7,27 +7,29 @@
 from berylshift.tests.entry_world import run_entry
 
 
-class LeavingHolderTest(unittest.TestCase):
-    """A planned stop of a host that could order engines."""
+class StoppingHolderTest(unittest.TestCase):
+    """Planned shutdown of a host that could order engines."""
 
-    def test_a_host_that_leaves_takes_no_lease(self):
-        """The lease of another host runs out while a host leaves.
+    def test_a_stopping_host_acquires_no_lease(self):
+        """A host shuts down while the lease of another host expires.
 
-        Were the leaving one to take it and end, the other would have to wait until
-        that lease is over, and the engines would stay in the wrong phases meanwhile.
+        If the stopping host acquired the lease and ended, the other would have to wait
+        for its expiry, and the engines would stay in the wrong phases for that time.
         """
 
         async def task(world):
             await trio.sleep(3.6)
-            leaving, stays = world.hosts
-            await leaving.on_shutdown()
-            leaving._nursery.cancel_scope.cancel()
+            stopping, remaining = world.hosts
+            await stopping.on_shutdown()
+            stopping._nursery.cancel_scope.cancel()
             await trio.sleep(1.0)
             record, _ = world.leases._rows["phases/writer"]
-            return record.holder, stays.cfg.host.name
+            return record.holder, remaining.cfg.host.name
 
-        holder, stays = run_entry(task, hosts=2, engines="dddddd", reading_share=0.65)
-        self.assertEqual(holder, stays)
+        holder, remaining = run_entry(
+            task, hosts=2, engines="dddddd", reading_share=0.65
+        )
+        self.assertEqual(holder, remaining)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_platform_duties.py
+++ b/berylshift/tests/test_platform_duties.py
@@ -11,7 +11,7 @@
 from berylshift.connection.http_server import HttpServer
 from berylshift.connection.responder import Responder
 from berylshift.ids import CustomerName, DomainName, ServiceName
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import CustomerCount, UsageReport
 from berylshift.platform.configuration import read_routes
@@ -21,7 +21,7 @@
 from berylshift.tests.test_platform_adapter import CONFIGURATION, entry
 from berylshift.version.routes import DomainPrice, Scaling
 
-HOLDER = DutyHolder("host-1", 12)
+HOLDER = LeaseHolder("host-1", 12)
 REPORT = UsageReport(353_445_120, (CustomerCount(CustomerName("c"), 412),))
 TIMEOUT_SECONDS = 1.0
 SCALING = (
@@ -74,7 +74,7 @@
         cloud = Cloud()
         answer = call(cloud, lambda duties: duties.report_usage(REPORT, HOLDER))
         sent = cloud.calls[0]
-        self.assertEqual(answer, DutyAnswer.DONE)
+        self.assertEqual(answer, CallResult.DONE)
         self.assertEqual((sent.method, sent.path), ("POST", "/usage"))
         self.assertEqual(sent.headers["berylshift-lease-holder"], "host-1")
         self.assertEqual(sent.headers["berylshift-fencing-token"], "12")
@@ -85,7 +85,7 @@
 
     def test_an_order_of_each_kind(self):
         for kind, cheap in (
-            (ReplicaKind.STANDING, False),
+            (ReplicaKind.ON_DEMAND, False),
             (ReplicaKind.INTERRUPTIBLE, True),
         ):
             order = ScaleOrder(ServiceName("s"), DomainName("z"), kind, 6)
@@ -99,14 +99,14 @@
     def test_answers(self):
         """Guards against a call that may be done and is taken for one that is not."""
         wanted = {
-            200: DutyAnswer.DONE,
-            409: DutyAnswer.UNAVAILABLE,
-            429: DutyAnswer.BUSY,
-            503: DutyAnswer.BUSY,
-            400: DutyAnswer.REFUSED,
-            500: DutyAnswer.UNKNOWN,
-            0: DutyAnswer.UNKNOWN,
-            -1: DutyAnswer.BUSY,
+            200: CallResult.DONE,
+            409: CallResult.UNAVAILABLE,
+            429: CallResult.BUSY,
+            503: CallResult.BUSY,
+            400: CallResult.REFUSED,
+            500: CallResult.UNKNOWN,
+            0: CallResult.UNKNOWN,
+            -1: CallResult.BUSY,
         }
         for status, answer in wanted.items():
             with self.subTest(status=status):
--- a/berylshift/tests/test_scaling_loop.py
+++ b/berylshift/tests/test_scaling_loop.py
@@ -7,12 +7,12 @@
 
 from berylshift.clock import LoopClock
 from berylshift.ids import DomainName, InstanceId, ServiceName
-from berylshift.messages.leader_calls import DutyAnswer
+from berylshift.messages.leader_calls import CallResult
 from berylshift.messages.replicas import Replica, ReplicaChanges
 from berylshift.messages.scaling import ReplicaKind
 from berylshift.process.directory.replica_set import ReplicaSet
-from berylshift.process.leader_tasks.leader_lease import DutyLease
-from berylshift.process.scaling.scale_loop import PLACE_SECONDS, ScaleLoop
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
+from berylshift.process.scaling.scale_loop import RANK_DELAY_SECONDS, ScaleLoop
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
 from berylshift.stand_ins.fake_duties import FakeDuties, FakeScaleRows
 from berylshift.tests.support import run_virtual
@@ -26,7 +26,7 @@
 
 
 class World:
-    """Hosts that all see three standing replicas in each of three domains."""
+    """Hosts that all see three on-demand replicas in each of three domains."""
 
     def __init__(self, nursery: trio.Nursery, service: Service, hosts: int = 2):
         self.leases = FakeLeaseRows(trio.current_time)
@@ -50,15 +50,15 @@
         return Replica(name, SERVICE, "10.0.0.1:80", DomainName(domain), 64)
 
     def loop(self, name: str, number: int, service: Service) -> ScaleLoop:
-        lease = DutyLease(
+        lease = LeaderLease(
             self.leases,
             "scaling",
             name,
             3.0,
             random.Random(number),
             trio.current_time,
-            first_start=True,
-            keeps=True,
+            is_first_start=True,
+            can_reacquire=True,
         )
         return ScaleLoop(
             host=name,
@@ -68,11 +68,11 @@
             ordering=self.duties,
             rows=self.rows,
             clock=LoopClock(),
-            place=lambda duty: self.place(name),
-            calm=lambda: False,
+            rank=lambda duty: self.rank(name),
+            is_idle=lambda: False,
         )
 
-    def place(self, name: str) -> int:
+    def rank(self, name: str) -> int:
         return sum(f"h{n}" < name for n in range(2) if f"h{n}" not in self.gone)
 
     async def run(self, scope: trio.CancelScope, loop: ScaleLoop) -> None:
@@ -94,9 +94,9 @@
 
 
 class ScaleLoopTest(unittest.TestCase):
-    """Who orders, and when."""
+    """Which host orders, and when."""
 
-    def test_the_first_in_order_orders_once(self):
+    def test_the_host_of_rank_0_orders_once(self):
         async def task(world):
             await trio.sleep(4)
 
@@ -105,20 +105,20 @@
         self.assertEqual(world.leases._rows["scaling"][0].holder, "h0")
 
     def test_another_host_orders_when_the_first_is_gone(self):
-        """Guards against replicas that nobody orders once their holder has ended."""
+        """Guards against replicas that nobody orders once the leader has ended."""
 
         async def task(world):
             await trio.sleep(0.5)
             world.scopes[0].cancel()
             world.gone.add("h0")
-            await trio.sleep(PLACE_SECONDS + 8)
+            await trio.sleep(RANK_DELAY_SECONDS + 8)
 
         world = play(task)
         self.assertEqual(world.leases._rows["scaling"][0].holder, "h1")
         self.assertTrue(world.duties.orders)
 
     def test_a_service_without_bounds_is_never_scaled(self):
-        """Guards against orders on platforms that know no such duty."""
+        """Guards against orders on platforms that do not support scaling."""
 
         async def task(world):
             await trio.sleep(20)
@@ -127,8 +127,8 @@
         self.assertEqual(world.duties.orders, [])
         self.assertEqual(world.leases._rows, {})
 
-    def test_a_successor_goes_by_what_was_needed_at_first(self):
-        """Guards against a service that grows with each host that takes the duty."""
+    def test_a_successor_uses_the_stored_number_of_replicas(self):
+        """Guards against a service that grows with each change of leader."""
 
         async def task(world):
             world.rows.needed[SERVICE] = 6
@@ -138,7 +138,7 @@
         cheap = [o.desired for o in orders if o.kind is ReplicaKind.INTERRUPTIBLE]
         self.assertEqual(cheap, [3, 3, 3])
 
-    def test_nothing_is_ordered_while_it_is_not_known_what_is_needed(self):
+    def test_nothing_is_ordered_while_the_needed_number_is_unknown(self):
         async def task(world):
             world.rows.down = True
             await trio.sleep(6)
@@ -148,9 +148,9 @@
 
         self.assertEqual(len(play(task).duties.orders), 3)
 
-    def test_a_busy_platform_is_asked_again(self):
+    def test_an_order_to_a_busy_platform_is_repeated(self):
         async def task(world):
-            world.duties.answers = [DutyAnswer.BUSY] * 3
+            world.duties.answers = [CallResult.BUSY] * 3
             await trio.sleep(6)
 
         self.assertEqual(len(play(task).duties.orders), 3)
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -4,14 +4,14 @@
 
 import trio
 
-from berylshift.messages.leader_calls import DutyAnswer
+from berylshift.messages.leader_calls import CallResult
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.tests.support import run_virtual
 from berylshift.tests.usage_support import TERMS
 from berylshift.tests.usage_world import (
     CUSTOMERS,
     EPOCH,
-    DutyWorld,
+    UsageWorld,
     broken_rules,
     counts_of,
 )
@@ -20,12 +20,12 @@
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
 
 
-def play(task, seed: int = 1, hosts: int = 5) -> DutyWorld:
+def play(task, seed: int = 1, hosts: int = 5) -> UsageWorld:
     """Run ``task(world)`` while requests begin and hosts tell each other."""
 
     async def main():
         async with trio.open_nursery() as nursery:
-            world = DutyWorld(nursery, seed, hosts)
+            world = UsageWorld(nursery, seed, hosts)
             nursery.start_soon(world.hear)
             nursery.start_soon(world.ask)
             await task(world)
@@ -35,13 +35,13 @@
     return run_virtual(main)
 
 
-def count_late(world: DutyWorld, window: int) -> None:
+def count_late(world: UsageWorld, window: int) -> None:
     """Have each host learn of a request that began in a window, after its report."""
     for host in world.hosts:
         host.book.began(CUSTOMERS[0], UsageWindows(TERMS).start(window) + 1)
 
 
-def windows_reported(world: DutyWorld) -> list[int]:
+def windows_reported(world: UsageWorld) -> list[int]:
     """Return the windows reported, each once."""
     return sorted({call.report.window for call in world.duties.usage})
 
@@ -49,7 +49,7 @@
 class UsageLoopTest(unittest.TestCase):
     """Single faults."""
 
-    def assert_true(self, world: DutyWorld, least: int) -> None:
+    def assert_true(self, world: UsageWorld, least: int) -> None:
         """Check that all windows but the first were reported, in time and truly."""
         self.assertEqual(broken_rules(world), [])
         found = windows_reported(world)
@@ -86,7 +86,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.UNKNOWN, DutyAnswer.UNKNOWN]
+            world.duties.answers = [CallResult.UNKNOWN, CallResult.UNKNOWN]
             await trio.sleep(20)
 
         world = play(task)
@@ -103,7 +103,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.BUSY] * 3
+            world.duties.answers = [CallResult.BUSY] * 3
             while len(world.duties.answers) == 3:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
@@ -124,7 +124,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.UNKNOWN] + [DutyAnswer.BUSY] * 9
+            world.duties.answers = [CallResult.UNKNOWN] + [CallResult.BUSY] * 9
             while len(world.duties.answers) == 10:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
@@ -163,14 +163,14 @@
                 reported += len(windows_reported(world))
         self.assertGreater(reported, 5 * len(SEEDS))
 
-    async def faults(self, world: DutyWorld) -> None:
+    async def faults(self, world: UsageWorld) -> None:
         """Play a minute of faults."""
         rng = world.rng
         for _ in range(14):
             await trio.sleep(rng.uniform(0.5, 7))
             world.nursery.start_soon(self.fault, world, rng.choice(FAULTS))
 
-    async def fault(self, world: DutyWorld, kind: str) -> None:
+    async def fault(self, world: UsageWorld, kind: str) -> None:
         """Play one fault."""
         rng = world.rng
         seconds = rng.uniform(1, 8)
@@ -197,7 +197,7 @@
                 if rng.random() < 0.5:
                     known.eras.observe(world.leases.era, "another host")
         elif kind in ("busy", "unknown"):
-            answer = DutyAnswer.BUSY if kind == "busy" else DutyAnswer.UNKNOWN
+            answer = CallResult.BUSY if kind == "busy" else CallResult.UNKNOWN
             world.duties.answers = [answer] * rng.randint(1, 4)
 
 
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -1,4 +1,4 @@
-"""Some hosts that have usage to report, on a virtual clock, with scripted faults."""
+"""Simulated hosts that report usage, on a virtual clock, with scripted faults."""
 
 import random
 from dataclasses import dataclass, field
@@ -10,7 +10,7 @@
 from berylshift.ids import CustomerName
 from berylshift.messages.usage import UsageReport
 from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.usage.true_time import TrueTime
 from berylshift.process.usage.usage_book import UsageBook
 from berylshift.process.usage.usage_loop import UsageLoop
@@ -19,15 +19,15 @@
 from berylshift.stand_ins.fake_duties import FakeDuties, FakeUsageRows
 from berylshift.tests.usage_support import TERMS
 
-APART_SECONDS = 3.0
+HOLDER_GAP_SECONDS = 3.0
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 CUSTOMERS = tuple(CustomerName(name) for name in ("a", "b", "c"))
 HEAR_SECONDS = 0.1
 
 
 @dataclass
-class DutyHost:
-    """One host; ``cut``: it hears nobody and nobody hears it."""
+class UsageHost:
+    """One host; ``cut``: it is partitioned from all other hosts."""
 
     name: str
     book: UsageBook
@@ -38,24 +38,24 @@
     cut: bool = False
 
 
-class DutyWorld:
-    """Hosts that hear each other, one store and one platform."""
+class UsageWorld:
+    """Hosts that exchange digests, one store and one platform."""
 
     def __init__(self, nursery: trio.Nursery, seed: int, hosts: int = 5):
-        """Start ``hosts`` hosts; all chances come from ``seed``."""
+        """Start ``hosts`` hosts; all randomness comes from ``seed``."""
         self.nursery = nursery
         self.rng = random.Random(seed)
         self.leases = FakeLeaseRows(trio.current_time)
         self.rows = FakeUsageRows()
         self.duties = FakeDuties()
-        self.hosts: list[DutyHost] = []
+        self.hosts: list[UsageHost] = []
         self.truth: dict[tuple[int, str], int] = {}
         self.starts = 0
         for number in range(hosts):
             self.start(f"h{number}")
 
-    def start(self, name: str) -> DutyHost:
-        """Start a host, perhaps under the name of one that has ended."""
+    def start(self, name: str) -> UsageHost:
+        """Start a host, possibly under the name of one that has ended."""
         self.starts += 1
         clock = LoopClock(EPOCH)
         windows, time = UsageWindows(TERMS), TrueTime(clock, trio.current_time)
@@ -63,15 +63,15 @@
         book.learn_names(CUSTOMERS)
         eras = StoreEraTracker(trio.current_time)
         eras.observe(self.leases.era, EraSource.OWN_READ)
-        lease = DutyLease(
+        lease = LeaderLease(
             self.leases,
             "usage",
             name,
-            APART_SECONDS,
+            HOLDER_GAP_SECONDS,
             random.Random(self.starts),
             trio.current_time,
             eras,
-            keeps=True,
+            can_reacquire=True,
         )
         loop = UsageLoop(
             host=name,
@@ -85,12 +85,12 @@
             clock=clock,
             place=lambda duty: self._place(name),
         )
-        host = DutyHost(name, book, eras, loop)
+        host = UsageHost(name, book, eras, loop)
         self.hosts = [known for known in self.hosts if known.name != name] + [host]
         self.nursery.start_soon(self._run, host)
         return host
 
-    async def _run(self, host: DutyHost) -> None:
+    async def _run(self, host: UsageHost) -> None:
         with host.scope:
             await host.loop.run()
 
@@ -98,21 +98,21 @@
         heard = [host.name for host in self._in_touch() if host.name != name]
         return sum(other < name for other in heard)
 
-    def _in_touch(self) -> list[DutyHost]:
+    def _in_touch(self) -> list[UsageHost]:
         return [host for host in self.hosts if host.alive and not host.cut]
 
-    def kill(self, host: DutyHost) -> None:
+    def kill(self, host: UsageHost) -> None:
         """End a host at once."""
         host.alive = False
         host.scope.cancel()
 
     def restore(self, seconds: float) -> None:
-        """Have the store come back from an older copy."""
+        """Restore the store from an older copy."""
         self.leases.restore(seconds)
         self.rows.restore()
 
     async def hear(self) -> None:
-        """Have the hosts tell each other until cancelled."""
+        """Have the hosts exchange counts until cancelled."""
         while True:
             await trio.sleep(HEAR_SECONDS)
             for sender in self._in_touch():
@@ -124,7 +124,7 @@
                     hearer.book.note_done(done)
 
     async def ask(self, pause: float = 0.2) -> None:
-        """Have requests begin at all hosts until cancelled."""
+        """Have requests begin at random hosts until cancelled."""
         clock = LoopClock(EPOCH)
         while True:
             await trio.sleep(pause)
@@ -136,7 +136,7 @@
             self.truth[key] = self.truth.get(key, 0) + 1
 
     def true_report(self, window: int) -> dict[str, int]:
-        """Return what began in a window."""
+        """Return the counts of requests that began in a window."""
         return {
             customer: count
             for (found, customer), count in self.truth.items()
@@ -149,8 +149,8 @@
     return {item.customer: item.count for item in report.counts}
 
 
-def broken_rules(world: DutyWorld) -> list[str]:
-    """Return what the platform saw that it must never see."""
+def broken_rules(world: UsageWorld) -> list[str]:
+    """Return the violations of the platform's rules in the calls that it got."""
     found = []
     reports: dict[int, UsageReport] = {}
     for call in world.duties.usage:
@@ -165,6 +165,6 @@
             continue
         if after.holder.fence == before.holder.fence:
             found.append(f"one fence of two holders at {after.at:.1f} s")
-        if after.at - before.at < APART_SECONDS:
+        if after.at - before.at < HOLDER_GAP_SECONDS:
             found.append(f"two holders within {after.at - before.at:.1f} s")
     return found
