--- a/berylshift/messages/engine_control.py
+++ b/berylshift/messages/engine_control.py
@@ -33,7 +33,7 @@
     """Result of an order, as far as it is known."""
 
     ACCEPTED = "accepted"
-    HOLDS = "holds"
+    ALREADY_IN_PHASE = "holds"
     CONFLICT = "conflict"
     FENCED = "fenced"
     REFUSED = "refused"
--- a/berylshift/messages/scaling.py
+++ b/berylshift/messages/scaling.py
@@ -30,7 +30,7 @@
 class ScaleRows(Protocol):
     """Stores how many replicas services need; all calls raise ``PlatformError``."""
 
-    async def settle_needed(self, service: ServiceName, needed: int) -> int:
+    async def get_or_set_needed(self, service: ServiceName, needed: int) -> int:
         """Store a number unless there is one; return the stored number."""
 
 
--- a/berylshift/platform/engines.py
+++ b/berylshift/platform/engines.py
@@ -17,7 +17,7 @@
 STATUS_OK = 200
 MOST_BYTES = 1 << 20
 ANSWERS = {
-    200: OrderAnswer.HOLDS,
+    200: OrderAnswer.ALREADY_IN_PHASE,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
     412: OrderAnswer.FENCED,
--- a/berylshift/platform/own_tables.py
+++ b/berylshift/platform/own_tables.py
@@ -162,7 +162,7 @@
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
-    async def settle_needed(self, service: ServiceName, needed: int) -> int:
+    async def get_or_set_needed(self, service: ServiceName, needed: int) -> int:
         """Keep a number, unless there is one; return the one that holds."""
         table = names.SCALING_TABLE
         write = RowWrite(table, service, msgspec.json.encode(needed))
--- a/berylshift/process/control/orders.py
+++ b/berylshift/process/control/orders.py
@@ -49,7 +49,7 @@
 class SendOutcome(Enum):
     """Outcome of sending one copy of an order."""
 
-    TAKEN = "taken"
+    ACCEPTED = "taken"
     NOT_SENT = "not sent"
     REFUSED = "refused"
     STALE = "stale"
@@ -93,7 +93,7 @@
             return
         number, recipient = self.unanswered[engine]
         if report.order == number:
-            self.record_outcome(engine, number, SendOutcome.TAKEN)
+            self.record_outcome(engine, number, SendOutcome.ACCEPTED)
         elif report.incarnation != recipient:
             self.record_outcome(engine, number, SendOutcome.NOT_SENT)
 
@@ -105,7 +105,7 @@
             return
         if self.unanswered.get(engine, (None,))[0] == number:
             del self.unanswered[engine]
-        if outcome is SendOutcome.TAKEN:
+        if outcome is SendOutcome.ACCEPTED:
             self.accepted[engine] = number
 
     def is_in_flight(self, engine: TargetName) -> bool:
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -100,14 +100,14 @@
         self._pools: dict[PoolName, _Pool] = {}
         self._in_flight = InFlightOrders()
         self._to_mark_settled: dict[TargetName, JournalRow] = {}
-        self._leaving = False
+        self._stopping = False
         self._sending = 0
         self._pass_lock = trio.Lock()
 
     async def run(self) -> None:
         """Reconcile each pool once per lease interval until cancelled."""
         async with trio.open_nursery() as nursery:
-            while not self._leaving:
+            while not self._stopping:
                 async with self._pass_lock:
                     await self._run_pass(nursery)
                 await trio.sleep(self._parts.cfg.leases.interval)
@@ -115,7 +115,7 @@
     async def _run_pass(self, nursery: trio.Nursery) -> None:
         for pool, rows in self._rows_by_pool().items():
             rank = self._parts.members.rank(pool)
-            if rank < LEASE_CANDIDATES and not self._leaving:
+            if rank < LEASE_CANDIDATES and not self._stopping:
                 await self._reconcile_pool(pool, rows, rank, nursery)
         await self._mark_settled()
 
@@ -125,7 +125,7 @@
         The next holder then need not wait for the lease term, nor for copies of
         orders whose outcome only this process knows.
         """
-        self._leaving = True
+        self._stopping = True
         # A concurrent pass would renew or reacquire a lease that is released here.
         async with self._pass_lock:
             while self._sending:
@@ -251,7 +251,7 @@
         plan = _decode(stored[0], PlanRow) or PlanRow(0, [])
         self._parts.plans.apply_if_newer(pool, plan, now)
         state.observed.observe_plan(plan, now)
-        if self._leaving:
+        if self._stopping:
             return
         snapshots = [
             self._take_snapshot(state, row, found, now)
@@ -334,14 +334,14 @@
         self._in_flight.record_outcome(engine, order.number, outcome)
         extra = {"engine": engine, "number": order.number, "end": outcome.value}
         logger.info("order sent", extra=extra)
-        if outcome is SendOutcome.TAKEN:
+        if outcome is SendOutcome.ACCEPTED:
             self._to_mark_settled[engine] = journal
 
     async def _deliver(self, address: str, order) -> SendOutcome:
         with trio.move_on_after(ORDER_TIMEOUT_SECONDS):
             try:
                 await self._parts.engines.order(address, order)
-                return SendOutcome.TAKEN
+                return SendOutcome.ACCEPTED
             except StaleOrderError:
                 return SendOutcome.STALE
             except TargetRefusedError:
--- a/berylshift/process/directory/directory_loop.py
+++ b/berylshift/process/directory/directory_loop.py
@@ -76,8 +76,8 @@
     async def run(self) -> None:
         """Read both feeds until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._follow, Feed.ROUTES, self._step_routes)
-            nursery.start_soon(self._follow, Feed.REPLICAS, self._step_replicas)
+            nursery.start_soon(self._poll_feed, Feed.ROUTES, self._read_routes)
+            nursery.start_soon(self._poll_feed, Feed.REPLICAS, self._read_replicas)
             nursery.start_soon(self._expire)
 
     def notify_change(self) -> None:
@@ -94,13 +94,13 @@
                     self._rng.uniform(0, JITTER_SECONDS_PER_HOST * self._host_count())
                 )
 
-    async def _follow(self, feed: Feed, step: Callable[[], Awaitable[None]]) -> None:
+    async def _poll_feed(self, feed: Feed, read: Callable[[], Awaitable[None]]) -> None:
         failures = 0
         what = feed.value
         while True:
             await self._wait_until_due(feed)
             try:
-                await step()
+                await read()
             except HistoryLostError as exc:
                 self._watch.forget(feed)
                 logger.info(
@@ -144,7 +144,7 @@
         longest = min(max_seconds, INITIAL_BACKOFF_SECONDS * 2**failures)
         return longest * self._rng.uniform(0.5, 1.0)
 
-    async def _step_routes(self) -> None:
+    async def _read_routes(self) -> None:
         after = self._watch.position(Feed.ROUTES)
         position_era = None if after is None else self._watch.eras.current
         if after is None:
@@ -162,7 +162,7 @@
         if found.table is None and self._routes.table is None:
             await trio.sleep(INITIAL_BACKOFF_SECONDS)
 
-    async def _step_replicas(self) -> None:
+    async def _read_replicas(self) -> None:
         after = self._watch.position(Feed.REPLICAS)
         position_era = None if after is None else self._watch.eras.current
         if after is None:
@@ -187,7 +187,7 @@
                     "added": change.added,
                     "drained": change.drained,
                     "removed": change.removed,
-                    "lapsed": change.lapsed,
+                    "lapsed": change.expired,
                 },
             )
         if changes.put or changes.removed:
@@ -201,7 +201,7 @@
     def _take_routes(self, found: RouteSnapshot) -> None:
         """Apply newer routes; log a warning if the store holds older ones."""
         current = self._routes.table
-        self._routes.take(found.table, self._clock.monotonic(), found.era)
+        self._routes.apply_if_newer(found.table, self._clock.monotonic(), found.era)
         older = current is not None and found.table is not None
         if older and found.table.version < current.version:
             logger.warning(
--- a/berylshift/process/directory/pools.py
+++ b/berylshift/process/directory/pools.py
@@ -44,7 +44,8 @@
         found = self._homes.get(block)
         if found is None:
             ranked = sorted(
-                self.prefill_engines, key=lambda rep: _rank_of(block, rep.instance)
+                self.prefill_engines,
+                key=lambda rep: _rendezvous_rank(block, rep.instance),
             )
             found = tuple(ranked[:HOMES_PER_BLOCK])
             self._homes[block] = found
@@ -60,5 +61,5 @@
 EMPTY_POOL = Pool([])
 
 
-def _rank_of(block: PartId, instance: InstanceId) -> int:
+def _rendezvous_rank(block: PartId, instance: InstanceId) -> int:
     return xxhash.xxh64_intdigest(f"{block}/{instance}".encode())
--- a/berylshift/process/directory/replica_set.py
+++ b/berylshift/process/directory/replica_set.py
@@ -19,18 +19,18 @@
 class SetChange(msgspec.Struct, frozen=True):
     """What one update changed; ``removed`` includes replaced instances of replicas.
 
-    ``lapsed`` are those kept for the grace period although their entries expired.
+    ``expired``: entries that are missing, but are kept for the grace period.
     """
 
     added: tuple[InstanceId, ...] = ()
     drained: tuple[InstanceId, ...] = ()
     removed: tuple[InstanceId, ...] = ()
-    lapsed: tuple[InstanceId, ...] = ()
+    expired: tuple[InstanceId, ...] = ()
 
     @property
     def empty(self) -> bool:
         """Return whether nothing changed."""
-        return not (self.added or self.drained or self.removed or self.lapsed)
+        return not (self.added or self.drained or self.removed or self.expired)
 
 
 class ReplicaSet:
@@ -92,16 +92,16 @@
         self.mark_store_answered(now)
         self.confirmed_at = now
         self._observe_era(changes.era, now)
-        gone = set(changes.removed)
+        missing = set(changes.removed)
         if changes.whole:
-            gone |= self._listed.keys() - {rep.name for rep in changes.put}
+            missing |= self._listed.keys() - {rep.name for rep in changes.put}
         accepted = self._accept_entries(changes, now)
         foreign = {rep.name for rep in accepted if self._lacks_start(rep)}
         put = tuple(rep for rep in accepted if rep.name not in foreign)
         former = self._replaced_instances(put)
         added, drained = self._put(put)
-        removed, lapsed = self._remove(gone | foreign, now)
-        change = SetChange(added, drained, former + removed, lapsed)
+        removed, expired = self._remove(missing | foreign, now)
+        change = SetChange(added, drained, former + removed, expired)
         if not change.empty or changes.put:
             self._index(now)
         return change
@@ -135,8 +135,8 @@
         Such an entry was written by something else and names no usable replica.
         """
         former = self._listed.get(replica.name)
-        told = former is not None and former.started_ms is not None
-        return told and replica.started_ms is None
+        had_start = former is not None and former.started_ms is not None
+        return had_start and replica.started_ms is None
 
     def _replaced_instances(self, put: tuple[Replica, ...]) -> tuple[InstanceId, ...]:
         """Return the listed instances that newer instances replace."""
@@ -164,33 +164,33 @@
         return tuple(added), tuple(drained)
 
     def _remove(
-        self, gone: set[ReplicaName], now: float
+        self, missing: set[ReplicaName], now: float
     ) -> tuple[tuple[InstanceId, ...], tuple[InstanceId, ...]]:
-        removed, lapsed = [], []
+        removed, expired = [], []
         in_grace = now < self._store_recovered_at + EXPIRY_GRACE_SECONDS
-        for name in gone & self._listed.keys():
+        for name in missing & self._listed.keys():
             replica = self._listed[name]
             if in_grace and not replica.draining:
                 if name not in self._grace_until:
                     self._grace_until[name] = (
                         self._store_recovered_at + EXPIRY_GRACE_SECONDS
                     )
-                    lapsed.append(replica.instance)
+                    expired.append(replica.instance)
                 continue
             del self._listed[name]
             self._grace_until.pop(name, None)
             self._tombstones.mark_removed(replica)
             removed.append(replica.instance)
-        return tuple(removed), tuple(lapsed)
+        return tuple(removed), tuple(expired)
 
     def expire(self, now: float) -> tuple[InstanceId, ...]:
         """Drop replicas whose grace period has ended without an entry; return them."""
         names = [name for name, until in self._grace_until.items() if now >= until]
-        lapsed = [self._listed.pop(name) for name in names]
-        expired = tuple(replica.instance for replica in lapsed)
+        dropped = [self._listed.pop(name) for name in names]
+        expired = tuple(replica.instance for replica in dropped)
         for name in names:
             del self._grace_until[name]
-        for replica in lapsed:
+        for replica in dropped:
             self._tombstones.mark_removed(replica)
         unexpired = self._tombstones.pop_unexpired(now)
         self._put(tuple(unexpired))
--- a/berylshift/process/directory/route_holder.py
+++ b/berylshift/process/directory/route_holder.py
@@ -24,7 +24,7 @@
         self._era = FIRST_ERA
         self._on_change = on_change
 
-    def take(
+    def apply_if_newer(
         self, table: RouteTable | None, now: float, era: StoreEra = FIRST_ERA
     ) -> bool:
         """Apply a version if it is newer; return whether it was.
--- a/berylshift/process/directory/store_era_tracker.py
+++ b/berylshift/process/directory/store_era_tracker.py
@@ -30,7 +30,7 @@
         self._observed_at: float | None = None
         self._on_change: list[Callable[[], None]] = []
         self.current: StoreEra | None = None
-        self.changes = 0
+        self.restore_count = 0
 
     def subscribe(self, on_change: Callable[[], None]) -> None:
         """Call ``on_change`` each time the store was restored from an older copy."""
@@ -48,7 +48,7 @@
         self._observed_at = self._boot_clock()
         if former is None:
             return False
-        self.changes += 1
+        self.restore_count += 1
         logger.warning(
             "store came back older",
             extra={"era": era, "former": former, "learned_by": source},
--- a/berylshift/process/leader_tasks/leader_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -111,9 +111,9 @@
         requested_at = self._boot_clock()
         row = await self._rows.read(self._name)
         self._eras.observe(row.era, EraSource.OWN_READ)
-        refused = self._refusal(row)
-        if refused is not None:
-            return refused
+        refusal = self._refusal(row)
+        if refusal is not None:
+            return refusal
         record = self._new_record(row)
         granted = await self._rows.swap(self._name, record, row.revision)
         if granted is None:
@@ -153,7 +153,7 @@
 
         A host that has just started can't know for how long the era has lasted.
         """
-        if row.record is not None or self._eras.changes:
+        if row.record is not None or self._eras.restore_count:
             return True
         return row.era > FIRST_ERA and not self._is_first_start
 
--- a/berylshift/process/leader_tasks/phase_loop.py
+++ b/berylshift/process/leader_tasks/phase_loop.py
@@ -33,7 +33,7 @@
 RETRY_SECONDS = 1.0
 # Answers after which an engine may still change to the ordered phase.
 MAY_TAKE_EFFECT = frozenset(
-    {OrderAnswer.ACCEPTED, OrderAnswer.HOLDS, OrderAnswer.UNKNOWN}
+    {OrderAnswer.ACCEPTED, OrderAnswer.ALREADY_IN_PHASE, OrderAnswer.UNKNOWN}
 )
 
 
@@ -150,7 +150,7 @@
             self._record_answer(change, grant, OrderAnswer.REFUSED)
             return
         if report.phase is change.phase:
-            self._record_answer(change, grant, OrderAnswer.HOLDS)
+            self._record_answer(change, grant, OrderAnswer.ALREADY_IN_PHASE)
             return
         if self._lease.held() is not grant:
             self._record_answer(change, grant, OrderAnswer.FENCED)
--- a/berylshift/process/scaling/scale_loop.py
+++ b/berylshift/process/scaling/scale_loop.py
@@ -106,7 +106,7 @@
         """
         for service, planner in self._planners.items():
             if planner.found and not planner.needed:
-                found = await self._rows.settle_needed(service, planner.found)
+                found = await self._rows.get_or_set_needed(service, planner.found)
                 planner.needed = found
                 logger.info(
                     "replicas needed",
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -36,17 +36,17 @@
 
 @dataclass
 class DomainCount:
-    """The listed replicas of one domain; draining ones only as ``leaving``."""
+    """The listed replicas of one domain; ``draining``: only interruptible ones."""
 
     on_demand: int = 0
     interruptible: int = 0
-    # Interruptible replicas that are draining.
-    leaving: int = 0
+    # Interruptible replicas that state that they are draining.
+    draining: int = 0
 
     @property
     def total(self) -> int:
         """Return the number of replicas including draining ones."""
-        return self.on_demand + self.interruptible + self.leaving
+        return self.on_demand + self.interruptible + self.draining
 
 
 @dataclass
@@ -103,7 +103,7 @@
         for replica in replicas:
             count = found.setdefault(replica.domain, DomainCount())
             if replica.draining:
-                count.leaving += replica.interruptible
+                count.draining += replica.interruptible
             elif replica.interruptible:
                 count.interruptible += 1
             else:
@@ -131,7 +131,7 @@
 
         Interruptible replicas that are already running are managed in any case.
         """
-        if any(count.interruptible or count.leaving for count in counts.values()):
+        if any(count.interruptible or count.draining for count in counts.values()):
             return True
         price, domains = self.scaling.interruptible_price, len(counts)
         if price is None or domains < MIN_DOMAINS:
@@ -202,7 +202,7 @@
         """Return whether replicas are missing that will not be back soon."""
         if self._missing_since is None:
             self._missing_since = now
-        if any(count.leaving for count in counts.values()):
+        if any(count.draining for count in counts.values()):
             return True
         return now - self._missing_since >= MAX_MISSING_SECONDS
 
@@ -229,9 +229,9 @@
             counts, key=lambda name: (self._prices.get(name, 1.0), name)
         )
         for name in domains_by_price:
-            kept = min(missing, max(0, counts[name].on_demand - found[name]))
-            found[name] += max(0, kept)
-            missing -= max(0, kept)
+            retained = min(missing, max(0, counts[name].on_demand - found[name]))
+            found[name] += max(0, retained)
+            missing -= max(0, retained)
         for name in domains_by_price:
             room = self.scaling.most - counts[name].interruptible - found[name]
             added = max(0, min(missing, room))
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -147,7 +147,7 @@
 
         The store may have come back older since the window's end.
         """
-        if not self._eras.changes:
+        if not self._eras.restore_count:
             return True
         return self._time.now() - self._eras.age() < self._windows.end(window)
 
--- a/berylshift/stand_ins/fake_duties.py
+++ b/berylshift/stand_ins/fake_duties.py
@@ -64,7 +64,7 @@
         self.needed: dict[ServiceName, int] = {}
         self.down = False
 
-    async def settle_needed(self, service: ServiceName, needed: int) -> int:
+    async def get_or_set_needed(self, service: ServiceName, needed: int) -> int:
         """Keep a number, unless there is one; return the one that holds."""
         if self.down:
             raise StoreUnavailableError("down")
--- a/berylshift/tests/order_simulation.py
+++ b/berylshift/tests/order_simulation.py
@@ -96,7 +96,7 @@
     in_flight: InFlightOrders = field(default_factory=InFlightOrders)
     checked: list[Message] = field(default_factory=list)
     to_settle: list[JournalRow] = field(default_factory=list)
-    seen: tuple[int, float] = (-1, 0.0)
+    journal_observed: tuple[int, float] = (-1, 0.0)
     alive: bool = True
 
     def __post_init__(self):
@@ -191,13 +191,13 @@
     def _view(self, stored, now: float) -> EngineView:
         journal = msgspec.json.decode(stored.value, type=JournalRow) if stored else None
         revision = stored.revision if stored else ABSENT
-        if self.seen[0] != revision:
-            self.seen = (revision, now)
+        if self.journal_observed[0] != revision:
+            self.journal_observed = (revision, now)
         report = self.world.engine.report(now) if self.world.engine.alive else None
         if report is not None:
             self.in_flight.observe(ENGINE, report)
         check = OrderCheck.REFUSES if self.world.refuses else OrderCheck.IGNORES
-        return EngineView(ENGINE, check, journal, report, now, self.seen[1])
+        return EngineView(ENGINE, check, journal, report, now, self.journal_observed[1])
 
     def _write_journal(self, view, stored, row: JournalRow) -> bool:
         conditions = [
@@ -218,10 +218,10 @@
         self.in_flight.record_send(ENGINE, journal.order.number, recipient)
         self.checked.append(Message(self, journal.order, journal))
 
-    def take_answer(self, message: Message, outcome: SendOutcome) -> None:
+    def on_answer(self, message: Message, outcome: SendOutcome) -> None:
         """Record the outcome of a send."""
         self.in_flight.record_outcome(ENGINE, message.order.number, outcome)
-        if outcome is SendOutcome.TAKEN:
+        if outcome is SendOutcome.ACCEPTED:
             self.to_settle.append(message.journal)
 
     def settle(self) -> None:
@@ -290,7 +290,7 @@
         if not self.wire:
             return
         message = self.wire.pop(place % len(self.wire))
-        outcome = SendOutcome.TAKEN
+        outcome = SendOutcome.ACCEPTED
         try:
             self.engine.order(message.order, self.now)
         except StaleOrderError:
@@ -298,7 +298,7 @@
         except TargetRefusedError:
             outcome = SendOutcome.REFUSED
         if message.sender.alive:
-            message.sender.take_answer(
+            message.sender.on_answer(
                 message, SendOutcome.UNKNOWN if lose_answer else outcome
             )
 
--- a/berylshift/tests/test_directory_replica_set.py
+++ b/berylshift/tests/test_directory_replica_set.py
@@ -81,7 +81,7 @@
         """
         self.found.mark_store_lost(5.0)
         change = self.found.apply(put(whole=True), 12.0)
-        self.assertEqual(change.lapsed and self.names(), ["i-1", "i-2"])
+        self.assertEqual(change.expired and self.names(), ["i-1", "i-2"])
         self.found.apply(put(entry(1)), 13.0)
         self.found.expire(12.0 + EXPIRY_GRACE_SECONDS - 0.1)
         self.assertEqual(self.names(), ["i-1", "i-2"])
--- a/berylshift/tests/test_directory_schedules.py
+++ b/berylshift/tests/test_directory_schedules.py
@@ -110,11 +110,11 @@
     """One host's routes and replicas, and the versions it has held."""
 
     view: HostView
-    held: list[int] = field(default_factory=list)
+    versions: list[int] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         """Wire the real components."""
-        self.routes = RouteHolder(lambda table: self.held.append(table.version))
+        self.routes = RouteHolder(lambda table: self.versions.append(table.version))
         self.replicas = ReplicaSet()
         self.loop = DirectoryLoop(
             self.view,
@@ -254,8 +254,8 @@
         """Check the invariants that hold at any time."""
         now = trio.current_time()
         for host in self.hosts:
-            assert host.held == sorted(set(host.held)), "a version went back"
-            assert not host.held or host.held[-1] <= self.version
+            assert host.versions == sorted(set(host.versions)), "a version went back"
+            assert not host.versions or host.versions[-1] <= self.version
             since = now - host.view.fault_ended_at
             if host.view.fault is Fault.NONE and since > IN_FORCE_SECONDS:
                 self.check_without_faults(host, now)
--- a/berylshift/tests/test_entry_leaving.py
+++ b/berylshift/tests/test_entry_leaving.py
@@ -13,9 +13,9 @@
 
 def calls_after(replica: EntryReplica) -> int:
     """Return the calls of hosts that were informed of the drain too long before."""
-    told = replica.told_leaving
+    informed_at = replica.told_leaving
     return sum(
-        call.at > told.get(call.host, float("inf")) + DRAIN_SECONDS
+        call.at > informed_at.get(call.host, float("inf")) + DRAIN_SECONDS
         for call in replica.calls
     )
 
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -67,7 +67,7 @@
 
     def setUp(self):
         self.routes = RouteHolder()
-        self.routes.take(table(keys((KEY, HOLDER))), 0.0)
+        self.routes.apply_if_newer(table(keys((KEY, HOLDER))), 0.0)
         self.gate = KeyGate(self.routes, IN_FORCE)
 
     def verdict(self, req, asked=LOOK, now=1.0):
@@ -105,7 +105,7 @@
         """Guards against a request that waited and is sent by a key without holder."""
         req = LANGUAGE.without_key(shown(KEY), HOLDER.name)
         self.assertTrue(self.gate.still_holds(req, LOOK))
-        self.routes.take(table(keys(), 2), 1.0)
+        self.routes.apply_if_newer(table(keys(), 2), 1.0)
         self.assertFalse(self.gate.still_holds(req, LOOK))
         self.assertTrue(self.gate.still_holds(req, OPEN))
 
@@ -113,12 +113,12 @@
         """Guards against a request that runs on the account of the former holder."""
         req = LANGUAGE.without_key(shown(KEY), HOLDER.name)
         other = Customer(CustomerName("other"))
-        self.routes.take(table(keys((KEY, other)), 2), 1.0)
+        self.routes.apply_if_newer(table(keys((KEY, other)), 2), 1.0)
         self.assertFalse(self.gate.still_holds(req, LOOK))
 
     def test_without_customers_all_is_as_sent(self):
         """Guards against a change for deployments that know no customers."""
-        self.routes.take(table(None, 2), 1.0)
+        self.routes.apply_if_newer(table(None, 2), 1.0)
         req = request((names.AUTHORIZATION, b"Basic x"), (names.CUSTOMER, b"y"))
         found = self.gate.admit(req, LOOK, 1.0)
         self.assertEqual((found.verdict, found.keyed), (KeyVerdict.ADMITTED, False))
@@ -156,7 +156,7 @@
     def test_no_header_list_passes_a_key_or_a_false_customer_on(self, headers):
         """Guards against a replica that hears a key, or a made-up customer."""
         routes = RouteHolder()
-        routes.take(table(keys((KEY, HOLDER))), 0.0)
+        routes.apply_if_newer(table(keys((KEY, HOLDER))), 0.0)
         req = request(*headers)
         found = KeyGate(routes, IN_FORCE).admit(req, LOOK, 0.0)
         wanted = [(names.AUTHORIZATION, b"Bearer " + KEY)]
--- a/berylshift/tests/test_scaling_planner.py
+++ b/berylshift/tests/test_scaling_planner.py
@@ -66,7 +66,7 @@
         )
         self.started.append(Started(replica, self.now + boot))
 
-    def here(self, domain: str, kind: ReplicaKind) -> list[Started]:
+    def active(self, domain: str, kind: ReplicaKind) -> list[Started]:
         """Return the replicas that run or start and are not draining."""
         cheap = kind is INTERRUPTIBLE
         return [
@@ -85,24 +85,24 @@
         self, domain: str, unavailable_seconds: float, everywhere: bool = False
     ) -> None:
         """Reclaim all interruptible replicas of a domain; new ones are unavailable."""
-        for found in self.here(domain, INTERRUPTIBLE):
+        for found in self.active(domain, INTERRUPTIBLE):
             found.draining, found.gone_at = True, self.now + NOTICE_SECONDS
         for name in self.domains if everywhere else (domain,):
             self.unavailable_until[name] = self.now + unavailable_seconds
 
-    def take(self, order: ScaleOrder) -> CallResult:
+    def execute(self, order: ScaleOrder) -> CallResult:
         """Execute an order."""
         self.orders.append(order)
-        here = self.here(order.domain, order.kind)
-        more = order.desired - len(here)
+        active = self.active(order.domain, order.kind)
+        more = order.desired - len(active)
         if more > 0 and order.kind is INTERRUPTIBLE:
             if self.now < self.unavailable_until.get(order.domain, 0.0):
                 return CallResult.UNAVAILABLE
         for _ in range(more):
             self.start(order.domain, order.kind, BOOT_SECONDS)
-        for found in here[: max(0, -more)]:
+        for found in active[: max(0, -more)]:
             found.draining, found.gone_at = True, self.now + LEAVE_SECONDS
-        total = sum(len(self.here(order.domain, kind)) for kind in ReplicaKind)
+        total = sum(len(self.active(order.domain, kind)) for kind in ReplicaKind)
         if total > self.most:
             raise AssertionError(f"{total} replicas in {order.domain}")
         return CallResult.DONE
@@ -134,7 +134,7 @@
             orders = self.planner.plan(self.listed(), self.now, is_idle)
             self.planner.needed = self.planner.needed or self.planner.found
             for order in orders:
-                self.planner.answered(order, self.take(order), self.now)
+                self.planner.answered(order, self.execute(order), self.now)
             self.now += STEP_SECONDS
             fewest = min(fewest, self.serving())
             self.started = [one for one in self.started if one.gone_at > self.now]
@@ -150,7 +150,7 @@
     """A service of twelve replicas in four domains."""
 
     def count(self, platform: Platform, kind: ReplicaKind) -> int:
-        return sum(len(platform.here(domain, kind)) for domain in platform.domains)
+        return sum(len(platform.active(domain, kind)) for domain in platform.domains)
 
     def test_interruptible_ones_take_over_without_loss_of_capacity(self):
         """Guards against lost capacity while replicas are exchanged."""
@@ -160,12 +160,12 @@
         self.assertEqual(self.count(platform, ON_DEMAND), 0)
 
     def test_cost_is_less_than_half(self):
-        ordered, kept = Platform(), Platform(price=None)
-        for platform in (ordered, kept):
+        ordered, unscaled = Platform(), Platform(price=None)
+        for platform in (ordered, unscaled):
             platform.play(20, is_idle=True)
             platform.cost = 0.0
             platform.play(40)
-        self.assertLess(ordered.cost, 0.5 * kept.cost)
+        self.assertLess(ordered.cost, 0.5 * unscaled.cost)
 
     def test_the_loss_of_a_domain_leaves_what_the_service_needs(self):
         """Guards against refusals while a domain's replicas are reclaimed."""
--- a/berylshift/tests/test_store_eras.py
+++ b/berylshift/tests/test_store_eras.py
@@ -117,35 +117,35 @@
     def test_a_draining_replica_that_the_copy_lists_as_ready_gets_nothing(self):
         """The host has acknowledged the drain; the copy lists the replica as ready."""
 
-        def leaves(world, replica):
+        def drain(world, replica):
             world.list_replica(replica, PLAIN, draining=True)
 
-        self.assertEqual(self.play(leaves), (0, {200}))
+        self.assertEqual(self.play(drain), (0, {200}))
 
     def test_a_removed_replica_that_the_copy_lists_gets_nothing(self):
-        def goes(world, replica):
+        def remove(world, replica):
             world.directory.remove_replica(replica.instance)
 
-        self.assertEqual(self.play(goes), (0, {200}))
+        self.assertEqual(self.play(remove), (0, {200}))
 
     def test_a_replica_that_renews_its_entry_is_used(self):
         """Its entry had only expired; the replica was alive all the time."""
 
-        def expires(world, replica):
+        def expire(world, replica):
             world.directory.remove_replica(replica.instance)
 
-        def writes(world, replica):
+        def renew(world, replica):
             world.list_replica(replica, PLAIN)
 
-        taken, statuses = self.play(expires, writes)
+        taken, statuses = self.play(expire, renew)
         self.assertGreater(taken, 0)
         self.assertEqual(statuses, {200})
 
     def test_a_replica_whose_entry_does_not_expire_is_used(self):
-        def expires(world, replica):
+        def expire(world, replica):
             world.directory.remove_replica(replica.instance)
 
-        taken, _ = self.play(expires, wait=2 * ENTRY_TTL_SECONDS)
+        taken, _ = self.play(expire, wait=2 * ENTRY_TTL_SECONDS)
         self.assertGreater(taken, 0)
 
     def test_replicas_newer_than_the_copy_are_used_until_listed_again(self):
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -71,12 +71,12 @@
             for _ in range(20):
                 world.put_routes()
                 await trio.sleep(0.1)
-            held = [host for host in world.hosts if host.watch.reads_feeds][0]
-            world.net.paths[held.address] = Path.HELD
+            delayed = [host for host in world.hosts if host.watch.reads_feeds][0]
+            world.net.paths[delayed.address] = Path.HELD
             world.store.restore(1.5)
             version = world.put_routes()
             await trio.sleep(1.0)
-            world.net.paths[held.address] = Path.OPEN
+            world.net.paths[delayed.address] = Path.OPEN
             await trio.sleep(BOUND_SECONDS)
             return version, {host.version for host in world.hosts}
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -50,14 +50,14 @@
     def test_whatever_is_read_no_version_goes_back(self, versions):
         holder, newest = RouteHolder(), 0
         for version in versions:
-            holder.take(routes(version), 0.0)
+            holder.apply_if_newer(routes(version), 0.0)
             newest = max(newest, version)
             self.assertEqual(holder.table.version, newest)
 
     def test_nothing_new_still_confirms(self):
         holder = RouteHolder()
-        holder.take(routes(3), 1.0)
-        holder.take(None, 4.0)
+        holder.apply_if_newer(routes(3), 1.0)
+        holder.apply_if_newer(None, 4.0)
         self.assertEqual(holder.age(5.0), 1.0)
         self.assertEqual(holder.table.version, 3)
 
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -26,8 +26,8 @@
     async def main():
         async with trio.open_nursery() as nursery:
             world = UsageWorld(nursery, seed, hosts)
-            nursery.start_soon(world.hear)
-            nursery.start_soon(world.ask)
+            nursery.start_soon(world.exchange_counts)
+            nursery.start_soon(world.generate_requests)
             await task(world)
             nursery.cancel_scope.cancel()
         return world
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -95,10 +95,10 @@
             await host.loop.run()
 
     def _place(self, name: str) -> int:
-        heard = [host.name for host in self._in_touch() if host.name != name]
-        return sum(other < name for other in heard)
+        peers = [host.name for host in self._connected() if host.name != name]
+        return sum(other < name for other in peers)
 
-    def _in_touch(self) -> list[UsageHost]:
+    def _connected(self) -> list[UsageHost]:
         return [host for host in self.hosts if host.alive and not host.cut]
 
     def kill(self, host: UsageHost) -> None:
@@ -111,23 +111,23 @@
         self.leases.restore(seconds)
         self.rows.restore()
 
-    async def hear(self) -> None:
+    async def exchange_counts(self) -> None:
         """Have the hosts exchange counts until cancelled."""
         while True:
             await trio.sleep(HEAR_SECONDS)
-            for sender in self._in_touch():
-                told = sender.book.own_told(trio.current_time())
+            for sender in self._connected():
+                counts = sender.book.own_told(trio.current_time())
                 done = sender.book.done_told(trio.current_time())
-                for hearer in self._in_touch():
+                for receiver in self._connected():
                     start = sender.book.start
-                    hearer.book.hear_host(sender.name, "z1", start, told)
-                    hearer.book.note_done(done)
+                    receiver.book.hear_host(sender.name, "z1", start, counts)
+                    receiver.book.note_done(done)
 
-    async def ask(self, pause: float = 0.2) -> None:
+    async def generate_requests(self, interval_seconds: float = 0.2) -> None:
         """Have requests begin at random hosts until cancelled."""
         clock = LoopClock(EPOCH)
         while True:
-            await trio.sleep(pause)
+            await trio.sleep(interval_seconds)
             host = self.rng.choice([host for host in self.hosts if host.alive])
             customer = self.rng.choice(CUSTOMERS)
             at = clock.now().timestamp()
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -92,7 +92,7 @@
     Proof(
         "no window is settled anew that may have been",
         "process/usage/usage_loop.py",
-        "        if not self._eras.changes:\n            return True\n",
+        "        if not self._eras.restore_count:\n            return True\n",
         "        return True\n",
         f"{USAGE}.UsageLoopTest",
     ),
@@ -221,8 +221,8 @@
     Proof(
         "what a whole list leaves out is gone",
         "process/directory/replica_set.py",
-        "gone |= self._listed.keys() -",
-        "gone |= set() & self._listed.keys() -",
+        "missing |= self._listed.keys() -",
+        "missing |= set() & self._listed.keys() -",
         "test_directory_schedules.DirectoryScheduleTest",
     ),
     Proof(
@@ -618,7 +618,7 @@
     Proof(
         "an entry that lacks its replica's start is another writer's",
         "process/directory/replica_set.py",
-        "return told and replica.started_ms is None",
+        "return had_start and replica.started_ms is None",
         "return False",
         "test_directory_replica_set.RestartTest",
     ),
