--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -29,7 +29,7 @@
 from berylshift.process.gossip.load_loop import LoadLoop
 from berylshift.process.gossip.load_loop import LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.leader_tasks.phase_loop import PhaseLoop
 from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 from berylshift.process.limits.shared_retry_budget import DEFAULT_HOST_COUNT
@@ -321,9 +321,9 @@
                     self._pools.add(service.name)
                     self._nursery.start_soon(self._make_pool(service.name).run)
 
-    def _lease(self, duty: str, keeps: bool = False) -> DutyLease:
+    def _lease(self, duty: str, keeps: bool = False) -> LeaderLease:
         cfg, ports = self.cfg, self.ports
-        return DutyLease(
+        return LeaderLease(
             ports.leases,
             duty,
             cfg.host.name,
@@ -373,10 +373,10 @@
             phases=self.phases,
             clock=ports.clock,
             rng=ports.rng,
-            calm=self.is_calm,
-            hosts=self._hosts_that_share,
+            is_idle=self.is_calm,
+            host_count=self._hosts_that_share,
             holder=cfg.host.name,
-            leaving=lambda: self.leaving,
+            is_stopping=lambda: self.leaving,
             is_limited=lambda instance: self.throttle.is_limited(
                 instance, ports.clock.monotonic()
             ),
--- a/berylshift/entry_duties.py
+++ b/berylshift/entry_duties.py
@@ -1,24 +1,27 @@
 """An entry host's duties towards the platform: usage reported, replicas ordered."""
 
-from collections.abc import Callable, Iterable
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
 from berylshift.ids import CustomerName
-from berylshift.messages.scaling import ScaleOrdering, ScaleRows
-from berylshift.messages.usage import UsageReporting, UsageRows
+from berylshift.messages.scaling import ScaleOrdering
+from berylshift.messages.scaling import ScaleRows
+from berylshift.messages.usage import UsageReporting
+from berylshift.messages.usage import UsageRows
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import DutyLease
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.scaling.scale_loop import ScaleLoop
 from berylshift.process.usage.filtered_clock import FilteredClock
 from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.usage_loop import UsageLoop
-from berylshift.process.usage.windows import UsageSchedule, UsageWindows
+from berylshift.process.usage.windows import UsageSchedule
+from berylshift.process.usage.windows import UsageWindows
 from berylshift.settings import Settings
-from berylshift.version.routes import RouteTable, Service
+from berylshift.version.routes import RouteTable
+from berylshift.version.routes import Service
+from collections.abc import Callable
+from collections.abc import Iterable
+from dataclasses import dataclass
+import trio
 
 
 @dataclass
@@ -38,7 +41,7 @@
     replicas: ReplicaSet
     eras: StoreEraTracker
     services: Callable[[], Iterable[Service]]
-    lease: Callable[[str], DutyLease]
+    lease: Callable[[str], LeaderLease]
     place: Callable[[str], int | None]
     calm: Callable[[], bool]
 
@@ -74,8 +77,8 @@
             ordering=parts.scale_ordering,
             rows=parts.scale_rows,
             clock=parts.clock,
-            place=parts.place,
-            calm=parts.calm,
+            rank=parts.place,
+            is_idle=parts.calm,
         )
 
     def run_began(self, customer: CustomerName | None, ago: float) -> None:
--- a/berylshift/messages/usage.py
+++ b/berylshift/messages/usage.py
@@ -1,15 +1,15 @@
 """Counts of customers' requests, and the usage reports made from them."""
 
-import functools
+from berylshift.ids import CustomerName
+from berylshift.ids import StoreEra
+from berylshift.messages.leader_calls import CallResult
+from berylshift.messages.leader_calls import LeaseHolder
+from berylshift.store.eras import FIRST_ERA
 from typing import Protocol
-
+import functools
 import msgspec
 import xxhash
 
-from berylshift.ids import CustomerName, StoreEra
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
-from berylshift.store.eras import FIRST_ERA
-
 MAX_CACHED_HASHES = 8192
 
 
@@ -59,7 +59,9 @@
 class UsageReporting(Protocol):
     """Reports usage to the platform."""
 
-    async def report_usage(self, report: UsageReport, holder: DutyHolder) -> DutyAnswer:
+    async def report_usage(
+        self, report: UsageReport, holder: LeaseHolder
+    ) -> CallResult:
         """Send a report once; repeating an identical one has no effect."""
 
 
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -1,63 +1,58 @@
 """Maintains pool leases and, as their holder, executes plans and orders."""
 
-import logging
-from dataclasses import dataclass, field
-
-import msgspec
-import trio
-
 from berylshift.clock import Clock
-from berylshift.ids import Epoch, Incarnation, PoolName, TargetName
+from berylshift.ids import Epoch
+from berylshift.ids import Incarnation
+from berylshift.ids import PoolName
+from berylshift.ids import TargetName
 from berylshift.process.control.demand_meter import DemandMeter
-from berylshift.process.control.leases import (
-    EpochRow,
-    Lease,
-    LeaseAction,
-    LeaseRow,
-    WriteOutcome,
-    epoch_key,
-    lease_key,
-)
-from berylshift.process.control.orders import (
-    InFlightOrders,
-    JournalRow,
-    JournalState,
-    OrderReconciler,
-    SendOutcome,
-    journal_key,
-)
-from berylshift.process.control.plans import PlanRow, Plans, plan_key
-from berylshift.process.control.pool_reconciler import (
-    EngineSnapshot,
-    ObservationTimes,
-    PoolReconciler,
-    PoolStep,
-)
+from berylshift.process.control.leases import EpochRow
+from berylshift.process.control.leases import Lease
+from berylshift.process.control.leases import LeaseAction
+from berylshift.process.control.leases import LeaseRow
+from berylshift.process.control.leases import WriteOutcome
+from berylshift.process.control.leases import epoch_key
+from berylshift.process.control.leases import lease_key
+from berylshift.process.control.orders import InFlightOrders
+from berylshift.process.control.orders import JournalRow
+from berylshift.process.control.orders import JournalState
+from berylshift.process.control.orders import OrderReconciler
+from berylshift.process.control.orders import SendOutcome
+from berylshift.process.control.orders import journal_key
+from berylshift.process.control.plans import PlanRow
+from berylshift.process.control.plans import Plans
+from berylshift.process.control.plans import plan_key
+from berylshift.process.control.pool_reconciler import EngineSnapshot
+from berylshift.process.control.pool_reconciler import ObservationTimes
+from berylshift.process.control.pool_reconciler import PoolReconciler
+from berylshift.process.control.pool_reconciler import PoolStep
 from berylshift.process.control.roles import make_planner
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.store_budget import Priority
-from berylshift.process.membership.members import Membership, host_of
+from berylshift.process.membership.members import Membership
+from berylshift.process.membership.members import host_of
 from berylshift.process.table.follower import TableHolder
 from berylshift.settings import Settings
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import (
-    ABSENT,
-    AnswerLostError,
-    Condition,
-    PlatformError,
-    StoredRow,
-    Transaction,
-    Write,
-    as_raw,
-)
-from berylshift.targets import (
-    EngineClient,
-    StaleOrderError,
-    TargetBrokenError,
-    TargetNotReachedError,
-    TargetRefusedError,
-)
+from berylshift.store.interfaces import ABSENT
+from berylshift.store.interfaces import AnswerLostError
+from berylshift.store.interfaces import Condition
+from berylshift.store.interfaces import PlatformError
+from berylshift.store.interfaces import StoredRow
+from berylshift.store.interfaces import Transaction
+from berylshift.store.interfaces import Write
+from berylshift.store.interfaces import as_raw
+from berylshift.targets import EngineClient
+from berylshift.targets import StaleOrderError
+from berylshift.targets import TargetBrokenError
+from berylshift.targets import TargetNotReachedError
+from berylshift.targets import TargetRefusedError
 from berylshift.version.rows import Row
+from dataclasses import dataclass
+from dataclasses import field
+import logging
+import msgspec
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -100,14 +95,14 @@
         self._pools: dict[PoolName, _Pool] = {}
         self._in_flight = InFlightOrders()
         self._to_mark_settled: dict[TargetName, JournalRow] = {}
-        self._leaving = False
+        self._stopping = False
         self._sending = 0
         self._pass_lock = trio.Lock()
 
     async def run(self) -> None:
         """Reconcile each pool once per lease interval until cancelled."""
         async with trio.open_nursery() as nursery:
-            while not self._leaving:
+            while not self._stopping:
                 async with self._pass_lock:
                     await self._run_pass(nursery)
                 await trio.sleep(self._parts.cfg.leases.interval)
@@ -115,7 +110,7 @@
     async def _run_pass(self, nursery: trio.Nursery) -> None:
         for pool, rows in self._rows_by_pool().items():
             rank = self._parts.members.rank(pool)
-            if rank < LEASE_CANDIDATES and not self._leaving:
+            if rank < LEASE_CANDIDATES and not self._stopping:
                 await self._reconcile_pool(pool, rows, rank, nursery)
         await self._mark_settled()
 
@@ -125,7 +120,7 @@
         The next holder then need not wait for the lease term, nor for copies of
         orders whose outcome only this process knows.
         """
-        self._leaving = True
+        self._stopping = True
         # A concurrent pass would renew or reacquire a lease that is released here.
         async with self._pass_lock:
             while self._sending:
@@ -251,7 +246,7 @@
         plan = _decode(stored[0], PlanRow) or PlanRow(0, [])
         self._parts.plans.apply_if_newer(pool, plan, now)
         state.observed.observe_plan(plan, now)
-        if self._leaving:
+        if self._stopping:
             return
         snapshots = [
             self._take_snapshot(state, row, found, now)
@@ -334,14 +329,14 @@
         self._in_flight.record_outcome(engine, order.number, outcome)
         extra = {"engine": engine, "number": order.number, "end": outcome.value}
         logger.info("order sent", extra=extra)
-        if outcome is SendOutcome.TAKEN:
+        if outcome is SendOutcome.ACCEPTED:
             self._to_mark_settled[engine] = journal
 
     async def _deliver(self, address: str, order) -> SendOutcome:
         with trio.move_on_after(ORDER_TIMEOUT_SECONDS):
             try:
                 await self._parts.engines.order(address, order)
-                return SendOutcome.TAKEN
+                return SendOutcome.ACCEPTED
             except StaleOrderError:
                 return SendOutcome.STALE
             except TargetRefusedError:
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -5,23 +5,24 @@
 settled report may have been lost with the store is not settled again.
 """
 
-import logging
-from collections.abc import Callable
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.messages.leader_calls import DutyAnswer, DutyHolder
-from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
+from berylshift.messages.leader_calls import CallResult
+from berylshift.messages.leader_calls import LeaseHolder
+from berylshift.messages.usage import UsageReport
+from berylshift.messages.usage import UsageReporting
+from berylshift.messages.usage import UsageRows
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import DutyLease, Grant, Refused
-from berylshift.process.usage.filtered_clock import (
-    SAMPLE_INTERVAL_SECONDS,
-    FilteredClock,
-)
+from berylshift.process.leader_tasks.leader_lease import Grant
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
+from berylshift.process.leader_tasks.leader_lease import Refused
+from berylshift.process.usage.filtered_clock import FilteredClock
+from berylshift.process.usage.filtered_clock import SAMPLE_INTERVAL_SECONDS
 from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.store.interfaces import PlatformError
+from collections.abc import Callable
+import logging
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -29,7 +30,7 @@
 POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is done: it was accepted, or rejected permanently.
-FINAL_ANSWERS = frozenset({DutyAnswer.DONE, DutyAnswer.REFUSED})
+FINAL_ANSWERS = frozenset({CallResult.DONE, CallResult.REFUSED})
 
 
 class UsageLoop:
@@ -41,7 +42,7 @@
         windows: UsageWindows,
         usage_counts: UsageCounts,
         filtered_clock: FilteredClock,
-        lease: DutyLease,
+        lease: LeaderLease,
         rows: UsageRows,
         reporting: UsageReporting,
         eras: StoreEraTracker,
@@ -112,7 +113,7 @@
             return self._give_up(window, "not known whether it was settled")
         if self._lease.held() is not grant:
             return False
-        holder = DutyHolder(self._host, grant.fence)
+        holder = LeaseHolder(self._host, grant.fence)
         answer = await self._reporting.report_usage(report, holder)
         logger.info(
             "usage sent",
@@ -123,7 +124,7 @@
         if answer not in FINAL_ANSWERS:
             await trio.sleep(RETRY_SECONDS)
             return False
-        self.reported_count += answer is DutyAnswer.DONE
+        self.reported_count += answer is CallResult.DONE
         self._finish(window)
         return True
 
@@ -154,7 +155,7 @@
 
         The store may have been restored from an older copy since the window's end.
         """
-        if not self._eras.changes:
+        if not self._eras.restore_count:
             return True
         return self._filtered_clock.now() - self._eras.age() < self._windows.end_of(
             window
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -192,7 +192,7 @@
         shutdown = self._deps.shutdown
         if shutdown.has_time_for(request_timeout(route, req).seconds):
             return True
-        return shutdown.is_news and shutdown.has_time_for(
+        return shutdown.is_balancer_unaware and shutdown.has_time_for(
             self._deps.recent_durations.upper_bound(route.name)
         )
 
@@ -209,7 +209,7 @@
                 "reason": reason,
                 "outcome": refusal.status,
                 "again": refusal.retry_after,
-                "stopping_for": _rounded(self._deps.shutdown.running_for),
+                "stopping_for": _rounded(self._deps.shutdown.seconds_since_begin),
             },
         )
         await refuse(responder, refusal)
@@ -348,7 +348,7 @@
                 "detail": result.detail,
                 "sends": result.attempts,
                 "bound": result.timeout_source,
-                "stopping_for": _rounded(self._deps.shutdown.running_for),
+                "stopping_for": _rounded(self._deps.shutdown.seconds_since_begin),
                 "ms": round(seconds * 1000, 1),
                 "first_ms": relay.first_ms,
                 "pause_ms": relay.pause_ms,
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -1,21 +1,27 @@
 """API key authentication, also with arbitrary header lists."""
 
-import unittest
-
-from hypothesis import given
-from hypothesis import strategies as st
-
 from berylshift.connection.target_client import NO_BODY
-from berylshift.ids import CustomerName, ReplicaName, TableVersion
+from berylshift.ids import CustomerName
+from berylshift.ids import ReplicaName
+from berylshift.ids import TableVersion
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
-from berylshift.platform.exchange import LONGEST_KEY_BYTES, PlatformCodec
+from berylshift.platform.exchange import LONGEST_KEY_BYTES
+from berylshift.platform.exchange import PlatformCodec
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.request.key_gate import KeyGate, KeyVerdict
+from berylshift.request.key_gate import KeyGate
+from berylshift.request.key_gate import KeyVerdict
 from berylshift.tests.entry_world import route
 from berylshift.tests.support import EXPLORE
-from berylshift.version.customers import ApiKey, Customer, CustomerKeys
-from berylshift.version.routes import CallerLimits, RouteKind, RouteTable
+from berylshift.version.customers import ApiKey
+from berylshift.version.customers import Customer
+from berylshift.version.customers import CustomerKeys
+from berylshift.version.routes import CallerLimits
+from berylshift.version.routes import RouteKind
+from berylshift.version.routes import RouteTable
+from hypothesis import given
+from hypothesis import strategies as st
+import unittest
 
 KEY = b"m82thhkmgjqnirth5mgj"
 KEY_OWNER = Customer(CustomerName("hobart"), 0)
@@ -69,7 +75,7 @@
 
     def setUp(self):
         self.routes = RouteHolder()
-        self.routes.take(table(customer_keys((KEY, KEY_OWNER))), 0.0)
+        self.routes.apply_if_newer(table(customer_keys((KEY, KEY_OWNER))), 0.0)
         self.gate = KeyGate(self.routes, PROPAGATION_SECONDS)
 
     def verdict(self, req, requested_route=KEYED_ROUTE, now=1.0):
@@ -118,7 +124,7 @@
         """Guards against a waiting request that is sent after its key was revoked."""
         req = CODEC.strip_key(keyed_request(KEY), KEY_OWNER.name)
         self.assertTrue(self.gate.is_still_authorized(req, KEYED_ROUTE))
-        self.routes.take(table(customer_keys(), 2), 1.0)
+        self.routes.apply_if_newer(table(customer_keys(), 2), 1.0)
         self.assertFalse(self.gate.is_still_authorized(req, KEYED_ROUTE))
         self.assertTrue(self.gate.is_still_authorized(req, PUBLIC_ROUTE))
 
@@ -126,12 +132,12 @@
         """Guards against a request that runs on the account of the former owner."""
         req = CODEC.strip_key(keyed_request(KEY), KEY_OWNER.name)
         other = Customer(CustomerName("other"))
-        self.routes.take(table(customer_keys((KEY, other)), 2), 1.0)
+        self.routes.apply_if_newer(table(customer_keys((KEY, other)), 2), 1.0)
         self.assertFalse(self.gate.is_still_authorized(req, KEYED_ROUTE))
 
     def test_without_customers_headers_are_forwarded_unchanged(self):
         """Guards against a change of behaviour in deployments without customers."""
-        self.routes.take(table(None, 2), 1.0)
+        self.routes.apply_if_newer(table(None, 2), 1.0)
         req = request((names.AUTHORIZATION, b"Basic x"), (names.CUSTOMER, b"y"))
         admission = self.gate.admit(req, KEYED_ROUTE, 1.0)
         self.assertEqual(
@@ -171,7 +177,7 @@
     def test_no_key_or_forged_customer_is_forwarded(self, headers):
         """Guards against a replica that receives a key or a forged customer."""
         routes = RouteHolder()
-        routes.take(table(customer_keys((KEY, KEY_OWNER))), 0.0)
+        routes.apply_if_newer(table(customer_keys((KEY, KEY_OWNER))), 0.0)
         req = request(*headers)
         admission = KeyGate(routes, PROPAGATION_SECONDS).admit(req, KEYED_ROUTE, 0.0)
         valid = [(names.AUTHORIZATION, b"Bearer " + KEY)]
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -1,33 +1,29 @@
 """Tests that usage is reported once and correctly under faults of hosts and store."""
 
-import unittest
-
-import trio
-
-from berylshift.messages.leader_calls import DutyAnswer
+from berylshift.messages.leader_calls import CallResult
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.tests.support import run_virtual
 from berylshift.tests.usage_support import SCHEDULE
-from berylshift.tests.usage_world import (
-    CUSTOMERS,
-    EPOCH,
-    DutyWorld,
-    broken_rules,
-    counts_of,
-)
+from berylshift.tests.usage_world import CUSTOMERS
+from berylshift.tests.usage_world import EPOCH
+from berylshift.tests.usage_world import UsageWorld
+from berylshift.tests.usage_world import broken_rules
+from berylshift.tests.usage_world import counts_of
+import trio
+import unittest
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
 
 
-def run_world(task, seed: int = 1, hosts: int = 5) -> DutyWorld:
+def run_world(task, seed: int = 1, hosts: int = 5) -> UsageWorld:
     """Run ``task(world)`` while requests start and hosts exchange counts."""
 
     async def main():
         async with trio.open_nursery() as nursery:
-            world = DutyWorld(nursery, seed, hosts)
-            nursery.start_soon(world.hear)
-            nursery.start_soon(world.ask)
+            world = UsageWorld(nursery, seed, hosts)
+            nursery.start_soon(world.exchange_counts)
+            nursery.start_soon(world.generate_requests)
             await task(world)
             nursery.cancel_scope.cancel()
         return world
@@ -35,7 +31,7 @@
     return run_virtual(main)
 
 
-def record_late_start(world: DutyWorld, window: int) -> None:
+def record_late_start(world: UsageWorld, window: int) -> None:
     """Have each host count a request of a window that has been reported."""
     for host in world.hosts:
         host.usage_counts.record_start(
@@ -43,7 +39,7 @@
         )
 
 
-def windows_reported(world: DutyWorld) -> list[int]:
+def windows_reported(world: UsageWorld) -> list[int]:
     """Return the reported windows, without repeats."""
     return sorted({call.report.window for call in world.duties.usage})
 
@@ -51,7 +47,7 @@
 class UsageLoopTest(unittest.TestCase):
     """Single faults."""
 
-    def assert_reported(self, world: DutyWorld, min_windows: int) -> None:
+    def assert_reported(self, world: UsageWorld, min_windows: int) -> None:
         """Check that windows after the first are reported in time and correctly."""
         self.assertEqual(broken_rules(world), [])
         found = windows_reported(world)
@@ -88,7 +84,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.UNKNOWN, DutyAnswer.UNKNOWN]
+            world.duties.answers = [CallResult.UNKNOWN, CallResult.UNKNOWN]
             await trio.sleep(20)
 
         world = run_world(task)
@@ -105,7 +101,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.BUSY] * 3
+            world.duties.answers = [CallResult.BUSY] * 3
             while len(world.duties.answers) == 3:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
@@ -126,7 +122,7 @@
 
         async def task(world):
             await trio.sleep(17)
-            world.duties.answers = [DutyAnswer.UNKNOWN] + [DutyAnswer.BUSY] * 9
+            world.duties.answers = [CallResult.UNKNOWN] + [CallResult.BUSY] * 9
             while len(world.duties.answers) == 10:
                 await trio.sleep(0.02)
             settled = max(world.rows._rows)
@@ -165,14 +161,14 @@
                 reported += len(windows_reported(world))
         self.assertGreater(reported, 5 * len(SEEDS))
 
-    async def faults(self, world: DutyWorld) -> None:
+    async def faults(self, world: UsageWorld) -> None:
         """Inject faults for a minute."""
         rng = world.rng
         for _ in range(14):
             await trio.sleep(rng.uniform(0.5, 7))
             world.nursery.start_soon(self.fault, world, rng.choice(FAULTS))
 
-    async def fault(self, world: DutyWorld, kind: str) -> None:
+    async def fault(self, world: UsageWorld, kind: str) -> None:
         """Inject one fault."""
         rng = world.rng
         seconds = rng.uniform(1, 8)
@@ -199,7 +195,7 @@
                 if rng.random() < 0.5:
                     known.eras.observe(world.leases.era, "another host")
         elif kind in ("busy", "unknown"):
-            answer = DutyAnswer.BUSY if kind == "busy" else DutyAnswer.UNKNOWN
+            answer = CallResult.BUSY if kind == "busy" else CallResult.UNKNOWN
             world.duties.answers = [answer] * rng.randint(1, 4)
 
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -35,7 +35,7 @@
 STREAMS = "test_request_streams"
 LIMITS = "test_entry_limits"
 RATES = "test_targets_rate_limits"
-LEAVING = "test_entry_leaving"
+LEAVING = "test_entry_draining"
 BACKOFF = "test_entry_backoff"
 TARGET_GATE = "test_request_target_gate"
 REPLICA_SET = "test_directory_replica_set.ReplicaSetTest"
@@ -92,7 +92,7 @@
     Proof(
         "no window is settled anew that may have been",
         "process/usage/usage_loop.py",
-        "        if not self._eras.changes:\n            return True\n",
+        "        if not self._eras.restore_count:\n            return True\n",
         "        return True\n",
         f"{USAGE}.UsageLoopTest",
     ),
@@ -222,8 +222,8 @@
     Proof(
         "what a whole list leaves out is gone",
         "process/directory/replica_set.py",
-        "gone |= self._listed.keys() -",
-        "gone |= set() & self._listed.keys() -",
+        "missing |= self._listed.keys() -",
+        "missing |= set() & self._listed.keys() -",
         "test_directory_schedules.DirectoryScheduleTest",
     ),
     Proof(
@@ -482,21 +482,21 @@
         "process/leader_tasks/leader_lease.py",
         "self._boot_clock() >= grant.until",
         "False",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "the next holder waits out the last one's orders",
         "process/leader_tasks/leader_lease.py",
-        "return USE_SECONDS + self._apart + MARGIN_SECONDS",
-        "return USE_SECONDS",
-        "test_leader_lease.OrderLeaseTest",
+        "return USABLE_SECONDS + self._holder_gap_seconds + CLOCK_MARGIN_SECONDS",
+        "return USABLE_SECONDS",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "a lease is taken under a condition",
         "process/leader_tasks/leader_lease.py",
         "        if granted is None:\n",
         "        if False:\n",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "orders are told to the other hosts",
@@ -620,7 +620,7 @@
     Proof(
         "an entry that lacks its replica's start is another writer's",
         "process/directory/replica_set.py",
-        "return told and replica.started_ms is None",
+        "return had_start and replica.started_ms is None",
         "return False",
         "test_directory_replica_set.RestartTest",
     ),
@@ -884,30 +884,30 @@
     Proof(
         "nobody takes a lease whose row may be lost",
         "process/leader_tasks/leader_lease.py",
-        "if left > 0 and self._may_be_lost(row):",
+        "if seconds_left > 0 and self._may_be_lost(row):",
         "if False:",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "a holder gives its lease up in a new era",
         "process/leader_tasks/leader_lease.py",
         "return None if self._eras.is_old(grant.era) else grant",
         "return grant",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "a write across a return of the store grants nothing",
         "process/leader_tasks/leader_lease.py",
         "if granted.era != row.era:",
         "if False:",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "fences rise over eras",
         "process/leader_tasks/leader_lease.py",
         "granted.era << REVISION_BITS | granted.revision",
         "int(granted.revision)",
-        "test_leader_lease.OrderLeaseTest",
+        "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
         "hosts go by one key after an older copy",
