--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -108,7 +108,7 @@
         place = choice.placement
         self._reads += 1
         self._sent_at = now
-        host.readings.sent(ask, choice, now)
+        host.readings.note_sent(ask, choice, now)
         host.loads.sent(place.target.instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
         rank = engine_rank(self._kind, self._standing)
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -83,7 +83,9 @@
                 return None
             match self._choose():
                 case Success(plan):
-                    self._parts.decisions.placed(self._call.request, "engine", plan)
+                    self._parts.decisions.log_placement(
+                        self._call.request, "engine", plan
+                    )
                     return await self._try(plan)
                 case Failure(refusal):
                     if not await self._wait_for_place(refusal):
@@ -95,7 +97,9 @@
             self._crash_watch.check(begun=self._answer.tokens > 0)
         except QuarantinedError as exc:
             self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
-            self._parts.decisions.refused(self._call.request, "engine", self._refusal)
+            self._parts.decisions.log_refusal(
+                self._call.request, "engine", self._refusal
+            )
             return False
         return True
 
@@ -146,7 +150,7 @@
             self._history.start_over()
             await trio.sleep(REPLACE_PAUSE)
             return True
-        self._parts.decisions.refused(self._call.request, "engine", refusal)
+        self._parts.decisions.log_refusal(self._call.request, "engine", refusal)
         return False
 
     def _ending(self, end: LoopEnd) -> Ending:
@@ -166,7 +170,7 @@
         try:
             await self._attempt(plan)
         except AttemptFailedError as exc:
-            self._parts.decisions.failed(self._call.request, exc.target, exc.end)
+            self._parts.decisions.log_failure(self._call.request, exc.target, exc.end)
             if exc.end is SendEnd.BROKEN:
                 # Still open meanwhile: should the time end, the send must count.
                 await self._broke_off(exc.target)
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -24,23 +24,23 @@
         self._max_requests = max_requests
         self._by_request: OrderedDict[RequestId, list[Decision]] = OrderedDict()
 
-    def placed(self, request: RequestId, kind: str, plan: Plan) -> None:
+    def log_placement(self, request: RequestId, kind: str, plan: Plan) -> None:
         """Record where an attempt is sent."""
         reason = plan.reason
         if plan.prefill_on is not None:
             reason = f"{reason}; prefill on {plan.prefill_on.name}"
         self._add(request, kind, plan.target.name, reason, plan.estimates)
 
-    def refused(self, request: RequestId, kind: str, refusal: Refusal) -> None:
+    def log_refusal(self, request: RequestId, kind: str, refusal: Refusal) -> None:
         """Record that a request was refused."""
         no_target = TargetName("")
         self._add(request, kind, no_target, refusal.reason, refusal.estimates)
 
-    def failed(self, request: RequestId, target: TargetName, error: str) -> None:
+    def log_failure(self, request: RequestId, target: TargetName, error: str) -> None:
         """Record a failed attempt."""
         self._add(request, "failure", target, error, [])
 
-    def ended(self, request: RequestId, ending: Ending) -> None:
+    def log_ending(self, request: RequestId, ending: Ending) -> None:
         """Record how a request ended."""
         self._metrics.incr(f"requests.{ending.outcome}")
         detail = f"{ending.outcome}: {ending.reason} {ending.detail}".rstrip()
--- a/berylshift/request/front.py
+++ b/berylshift/request/front.py
@@ -198,7 +198,7 @@
         if ending is None:
             with self._in_flight():
                 ending = await Completion(self._parts.completions, call, sink).run()
-        self._parts.decisions.ended(call.request, ending)
+        self._parts.decisions.log_ending(call.request, ending)
         return ending
 
     # Plain services
@@ -232,7 +232,7 @@
                 found = await self._parts.services.run(call)
         else:
             found = await self._parts.services.refuse(call, ending)
-        self._parts.decisions.ended(call.request, found.ending)
+        self._parts.decisions.log_ending(call.request, found.ending)
         return found
 
 
--- a/berylshift/request/plain_send.py
+++ b/berylshift/request/plain_send.py
@@ -73,10 +73,10 @@
         )
         match self.chooser.choose(item, self.table(), now):
             case Success(plan):
-                self.decisions.placed(call.request, "replica", plan)
+                self.decisions.log_placement(call.request, "replica", plan)
                 return plan
             case Failure(refusal):
-                self.decisions.refused(call.request, "replica", refusal)
+                self.decisions.log_refusal(call.request, "replica", refusal)
                 return Ending(Outcome.NOT_RUN, refusal.reason, "", refusal.retry_after)
 
     async def run(
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -78,7 +78,7 @@
         seconds = wait + self._decode_seconds(job, placement, now)
         return PrefillDecision(placement, SloStatus.LATE, seconds)
 
-    def sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
+    def note_sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
         """Record that a prompt is sent as decided."""
         self._placer.note_sent(decision.placement, job.prompt, now)
         if decision.slo_status is SloStatus.ON_TIME:
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -278,7 +278,9 @@
             self._check_may_go()
             if self._reads and not self._budget.take(self._now()):
                 return False
-            self._parts.readings.sent(self._ask(prompt, tried), choice, self._now())
+            self._parts.readings.note_sent(
+                self._ask(prompt, tried), choice, self._now()
+            )
             tried.append(choice.placement.target.instance)
             end = await self._read_at(choice.placement)
             if end is SendEnd.DONE:
@@ -331,7 +333,7 @@
         return choice
 
     def _ask(self, prompt: Prompt, tried: list[InstanceId]) -> PrefillJob:
-        avoided = self._choice.avoided(self._out.started)
+        avoided = self._choice.excluded(self._out.started)
         return PrefillJob(
             route=self._route,
             service=self.service,
@@ -356,7 +358,7 @@
             self._choice.check_not_throttled()
             return None
         loads, instance = self._parts.loads, place.target.instance
-        limit_exempt = self._choice.use(instance)
+        limit_exempt = self._choice.record_send(instance)
         loads.sent(instance, place.tokens, self._urgency)
         reading = Reading(loads, instance, place.tokens, self._urgency)
         self._open_place = place
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -35,7 +35,7 @@
         ``response_started`` says whether its caller has received part of the response.
         """
         return self._parts.placer.choose_plain(
-            self.pool(), self.avoided(response_started), self._now()
+            self.pool(), self.excluded(response_started), self._now()
         )
 
     def choose_decode(
@@ -46,18 +46,18 @@
             self.pool(),
             prompt,
             prefill_engine,
-            self.avoided(response_started),
+            self.excluded(response_started),
             self._now(),
         )
 
-    def avoided(self, response_started: bool) -> list[InstanceId]:
+    def excluded(self, response_started: bool) -> list[InstanceId]:
         """Return the replicas that the request may not be sent to."""
         throttled = self._parts.throttle.closed(self._now())
-        avoided = [
+        excluded = [
             *self._tried,
             *(name for name in throttled if name != self._reserved),
         ]
-        return self._watch.avoided(self.pool(), avoided, response_started)
+        return self._watch.avoided(self.pool(), excluded, response_started)
 
     def reserve(self, instance: InstanceId) -> None:
         """Reserve a throttled replica's send slot while another engine prefills.
@@ -68,7 +68,7 @@
         if self._parts.throttle.reserve(instance, self._now()):
             self._reserved = instance
 
-    def use(self, instance: InstanceId) -> bool:
+    def record_send(self, instance: InstanceId) -> bool:
         """Record a send to a replica; return whether a slot was reserved there."""
         self._tried.append(instance)
         reserved, self._reserved = self._reserved, None
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -955,8 +955,9 @@
     Proof(
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
-        "        throttled = self._parts.throttle.closed(self._now())\n        avoided",
-        "        throttled = []\n        avoided",
+        "        throttled = self._parts.throttle.closed(self._now())\n"
+        "        excluded",
+        "        throttled = []\n        excluded",
         f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
     ),
     Proof(
