--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -66,7 +66,7 @@
         self.assertIsNone(fingerprint_hex(None))
 
     def test_the_start_of_a_long_body_is_enough(self):
-        """The head hash is known earlier, to quarantine requests with the same head."""
+        """The head hash alone, known earlier, finds possible quarantine matches."""
         long = b"x" * MAX_HASHED_BODY_BYTES
         whole, arriving = (
             make_request(body=long + b"end"),
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -69,7 +69,7 @@
     def test_a_restarted_replica_of_the_same_name_gets_work_again(self):
         """Guards against excluding a restarted replica for good.
 
-        Only a response shows that a replica is alive, and an excluded one gets none.
+        Only a response clears it, and an excluded replica gets no requests.
         """
         for number in (1, 2):
             self.quarantine.broke_off(Fingerprint(number), self.target, 1.0)
