--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -1,22 +1,21 @@
 """Prefill scheduling: the engine, its queue order and the predicted latency."""
 
-from collections.abc import Callable, Iterable
-
-import msgspec
-
-from berylshift.ids import InstanceId, ServiceName
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefill_send_rate import PrefillSendRate
-from berylshift.request.placement import Placement, PlacementPolicy
-from berylshift.request.slo_status import (
-    RouteObjective,
-    SloStatus,
-    late_prefill_seconds,
-    slo_status_of,
-    urgency_for,
-)
+from berylshift.request.placement import Placement
+from berylshift.request.placement import PlacementPolicy
+from berylshift.request.slo_status import RouteObjective
+from berylshift.request.slo_status import SloStatus
+from berylshift.request.slo_status import late_prefill_seconds
+from berylshift.request.slo_status import slo_status_of
+from berylshift.request.slo_status import urgency_for
+from collections.abc import Callable
+from collections.abc import Iterable
+import msgspec
 
 
 class PrefillJob(msgspec.Struct, frozen=True):
@@ -78,7 +77,7 @@
         seconds = wait + self._decode_seconds(job, placement, now)
         return PrefillDecision(placement, SloStatus.LATE, seconds)
 
-    def sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
+    def note_sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
         """Record that a prompt is sent as decided."""
         self._placer.note_sent(decision.placement, job.prompt, now)
         if decision.slo_status is SloStatus.ON_TIME:
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -1,20 +1,21 @@
 """Retries of suspect requests, which ran on a replica when it crashed."""
 
-import unittest
-
-import trio
-
-from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
+from berylshift.ids import DomainName
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS, Quarantine
-from berylshift.request.isolation import (
-    REPLICAS_PER_ISOLATION_REPLICA,
-    is_last_remaining,
-    isolation_replicas,
-    remaining_replicas,
-)
+from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS
+from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.request.isolation import REPLICAS_PER_ISOLATION_REPLICA
+from berylshift.request.isolation import is_last_remaining
+from berylshift.request.isolation import isolation_replicas
+from berylshift.request.isolation import remaining_replicas
 from berylshift.request.routed_crash_watch import LAST_REPLICA_RETRY_SECONDS
-from berylshift.tests.entry_world import prompt_headers, run_entry
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 HEARTBEAT_SECONDS = 1.2
 
@@ -69,7 +70,7 @@
     def test_a_restarted_replica_of_the_same_name_gets_work_again(self):
         """Guards against excluding a restarted replica for good.
 
-        Only a response shows that a replica is alive, and an excluded one gets none.
+        Only a response clears it, and an excluded replica gets no requests.
         """
         for number in (1, 2):
             self.quarantine.record_crash(Fingerprint(number), self.target, 1.0)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -4,12 +4,12 @@
 berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
 """
 
+from dataclasses import dataclass
+from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
-from dataclasses import dataclass
-from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
@@ -962,8 +962,8 @@
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
         "        throttled = self._parts.throttle.blocked(self._now())\n"
-        "        avoided",
-        "        throttled = []\n        avoided",
+        "        excluded",
+        "        throttled = []\n        excluded",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
