--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -21,7 +21,7 @@
 DOMAINS = 5
 # Roles are taken within this time after a start.
 SETTLED_SECONDS = 6.0
-# These take ten seconds; forty seeds pass too.
+# Ten of the forty seeds that were run by hand; these take ten seconds.
 SEEDS = range(10)
 
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -27,7 +27,7 @@
 )
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
-from berylshift.process.directory.expected_phases import MOST_TOLD as MOST_PHASES
+from berylshift.process.directory.expected_phases import MOST_TOLD as MAX_PHASES
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.gossip.collector import MAX_PREFILLS, PREFILLS_PER_CRASH
 from berylshift.process.gossip.peer_loads import DIGEST_TTL_SECONDS, PeerLoads
@@ -293,7 +293,7 @@
         )
         phases = tuple(
             PhaseUpdate(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
-            for n in range(MOST_PHASES)
+            for n in range(MAX_PHASES)
         )
         feed = FeedStatus(Revision(123_456), Revision(123_999), 86_400_000)
         digest = LoadDigest(
