--- a/berylshift/tests/test_targets_limit_gossip.py
+++ b/berylshift/tests/test_targets_limit_gossip.py
@@ -23,7 +23,7 @@
 SPREAD_SECONDS = 3.0
 
 
-class LimitNewsTest(unittest.TestCase):
+class LimitGossipTest(unittest.TestCase):
     """The updates of one host."""
 
     def setUp(self):
--- a/berylshift/tests/test_targets_recent_durations.py
+++ b/berylshift/tests/test_targets_recent_durations.py
@@ -15,7 +15,7 @@
 NOTES = RouteName("notes")
 
 
-class RecentTimesTest(unittest.TestCase):
+class RecentDurationsTest(unittest.TestCase):
     """A host that shuts down asks by when requests have almost certainly ended."""
 
     def setUp(self):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -194,7 +194,7 @@
         "process/targets/recent_durations.py",
         "max([*fresh, *ages])",
         "min(fresh)",
-        "test_targets_recent_durations.RecentTimesTest",
+        "test_targets_recent_durations.RecentDurationsTest",
     ),
     Proof(
         "a leaving host answers before it ends",
