--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -1,13 +1,12 @@
 """Many hosts learn of store changes and of each other's load through a few of them."""
 
-import random
-import unittest
-
-import trio
-
 from berylshift.messages.load_digest import Urgency
-from berylshift.tests.multi_host_world import MultiHostWorld, Path
+from berylshift.tests.multi_host_world import MultiHostWorld
+from berylshift.tests.multi_host_world import Path
 from berylshift.tests.support import run_virtual
+import random
+import trio
+import unittest
 
 # The time in which a change must be in force, and the byte budget a second: so small
 # that thirty hosts use collectors, as two hundred do with the default budget.
@@ -21,7 +20,7 @@
 DOMAINS = 5
 # Roles are taken within this time after a start.
 SETTLED_SECONDS = 6.0
-# These take ten seconds; forty seeds pass too.
+# Ten of the forty seeds that were run by hand; these take ten seconds.
 SEEDS = range(10)
 
 
