--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -253,13 +253,13 @@
                 return len(got) == 2
 
             note = SimpleNamespace(
-                sent=lambda *args: None,
-                ended=lambda *args: None,
-                first_token=lambda *args: None,
-                started=lambda *args: None,
-                succeeded=lambda *args: None,
-                failed=lambda *args: None,
-                cancelled=lambda *args: None,
+                note_sent=lambda *args: None,
+                note_ended=lambda *args: None,
+                note_first_token=lambda *args: None,
+                note_start=lambda *args: None,
+                note_success=lambda *args: None,
+                note_failure=lambda *args: None,
+                note_cancelled=lambda *args: None,
                 prefill=lambda *args: None,
             )
             parts = SimpleNamespace(
