--- a/berylshift/process/engine_state/prefix_index.py
+++ b/berylshift/process/engine_state/prefix_index.py
@@ -21,7 +21,7 @@
 
 def prefix_hashes(prompt: str) -> Prefixes:
     """Return (tokens, hash) of the leading runs of blocks, shortest first."""
-    found = []
+    hashes = []
     running = xxhash.xxh64()
     data = prompt.encode()
     start = 0
@@ -30,9 +30,9 @@
         if end > len(data):
             break
         running.update(data[start:end])
-        found.append((depth * BLOCK_TOKENS, running.intdigest()))
+        hashes.append((depth * BLOCK_TOKENS, running.intdigest()))
         start = end
-    return tuple(found)
+    return tuple(hashes)
 
 
 class PrefixIndex:
--- a/berylshift/process/limits/customer_limits.py
+++ b/berylshift/process/limits/customer_limits.py
@@ -72,13 +72,13 @@
 
     def demands(self, now: float) -> list[Demand]:
         """Return this host's own demands, for its peers."""
-        found = []
+        demands = []
         for customer, state in self._customers.items():
             if customer in self._limits:
                 rate = _own_rate(state, now)
                 if rate:
-                    found.append(Demand(customer, rate))
-        return found
+                    demands.append(Demand(customer, rate))
+        return demands
 
     def admit(self, customer: CustomerName, now: float) -> float:
         """Admit a request and return 0, or return the seconds to wait."""
@@ -108,13 +108,13 @@
         equal_share = 1 / self._host_count
         if not self._is_connected:
             return equal_share
-        own = _own_rate(state, now)
-        others = self._scale * sum(
+        own_rate = _own_rate(state, now)
+        peer_rate = self._scale * sum(
             rate for at, rate in state.peers.values() if now - at <= PEER_EXPIRY_SECONDS
         )
-        if own + others <= 0:
+        if own_rate + peer_rate <= 0:
             return equal_share
-        return max(own / (own + others), equal_share / 2)
+        return max(own_rate / (own_rate + peer_rate), equal_share / 2)
 
     def _refill(self, state: _Customer, rate: float, now: float) -> None:
         if state.filled_at is not None:
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -144,13 +144,13 @@
 
     def has_crashed(self, instance: InstanceId, now: float) -> bool:
         """Return whether a replica is known to have crashed, even if still listed."""
-        target, found = target_hash(instance), 0
+        target, broken_requests = target_hash(instance), 0
         for request in self._requests_by_target.get(target, ()):
             record = self._record(request)
             if record is None or not record.has_crashed(target):
                 continue
-            found += now - record.crashes[target].at < self._crashed_seconds
-            if found >= MIN_BROKEN_REQUESTS:
+            broken_requests += now - record.crashes[target].at < self._crashed_seconds
+            if broken_requests >= MIN_BROKEN_REQUESTS:
                 return True
         return False
 
@@ -217,11 +217,11 @@
     ) -> tuple[CrashReport, ...]:
         """Return the crash reports for the next digest."""
         self._expire(now)
-        due = self._gossip.take_crashes(now, own_domain_only)
-        found = [(request, target, self._record(request)) for request, target in due]
+        keys = self._gossip.take_crashes(now, own_domain_only)
+        records = [(request, target, self._record(request)) for request, target in keys]
         return tuple(
             CrashReport(request, target, now - record.crashes[target].at)
-            for request, target, record in found
+            for request, target, record in records
             if record is not None and record.has_crashed(target)
         )
 
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -51,18 +51,18 @@
     async def _read(self) -> bool:
         """Load the rows of earlier processes; return whether the read succeeded."""
         try:
-            found = await self._rows.read()
+            result = await self._rows.read()
         except PlatformError as exc:
             logger.info("quarantine not read", extra={"reason": str(exc)})
             return False
         now = self._clock.monotonic()
-        reports = [_report(row, found.store_ms) for row in found.rows]
+        reports = [_report(row, result.store_ms) for row in result.rows]
         self._quarantine.merge(reports, (), now, is_own_domain=False)
-        for row, report in zip(found.rows, reports, strict=True):
+        for row, report in zip(result.rows, reports, strict=True):
             if report.age >= PROVEN_QUARANTINE_SECONDS:
                 self._quarantine.row_queue.drop_foreign((row.request, row.target))
-        if found.rows:
-            logger.info("quarantine read", extra={"rows": len(found.rows)})
+        if result.rows:
+            logger.info("quarantine read", extra={"rows": len(result.rows)})
         return True
 
     async def _write(self) -> bool:
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -138,9 +138,9 @@
         self, pools: list[PoolName], stored: list[StoredRow | None]
     ) -> None:
         now = self._deps.clock.monotonic()
-        for pool, found in zip(pools, stored, strict=True):
-            if found is not None:
-                plan = msgspec.json.decode(found.value, type=PlanRow)
+        for pool, row in zip(pools, stored, strict=True):
+            if row is not None:
+                plan = msgspec.json.decode(row.value, type=PlanRow)
                 self._deps.plans.offer(pool, plan, now)
         self._deps.fresh.plan = self._deps.plans.total
 
--- a/berylshift/process/usage/counter_gossip.py
+++ b/berylshift/process/usage/counter_gossip.py
@@ -32,13 +32,13 @@
 
     def count(self, window: int, customer: int) -> int:
         """Return the value of a counter."""
-        found = self._counters.get((window, customer))
-        return 0 if found is None else found.count
+        counter = self._counters.get((window, customer))
+        return 0 if counter is None else counter.count
 
     def raise_to(self, window: int, customer: int, count: int) -> None:
         """Set a counter to ``count`` if its value is lower."""
-        found = self._counters.get((window, customer))
-        if found is not None and found.count >= count:
+        counter = self._counters.get((window, customer))
+        if counter is not None and counter.count >= count:
             return
         self._counters[window, customer] = _Counter(count)
         self._due_at = NEVER
@@ -78,8 +78,8 @@
         """Return the counts of a window by customer."""
         return {
             customer: counter.count
-            for (found, customer), counter in self._counters.items()
-            if found == window
+            for (counted_window, customer), counter in self._counters.items()
+            if counted_window == window
         }
 
     def __len__(self) -> int:
--- a/berylshift/process/usage/usage_counts.py
+++ b/berylshift/process/usage/usage_counts.py
@@ -65,12 +65,12 @@
         """Merge the counts of one process of another host."""
         if host == self._host or not counts:
             return
-        found = self._hosts.setdefault((domain, host, start), CounterGossip())
+        counters = self._hosts.setdefault((domain, host, start), CounterGossip())
         for received in counts:
-            previous = found.count(received.window, received.customer)
+            previous = counters.count(received.window, received.customer)
             if received.window <= self.last_done or received.count <= previous:
                 continue
-            found.raise_to(received.window, received.customer, received.count)
+            counters.raise_to(received.window, received.customer, received.count)
             if domain == self._domain:
                 known = self._domain_sum.count(received.window, received.customer)
                 added = known + received.count - previous
@@ -80,10 +80,10 @@
         """Merge the sums of another domain's hosts."""
         if domain == self._domain:
             return
-        found = self._domains.setdefault(domain, CounterGossip())
+        counters = self._domains.setdefault(domain, CounterGossip())
         for received in counts:
             if received.window > self.last_done:
-                found.raise_to(received.window, received.customer, received.count)
+                counters.raise_to(received.window, received.customer, received.count)
 
     def has_updates(self, now: float) -> bool:
         """Return whether this host has own counts, or a done window, to send."""
@@ -121,7 +121,7 @@
             for customer, count in totals.items()
             if customer in self._names
         ]
-        counts.sort(key=lambda found: found.customer)
+        counts.sort(key=lambda item: item.customer)
         return UsageReport(window, tuple(counts))
 
     def _known_domains(self) -> set[str]:
@@ -132,9 +132,9 @@
         if domain == self._domain:
             return self._domain_sum.counts_in(window)
         sums: dict[int, int] = {}
-        for (found, _, _), counts in self._hosts.items():
-            if found == domain:
-                for customer, count in counts.counts_in(window).items():
+        for (host_domain, _, _), counters in self._hosts.items():
+            if host_domain == domain:
+                for customer, count in counters.counts_in(window).items():
                     sums[customer] = sums.get(customer, 0) + count
         collected = self._domains.get(domain)
         for customer, count in (
@@ -169,8 +169,10 @@
             self._drop_through(self._windows.window_at(now) - WINDOWS_KEPT)
 
     def _drop_through(self, window: int) -> None:
-        for counts in (self._own, self._domain_sum, *self._domains.values()):
-            counts.drop_through(window)
-        for counts in self._hosts.values():
-            counts.drop_through(window)
-        self._hosts = {key: found for key, found in self._hosts.items() if len(found)}
+        for counters in (self._own, self._domain_sum, *self._domains.values()):
+            counters.drop_through(window)
+        for counters in self._hosts.values():
+            counters.drop_through(window)
+        self._hosts = {
+            key: of_host for key, of_host in self._hosts.items() if len(of_host)
+        }
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -133,21 +133,21 @@
         if known is not None:
             return known
         if not self._may_settle(window):
-            found = await self._rows.read(window)
+            settled = await self._rows.read(window)
         else:
-            found = await self._rows.settle(self._usage_counts.report(window))
+            settled = await self._rows.settle(self._usage_counts.report(window))
             logger.info(
                 "usage settled",
                 extra=_log_fields(
                     window,
-                    customers=len(found.report.counts),
-                    requests=sum(item.count for item in found.report.counts),
+                    customers=len(settled.report.counts),
+                    requests=sum(item.count for item in settled.report.counts),
                 ),
             )
-        if found is None:
+        if settled is None:
             return None
-        self._settled[window] = found.report
-        return found.report
+        self._settled[window] = settled.report
+        return settled.report
 
     def _may_settle(self, window: int) -> bool:
         """Return whether no settled report of a window can have been lost.
--- a/berylshift/tests/test_process_load.py
+++ b/berylshift/tests/test_process_load.py
@@ -33,9 +33,9 @@
         self.load.note_report("engine-1", report(age=1.0), asked_at=10.0)
         for number in range(5):
             self.load.note_sent("engine-1", f"a{number}", "nestwatch", 2000, 9.5)
-        found = self.load.estimate("engine-1", 10.0)
-        self.assertEqual(found.streams, 5)
-        self.assertEqual(found.prefill_tokens, 10000)
+        estimate = self.load.estimate("engine-1", 10.0)
+        self.assertEqual(estimate.streams, 5)
+        self.assertEqual(estimate.prefill_tokens, 10000)
 
     def test_requests_in_the_report_are_not_added_twice(self):
         self.load.note_sent("engine-1", "a1", "nestwatch", 2000, 5.0)
@@ -76,8 +76,8 @@
         for number in range(4):
             self.load.note_ended("engine-1", f"a{number}", 2.0)
             self.load.note_ended("engine-1", f"a{number}", 2.0)
-        found = self.load.estimate("engine-1", 2.0)
-        self.assertEqual((found.streams, found.prefill_tokens), (0, 0))
+        estimate = self.load.estimate("engine-1", 2.0)
+        self.assertEqual((estimate.streams, estimate.prefill_tokens), (0, 0))
 
 
 class HealthTest(unittest.TestCase):
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -54,9 +54,9 @@
 
     async def main():
         async with trio.open_nursery() as nursery:
-            found = await task(World(nursery))
+            result = await task(World(nursery))
             nursery.cancel_scope.cancel()
-        return found
+        return result
 
     return run_virtual(main)
 
@@ -84,9 +84,9 @@
         async def task(world):
             crash(world.add_host(), 1, 2, 3)
             await trio.sleep(WRITTEN_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(0.1)
-            return remaining_seconds(again)
+            return remaining_seconds(restarted)
 
         left = run_world(task)
         self.assertAlmostEqual(
@@ -110,9 +110,9 @@
             await trio.sleep(10)
             world.rows.down = False
             await trio.sleep(WRITTEN_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(0.1)
-            return remaining_seconds(again) > 0
+            return remaining_seconds(restarted) > 0
 
         self.assertTrue(run_world(task))
 
@@ -121,11 +121,11 @@
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             world.rows.down = True
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(5)
             world.rows.down = False
             await trio.sleep(RETRY_SECONDS + 0.1)
-            return remaining_seconds(again) > 0
+            return remaining_seconds(restarted) > 0
 
         self.assertTrue(run_world(task))
 
@@ -158,9 +158,9 @@
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             await trio.sleep(PROVEN_QUARANTINE_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(WRITTEN_SECONDS)
-            return remaining_seconds(again), len(world.rows)
+            return remaining_seconds(restarted), len(world.rows)
 
         self.assertEqual(run_world(task), (0.0, 0))
 
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -166,9 +166,9 @@
     """Run the fault schedule of one seed."""
 
     async def task(world):
-        found = FaultSchedule(world, seed)
-        await found.run()
-        return found
+        schedule = FaultSchedule(world, seed)
+        await schedule.run()
+        return schedule
 
     return run_world(task, hosts, domains, byte_budget)
 
@@ -183,9 +183,9 @@
     def check(self, hosts: int, domains: int, byte_budget: int) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                found = run_schedule(seed, hosts, domains, byte_budget)
-                self.assertGreater(len(found.crashes), 0)
-                self.assertLessEqual(found.sends_after, MAX_SENDS_AFTER)
+                schedule = run_schedule(seed, hosts, domains, byte_budget)
+                self.assertGreater(len(schedule.crashes), 0)
+                self.assertLessEqual(schedule.sends_after, MAX_SENDS_AFTER)
 
     def test_few_hosts(self):
         self.check(9, 4, BYTE_BUDGET)
--- a/berylshift/tests/test_usage_counts.py
+++ b/berylshift/tests/test_usage_counts.py
@@ -24,9 +24,9 @@
 DURING = WINDOW * 5.0 + 1.0
 
 
-def counts_of(found: UsageCounts, window: int = WINDOW) -> dict[str, int]:
+def counts_of(counts: UsageCounts, window: int = WINDOW) -> dict[str, int]:
     """Return a report's counts by customer."""
-    return {item.customer: item.count for item in found.report(window).counts}
+    return {item.customer: item.count for item in counts.report(window).counts}
 
 
 def send(
@@ -114,9 +114,9 @@
         self.assertFalse(self.counts.reported_last)
 
     def test_without_a_window_nothing_is_counted(self):
-        found = no_usage()
-        found.record_start(LARGE, DURING)
-        self.assertFalse(found.has_updates(1.0))
+        disabled = no_usage()
+        disabled.record_start(LARGE, DURING)
+        self.assertFalse(disabled.has_updates(1.0))
 
     def test_changed_counts_are_sent_at_once_and_resent_later(self):
         self.counts.record_start(LARGE, DURING)
@@ -160,13 +160,13 @@
             in_flight.append((number, hosts[number].take_own_counts(step * 0.5)))
             rng.shuffle(in_flight)
             self.deliver(hosts, in_flight, rng)
-        for number, found in enumerate(hosts):
-            found.resend_own_counts()
-            in_flight = [(number, found.take_own_counts(1000.0))]
+        for number, host in enumerate(hosts):
+            host.resend_own_counts()
+            in_flight = [(number, host.take_own_counts(1000.0))]
             self.deliver(hosts, in_flight, None)
-        for found in hosts:
-            found.add_names([CustomerName(name) for name in "abc"])
-            self.assertEqual(counts_of(found), expected)
+        for host in hosts:
+            host.add_names([CustomerName(name) for name in "abc"])
+            self.assertEqual(counts_of(host), expected)
 
     def deliver(self, hosts, in_flight, rng) -> None:
         for number, sent in list(in_flight):
@@ -190,11 +190,11 @@
         self.assertEqual(codec.decode(codec.encode(message, 1400)), message)
 
     def test_a_report_lists_customers_in_order(self):
-        found = usage_counts()
+        counts = usage_counts()
         for name in ("b", "a"):
-            found.record_start(CustomerName(name), DURING)
+            counts.record_start(CustomerName(name), DURING)
         self.assertEqual(
-            found.report(WINDOW).counts, (CustomerCount("a", 1), CustomerCount("b", 1))
+            counts.report(WINDOW).counts, (CustomerCount("a", 1), CustomerCount("b", 1))
         )
 
 
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -54,9 +54,9 @@
     def assert_reported(self, world: DutyWorld, min_windows: int) -> None:
         """Check that windows after the first are reported in time and correctly."""
         self.assertEqual(broken_rules(world), [])
-        found = windows_reported(world)
-        self.assertGreaterEqual(len(found), min_windows)
-        self.assertEqual(found, list(range(found[0], found[-1] + 1)))
+        reported = windows_reported(world)
+        self.assertGreaterEqual(len(reported), min_windows)
+        self.assertEqual(reported, list(range(reported[0], reported[-1] + 1)))
         windows, start = UsageWindows(SCHEDULE), EPOCH.timestamp()
         for call in world.duties.usage:
             self.assertLess(start + call.at, windows.end_of(call.report.window) + 10)
--- a/berylshift/tests/test_usage_windows.py
+++ b/berylshift/tests/test_usage_windows.py
@@ -78,25 +78,25 @@
 
     def setUp(self):
         self.clock = SteppedClock()
-        self.found = FilteredClock(self.clock, lambda: self.clock.time)
+        self.filtered = FilteredClock(self.clock, lambda: self.clock.time)
 
     def error(self) -> float:
         actual = datetime(2026, 1, 1, tzinfo=UTC).timestamp() + self.clock.time
-        return self.found.now() - actual
+        return self.filtered.now() - actual
 
     def test_a_short_step_has_no_effect(self):
         """Guards against counting requests in earlier or later windows."""
-        self.clock.run(self.found, 20)
+        self.clock.run(self.filtered, 20)
         self.clock.step = 2.0
-        self.clock.run(self.found, 10)
+        self.clock.run(self.filtered, 10)
         self.assertAlmostEqual(self.error(), 0.0, places=3)
         self.clock.step = 0.0
-        self.clock.run(self.found, 20)
+        self.clock.run(self.filtered, 20)
         self.assertAlmostEqual(self.error(), 0.0, places=3)
 
     def test_a_persistent_step_takes_effect(self):
         self.clock.step = 2.0
-        self.clock.run(self.found, MAX_SAMPLES)
+        self.clock.run(self.filtered, MAX_SAMPLES)
         self.assertAlmostEqual(self.error(), 2.0, places=3)
 
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -85,7 +85,7 @@
     Proof(
         "usage is settled before it is sent",
         "process/usage/usage_loop.py",
-        "        return found.report\n",
+        "        return settled.report\n",
         "        return self._usage_counts.report(window)\n",
         f"{USAGE}.UsageLoopTest",
     ),
