--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -257,7 +257,7 @@
             peers=ports.peer_tables,
             clock=ports.clock,
             on_change=self.on_table,
-            poll_interval=cfg.table.poll_interval,
+            poll_interval_seconds=cfg.table.poll_interval,
             seeds=[seed.strip() for seed in cfg.host.seeds.split(",") if seed.strip()],
         )
         self.follower = TableFollower(follower)
@@ -267,8 +267,8 @@
             prefixes=self.know.prefixes,
             holder=self.holder,
             clock=ports.clock,
-            interval=cfg.targets.report_interval,
-            timeout=cfg.targets.report_timeout,
+            interval_seconds=cfg.targets.report_interval,
+            timeout_seconds=cfg.targets.report_timeout,
         )
         self.poller = ReportPoller(poller)
         peers = PeerDependencies(
--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -59,7 +59,7 @@
         incarnation=digest.incarnation,
         sequence=digest.sequence,
         tableVersion=digest.table_version,
-        storeAgeMs=int(digest.store_age * MILLISECONDS),
+        storeAgeMs=int(digest.store_age_seconds * MILLISECONDS),
         leaving=digest.leaving,
         isReply=digest.is_reply,
         echoes=[
@@ -107,7 +107,7 @@
         incarnation=Incarnation(message.incarnation),
         sequence=message.sequence,
         table_version=message.tableVersion,
-        store_age=message.storeAgeMs / MILLISECONDS,
+        store_age_seconds=message.storeAgeMs / MILLISECONDS,
         leaving=message.leaving,
         is_reply=message.isReply,
         echoes=[
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -258,7 +258,7 @@
             revision=revision,
             journal_since=since,
             report=report,
-            report_taken_at=now - self._parts.load.report_age(row.name, now),
+            report_taken_at=now - self._parts.load.report_age_seconds(row.name, now),
         )
 
     async def _carry_out(
--- a/berylshift/process/engine_state/load_view.py
+++ b/berylshift/process/engine_state/load_view.py
@@ -38,12 +38,12 @@
 
 @dataclass(frozen=True)
 class Estimate:
-    """A target's estimated current load; ``report_age`` in seconds."""
+    """A target's estimated current load."""
 
     role: Role
     streams: float
     prefill_tokens: float
-    report_age: float
+    report_age_seconds: float
 
 
 @dataclass
@@ -139,7 +139,7 @@
         state = self._targets.get(target)
         return state.report if state else None
 
-    def report_age(self, target: TargetName, now: float) -> float:
+    def report_age_seconds(self, target: TargetName, now: float) -> float:
         """Return the seconds since the moment that the latest report describes."""
         state = self._targets.get(target)
         return now - state.reported_at if state else float("inf")
--- a/berylshift/process/engine_state/report_poller.py
+++ b/berylshift/process/engine_state/report_poller.py
@@ -17,15 +17,15 @@
 
 @dataclass
 class PollerDependencies:
-    """What polling works with; times in seconds."""
+    """What polling works with."""
 
     client: EngineClient
     load: LoadView
     prefixes: PrefixIndex
     holder: TableHolder
     clock: Clock
-    interval: float
-    timeout: float
+    interval_seconds: float
+    timeout_seconds: float
 
 
 class ReportPoller:
@@ -43,11 +43,11 @@
             async with trio.open_nursery() as nursery:
                 for row in rows:
                     nursery.start_soon(self._poll, row.name, row.address)
-            await trio.sleep(self._deps.interval)
+            await trio.sleep(self._deps.interval_seconds)
 
     async def _poll(self, name: TargetName, address: str) -> None:
         asked_at = self._deps.clock.monotonic()
-        with trio.move_on_after(self._deps.timeout):
+        with trio.move_on_after(self._deps.timeout_seconds):
             try:
                 old = self._deps.load.report(name)
                 report = await self._deps.client.report(address)
--- a/berylshift/process/limits/shared_retry_budget.py
+++ b/berylshift/process/limits/shared_retry_budget.py
@@ -17,17 +17,17 @@
 class SharedRetryBudget:
     """Sliding-window counts for one service; times in seconds."""
 
-    def __init__(self, ratio: float, window: float, burst: float):
-        """Allow ``ratio`` of requests plus a part of ``burst`` in each ``window``."""
-        self.set_limits(ratio, window, burst)
+    def __init__(self, ratio: float, window_seconds: float, burst: float):
+        """Allow ``ratio`` of requests plus a part of ``burst`` in each window."""
+        self.set_limits(ratio, window_seconds, burst)
         self._first_attempts: deque[float] = deque()
         self._retries: deque[float] = deque()
         self.host_count = DEFAULT_HOST_COUNT
 
-    def set_limits(self, ratio: float, window: float, burst: float) -> None:
+    def set_limits(self, ratio: float, window_seconds: float, burst: float) -> None:
         """Change the limits; counts are kept."""
         self._ratio = ratio
-        self._window = window
+        self._window_seconds = window_seconds
         self._burst = burst
 
     def note_first_attempt(self, now: float) -> None:
@@ -55,5 +55,5 @@
 
     def _drop_old(self, now: float) -> None:
         for times in (self._first_attempts, self._retries):
-            while times and times[0] <= now - self._window:
+            while times and times[0] <= now - self._window_seconds:
                 times.popleft()
--- a/berylshift/process/membership/digest.py
+++ b/berylshift/process/membership/digest.py
@@ -27,8 +27,9 @@
 
 
 class Digest(msgspec.Struct, frozen=True):
-    """One datagram; ``store_age``: seconds since the store confirmed the table version.
+    """One datagram between hosts.
 
+    ``store_age_seconds`` is the time since the store confirmed the table version.
     ``finished`` are calls that completed after a target crashed while it ran them.
     """
 
@@ -36,7 +37,7 @@
     incarnation: Incarnation
     sequence: int
     table_version: int
-    store_age: float = MAX_STORE_AGE_SECONDS
+    store_age_seconds: float = MAX_STORE_AGE_SECONDS
     leaving: bool = False
     is_reply: bool = False
     echoes: list[Echo] = []
--- a/berylshift/process/membership/host_list_loop.py
+++ b/berylshift/process/membership/host_list_loop.py
@@ -14,19 +14,23 @@
     """Announces this host to the platform and reads its list of hosts."""
 
     def __init__(
-        self, hosts: HostList, members: Membership, entry: HostEntry, interval: float
+        self,
+        hosts: HostList,
+        members: Membership,
+        entry: HostEntry,
+        interval_seconds: float,
     ):
-        """Announce ``entry`` every ``interval`` seconds."""
+        """Announce ``entry`` every ``interval_seconds``."""
         self._hosts = hosts
         self._members = members
         self.entry = entry
-        self._interval = interval
+        self._interval_seconds = interval_seconds
 
     async def run(self) -> None:
         """Announce and read until cancelled."""
         while True:
             await self.run_once()
-            await trio.sleep(self._interval)
+            await trio.sleep(self._interval_seconds)
 
     async def run_once(self) -> None:
         """Announce and read once; if the platform is down, nothing changes."""
--- a/berylshift/process/membership/members.py
+++ b/berylshift/process/membership/members.py
@@ -37,12 +37,12 @@
 class Membership:
     """Peers of this process; synchronous, fed with datagrams and host lists.
 
-    A peer counts as live until ``silent_after`` seconds after its last datagram.
+    A peer counts as live until ``silent_after_seconds`` after its last datagram.
     """
 
     host: HostName
     incarnation: Incarnation
-    silent_after: float
+    silent_after_seconds: float
     rng: random.Random
     peers: dict[HostName, Peer] = field(default_factory=dict)
     dropped_count: int = 0
@@ -128,7 +128,7 @@
                     peer=digest.host,
                     asked_at=asked_at,
                     version=digest.table_version,
-                    store_age=digest.store_age,
+                    store_age=digest.store_age_seconds,
                     plan=digest.plan_version,
                 )
         return None
@@ -177,7 +177,7 @@
         live_peers = [
             host
             for host, peer in self.peers.items()
-            if now - peer.received_at <= self.silent_after
+            if now - peer.received_at <= self.silent_after_seconds
         ]
         return [self.host, *live_peers]
 
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -132,7 +132,7 @@
             incarnation=deps.members.incarnation,
             sequence=sequence,
             table_version=deps.holder.table.version,
-            store_age=min(MAX_STORE_AGE_SECONDS, deps.fresh.store_age(now)),
+            store_age_seconds=min(MAX_STORE_AGE_SECONDS, deps.fresh.store_age(now)),
             leaving=self.leaving,
             is_reply=is_reply,
             echoes=deps.members.echoes_for(entry.host),
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -55,14 +55,14 @@
     """Crash records of one host; times in seconds on the monotonic clock."""
 
     def __init__(
-        self, heartbeat: float, gossip_seconds: float = GOSSIP_SECONDS
+        self, heartbeat_seconds: float, gossip_seconds: float = GOSSIP_SECONDS
     ) -> None:
-        """Start without records; replicas send heartbeats every ``heartbeat`` seconds.
+        """Start without records; replicas send heartbeats every ``heartbeat_seconds``.
 
         Updates are sent to other hosts for ``gossip_seconds``.
         """
-        self._expiry_seconds = LAPSE_HEARTBEATS * heartbeat
-        self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat
+        self._expiry_seconds = LAPSE_HEARTBEATS * heartbeat_seconds
+        self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat_seconds
         self._observed: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._quarantined: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._completed: OrderedDict[Fingerprint, float] = OrderedDict()
@@ -159,7 +159,7 @@
         record = self._record(request)
         return 0 if record is None else record.crash_count
 
-    def crash_age(self, key: CrashKey, now: float) -> float:
+    def crash_age_seconds(self, key: CrashKey, now: float) -> float:
         """Return the seconds since a replica crashed during a request; 0: unknown."""
         request, target = key
         record = self._record(request)
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -91,7 +91,7 @@
         return put, drop
 
     def _row(self, key: CrashKey, now_ms: int) -> CrashRow:
-        age = self._quarantine.crash_age(key, self._clock.monotonic())
+        age = self._quarantine.crash_age_seconds(key, self._clock.monotonic())
         return CrashRow(*key, now_ms - int(age * 1000))
 
 
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -61,8 +61,7 @@
 
     ``on_change`` is called with the old and the new table. ``seeds`` are admin
     addresses of peers that are asked while there is no table yet: a process that starts
-    while the store and the host list are down knows no peers. ``poll_interval`` is in
-    seconds.
+    while the store and the host list are down knows no peers.
     """
 
     holder: TableHolder
@@ -73,7 +72,7 @@
     peers: PeerTables
     clock: Clock
     on_change: Callable[[Table, Table], None]
-    poll_interval: float
+    poll_interval_seconds: float
     seeds: list[str]
 
 
@@ -100,7 +99,7 @@
                 await self._fetch_from_peers()
             self._newer_peers.clear()
             self._wake = trio.Event()
-            with trio.move_on_after(self._deps.poll_interval):
+            with trio.move_on_after(self._deps.poll_interval_seconds):
                 await self._wake.wait()
 
     async def _read_store(self) -> bool:
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -120,7 +120,7 @@
         self.digest = digest(
             2,
             3,
-            store_age=1.5,
+            store_age_seconds=1.5,
             leaving=True,
             is_reply=True,
             echoes=[Echo(HostName("host-1"), ME, 4)],
