--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -61,7 +61,7 @@
 
         Updates are sent to other hosts for ``gossip_seconds``.
         """
-        self._expiry_seconds = LAPSE_HEARTBEATS * heartbeat_seconds
+        self._entry_ttl_seconds = LAPSE_HEARTBEATS * heartbeat_seconds
         self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat_seconds
         self._observed: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._quarantined: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
@@ -121,7 +121,7 @@
             return False
         if sent_at <= crash.at + SURVIVED_SECONDS:
             return True
-        return listed_at is not None and listed_at > crash.at + self._expiry_seconds
+        return listed_at is not None and listed_at > crash.at + self._entry_ttl_seconds
 
     # Queries
 
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-DUTY = "usage"
+TASK_NAME = "usage"
 POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is done: it was accepted, or rejected permanently.
@@ -48,7 +48,7 @@
         clock: Clock,
         rank_for: Callable[[str], int | None],
     ):
-        """Report as ``host``; ``rank_for`` returns its rank in the order for a duty."""
+        """Report as ``host``; ``rank_for`` returns its rank for a leader task."""
         self._host = host
         self._windows = windows
         self._usage_counts = usage_counts
@@ -79,7 +79,7 @@
                     break
 
     def _due(self) -> list[int]:
-        rank = self._rank_for(DUTY)
+        rank = self._rank_for(TASK_NAME)
         if rank is None or self._clock.monotonic() < self._refused_until:
             return []
         # The host that reported last goes on; others would wait for its lease to end.
--- a/berylshift/tests/crash_scenario.py
+++ b/berylshift/tests/crash_scenario.py
@@ -10,7 +10,7 @@
 
 # A crashed replica restarts after this long; its old entry expires a little later.
 RESTART_SECONDS = 3.0
-ENTRY_EXPIRY_SECONDS = 3.3
+ENTRY_TTL_SECONDS = 3.3
 # The platform's limit on how long connected hosts may take to learn of a crash.
 STABLE_SECONDS = 3.0
 # After so many crashes a request may only be sent so many times more.
--- a/berylshift/tests/test_entry_crashing_requests.py
+++ b/berylshift/tests/test_entry_crashing_requests.py
@@ -6,7 +6,7 @@
 
 from berylshift.stand_ins.entry_replica import Fault
 from berylshift.tests.crash_scenario import (
-    ENTRY_EXPIRY_SECONDS,
+    ENTRY_TTL_SECONDS,
     MAX_CRASHES,
     MAX_SENDS_AFTER,
     RESTART_SECONDS,
@@ -23,7 +23,7 @@
     world.kept.crashing.add(path)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(scenario.watch_sends)
-        nursery.start_soon(world.restart_crashed, RESTART_SECONDS, ENTRY_EXPIRY_SECONDS)
+        nursery.start_soon(world.restart_crashed, RESTART_SECONDS, ENTRY_TTL_SECONDS)
         async with trio.open_nursery() as callers:
             callers.start_soon(
                 scenario.bad_caller, pause, RUN_SECONDS, len(world.hosts)
@@ -169,7 +169,7 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(scenario.watch_sends)
                 nursery.start_soon(
-                    world.restart_crashed, RESTART_SECONDS, ENTRY_EXPIRY_SECONDS
+                    world.restart_crashed, RESTART_SECONDS, ENTRY_TTL_SECONDS
                 )
                 await scenario.bad_caller(0.3, RUN_SECONDS, len(world.hosts))
                 nursery.cancel_scope.cancel()
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -124,16 +124,16 @@
         self.quarantine.record_response(engine(2), SURVIVED_SECONDS + 0.1, 1.0)
         self.assertTrue(self.is_quarantined(2.0))
 
-    def test_a_replica_listed_past_its_entry_expiry_has_not_crashed(self):
+    def test_a_replica_listed_past_its_entry_ttl_has_not_crashed(self):
         """All connections are reset for seconds, so no earlier response shows it."""
-        expiry_seconds = LAPSE_HEARTBEATS * HEARTBEAT
+        entry_ttl_seconds = LAPSE_HEARTBEATS * HEARTBEAT
         self.crash(BAD, 1, 2)
-        self.quarantine.record_response(engine(2), expiry_seconds + 0.1, None)
-        self.assertTrue(self.is_quarantined(expiry_seconds + 0.2))
+        self.quarantine.record_response(engine(2), entry_ttl_seconds + 0.1, None)
+        self.assertTrue(self.is_quarantined(entry_ttl_seconds + 0.2))
         self.quarantine.record_response(
-            engine(2), expiry_seconds + 0.1, expiry_seconds + 0.1
+            engine(2), entry_ttl_seconds + 0.1, entry_ttl_seconds + 0.1
         )
-        self.assertFalse(self.is_quarantined(expiry_seconds + 0.2))
+        self.assertFalse(self.is_quarantined(entry_ttl_seconds + 0.2))
 
     def test_a_replica_that_survived_may_crash_later(self):
         self.crash(BAD, 1, 2)
