--- a/berylshift/process/records/sweep_loop.py
+++ b/berylshift/process/records/sweep_loop.py
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger(__name__)
 
-TASK_NAME = "sweep"
+TASK = "sweep"
 PAGE_ROWS = 50
 PAGE_SECONDS = 2.0
 EXPIRY_MARGIN_SECONDS = 3600.0
@@ -48,7 +48,7 @@
         """Sweep until cancelled."""
         while True:
             await trio.sleep(PAGE_SECONDS * self._rng.uniform(0.75, 1.25))
-            if self._members.rank(TASK_NAME) == 0:
+            if self._members.rank(TASK) == 0:
                 await self.sweep_page()
 
     async def sweep_page(self) -> None:
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-TASK_NAME = "usage"
+TASK = "usage"
 POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is done: it was accepted, or rejected permanently.
@@ -79,7 +79,7 @@
                     break
 
     def _due(self) -> list[int]:
-        rank = self._rank_for(TASK_NAME)
+        rank = self._rank_for(TASK)
         if rank is None or self._clock.monotonic() < self._refused_until:
             return []
         # The host that reported last goes on; others would wait for its lease to end.
