--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -1,20 +1,22 @@
 """Peers' datagrams: capnp messages behind a keyed tag."""
 
-from pathlib import Path
-
-import capnp
-
-from berylshift.connection.datagram_tag import (
-    LARGEST_DATAGRAM,
-    TAG_BYTES,
-    BadDatagramError,
-    Tagger,
-)
-from berylshift.ids import Fingerprint, HostName, Incarnation, PoolName, TargetName
+from berylshift.connection.datagram_tag import BadDatagramError
+from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
+from berylshift.connection.datagram_tag import TAG_BYTES
+from berylshift.connection.datagram_tag import Tagger
+from berylshift.ids import Fingerprint
+from berylshift.ids import HostName
+from berylshift.ids import Incarnation
+from berylshift.ids import PoolName
+from berylshift.ids import TargetName
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
-from berylshift.process.membership.digest import Digest, Echo, Mix
+from berylshift.process.membership.digest import Digest
+from berylshift.process.membership.digest import Echo
+from berylshift.process.membership.digest import Mix
+from pathlib import Path
+import capnp
 
 MILLISECONDS = 1000
 
@@ -53,7 +55,7 @@
         incarnation=digest.incarnation,
         sequence=digest.sequence,
         tableVersion=digest.table_version,
-        storeAgeMs=int(digest.store_age * MILLISECONDS),
+        storeAgeMs=int(digest.store_age_seconds * MILLISECONDS),
         leaving=digest.leaving,
         isReply=digest.is_reply,
         echoes=[
@@ -101,7 +103,7 @@
         incarnation=Incarnation(message.incarnation),
         sequence=message.sequence,
         table_version=message.tableVersion,
-        store_age=message.storeAgeMs / MILLISECONDS,
+        store_age_seconds=message.storeAgeMs / MILLISECONDS,
         leaving=message.leaving,
         is_reply=message.isReply,
         echoes=[
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -1,23 +1,28 @@
 """The loop that keeps this process's copy of the operators' table up to date."""
 
-import logging
+from berylshift.clock import Clock
+from berylshift.ids import PoolName
+from berylshift.ids import TableVersion
+from berylshift.process.control.plans import PlanRow
+from berylshift.process.control.plans import Plans
+from berylshift.process.control.plans import plan_key
+from berylshift.process.membership.members import Membership
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import PlatformError
+from berylshift.store.interfaces import StoredRow
+from berylshift.version.changelog import TableLog
+from berylshift.version.changelog import TableLogError
+from berylshift.version.freshness import Freshness
+from berylshift.version.rows import Row
+from berylshift.version.table import EMPTY_TABLE
+from berylshift.version.table import Table
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
-
+import logging
 import msgspec
 import trio
 
-from berylshift.clock import Clock
-from berylshift.ids import PoolName, TableVersion
-from berylshift.process.control.plans import PlanRow, Plans, plan_key
-from berylshift.process.membership.members import Membership
-from berylshift.store.interfaces import HostEntry, PlatformError, StoredRow
-from berylshift.version.changelog import TableLog, TableLogError
-from berylshift.version.freshness import Freshness
-from berylshift.version.rows import Row
-from berylshift.version.table import EMPTY_TABLE, Table
-
 logger = logging.getLogger(__name__)
 
 
@@ -61,8 +66,7 @@
 
     ``on_change`` is called with the old and the new table. ``seeds`` are admin
     addresses of peers that are asked while there is no table yet: a process that starts
-    while the store and the host list are down knows no peers. ``poll_interval`` is in
-    seconds.
+    while the store and the host list are down knows no peers.
     """
 
     holder: TableHolder
@@ -73,7 +77,7 @@
     peers: PeerTables
     clock: Clock
     on_change: Callable[[Table, Table], None]
-    poll_interval: float
+    poll_interval_seconds: float
     seeds: list[str]
 
 
@@ -100,7 +104,7 @@
                 await self._fetch_from_peers()
             self._newer_peers.clear()
             self._wake = trio.Event()
-            with trio.move_on_after(self._deps.poll_interval):
+            with trio.move_on_after(self._deps.poll_interval_seconds):
                 await self._wake.wait()
 
     async def _read_store(self) -> bool:
@@ -140,9 +144,9 @@
         self, pools: list[PoolName], stored: list[StoredRow | None]
     ) -> None:
         now = self._deps.clock.monotonic()
-        for pool, found in zip(pools, stored, strict=True):
-            if found is not None:
-                plan = msgspec.json.decode(found.value, type=PlanRow)
+        for pool, row in zip(pools, stored, strict=True):
+            if row is not None:
+                plan = msgspec.json.decode(row.value, type=PlanRow)
                 self._deps.plans.apply_if_newer(pool, plan, now)
         self._deps.fresh.plan = self._deps.plans.total
 
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -5,27 +5,28 @@
 settled report may have been lost with the store is not settled again.
 """
 
-import logging
-from collections.abc import Callable
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.messages.leader_calls import CallResult, LeaseHolder
-from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
+from berylshift.messages.leader_calls import CallResult
+from berylshift.messages.leader_calls import LeaseHolder
+from berylshift.messages.usage import UsageReport
+from berylshift.messages.usage import UsageReporting
+from berylshift.messages.usage import UsageRows
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import Grant, LeaderLease, Refused
-from berylshift.process.usage.filtered_clock import (
-    SAMPLE_INTERVAL_SECONDS,
-    FilteredClock,
-)
+from berylshift.process.leader_tasks.leader_lease import Grant
+from berylshift.process.leader_tasks.leader_lease import LeaderLease
+from berylshift.process.leader_tasks.leader_lease import Refused
+from berylshift.process.usage.filtered_clock import FilteredClock
+from berylshift.process.usage.filtered_clock import SAMPLE_INTERVAL_SECONDS
 from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.store.interfaces import PlatformError
+from collections.abc import Callable
+import logging
+import trio
 
 logger = logging.getLogger(__name__)
 
-DUTY = "usage"
+TASK = "usage"
 POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is done: it was accepted, or rejected permanently.
@@ -48,7 +49,7 @@
         clock: Clock,
         rank_for: Callable[[str], int | None],
     ):
-        """Report as ``host``; ``rank_for`` returns its rank in the order for a duty."""
+        """Report as ``host``; ``rank_for`` returns its rank for a leader task."""
         self._host = host
         self._windows = windows
         self._usage_counts = usage_counts
@@ -79,7 +80,7 @@
                     break
 
     def _due(self) -> list[int]:
-        rank = self._rank_for(DUTY)
+        rank = self._rank_for(TASK)
         if rank is None or self._clock.monotonic() < self._refused_until:
             return []
         # The host that reported last goes on; others would wait for its lease to end.
@@ -133,21 +134,21 @@
         if known is not None:
             return known
         if not self._may_settle(window):
-            found = await self._rows.read(window)
+            settled = await self._rows.read(window)
         else:
-            found = await self._rows.settle(self._usage_counts.report(window))
+            settled = await self._rows.settle(self._usage_counts.report(window))
             logger.info(
                 "usage settled",
                 extra=_log_fields(
                     window,
-                    customers=len(found.report.counts),
-                    requests=sum(item.count for item in found.report.counts),
+                    customers=len(settled.report.counts),
+                    requests=sum(item.count for item in settled.report.counts),
                 ),
             )
-        if found is None:
+        if settled is None:
             return None
-        self._settled[window] = found.report
-        return found.report
+        self._settled[window] = settled.report
+        return settled.report
 
     def _may_settle(self, window: int) -> bool:
         """Return whether no settled report of a window can have been lost.
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -1,18 +1,24 @@
 """Tests membership and the codec of the peers' datagrams."""
 
-import random
-import unittest
-
 from berylshift.connection.datagram_tag import Tagger
-from berylshift.connection.peer_codec import BadDatagramError, PeerCodec
-from berylshift.ids import DomainName, HostName
+from berylshift.connection.peer_codec import BadDatagramError
+from berylshift.connection.peer_codec import PeerCodec
+from berylshift.ids import DomainName
+from berylshift.ids import HostName
 from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
-from berylshift.process.membership.digest import Digest, Echo, Mix
-from berylshift.process.membership.members import Membership, host_of, make_incarnation
-from berylshift.store.interfaces import HostEntry, HostState
+from berylshift.process.membership.digest import Digest
+from berylshift.process.membership.digest import Echo
+from berylshift.process.membership.digest import Mix
+from berylshift.process.membership.members import Membership
+from berylshift.process.membership.members import host_of
+from berylshift.process.membership.members import make_incarnation
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import HostState
+import random
+import unittest
 
 ME = make_incarnation(HostName("host-1"), 1000, 1)
 
@@ -120,7 +126,7 @@
         self.digest = digest(
             2,
             3,
-            store_age=1.5,
+            store_age_seconds=1.5,
             leaving=True,
             is_reply=True,
             echoes=[Echo(HostName("host-1"), ME, 4)],
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -1,28 +1,23 @@
 """Tests which requests are quarantined after replica crashes."""
 
-import unittest
-
-from berylshift.ids import Fingerprint, InstanceId
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import CrashReport, target_hash
+from berylshift.messages.load_digest import CrashReport
+from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.gossip.protocol import SEND_SECONDS
-from berylshift.process.quarantine.crash_gossip import (
-    GOSSIP_SECONDS,
-    MAX_CRASHES_PER_DIGEST,
-    RESEND_SECONDS,
-)
-from berylshift.process.quarantine.crash_record import (
-    PROVEN_QUARANTINE_SECONDS,
-    SUSPECT_QUARANTINE_SECONDS,
-)
-from berylshift.process.quarantine.quarantine import (
-    COMPLETED_EXEMPT_SECONDS,
-    MAX_OBSERVED,
-    MAX_QUARANTINED,
-    SURVIVED_SECONDS,
-    Quarantine,
-)
+from berylshift.process.quarantine.crash_gossip import GOSSIP_SECONDS
+from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
+from berylshift.process.quarantine.crash_gossip import RESEND_SECONDS
+from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
+from berylshift.process.quarantine.crash_record import SUSPECT_QUARANTINE_SECONDS
+from berylshift.process.quarantine.quarantine import COMPLETED_EXEMPT_SECONDS
+from berylshift.process.quarantine.quarantine import MAX_OBSERVED
+from berylshift.process.quarantine.quarantine import MAX_QUARANTINED
+from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.process.quarantine.quarantine import SURVIVED_SECONDS
+import unittest
 
 BAD = combine_hashes(7, 1)
 HEARTBEAT = 1.2
@@ -124,16 +119,16 @@
         self.quarantine.record_response(engine(2), SURVIVED_SECONDS + 0.1, 1.0)
         self.assertTrue(self.is_quarantined(2.0))
 
-    def test_a_replica_listed_past_its_entry_expiry_has_not_crashed(self):
+    def test_a_replica_listed_past_its_entry_ttl_has_not_crashed(self):
         """All connections are reset for seconds, so no earlier response shows it."""
-        expiry_seconds = ENTRY_TTL_HEARTBEATS * HEARTBEAT
+        entry_ttl_seconds = ENTRY_TTL_HEARTBEATS * HEARTBEAT
         self.crash(BAD, 1, 2)
-        self.quarantine.record_response(engine(2), expiry_seconds + 0.1, None)
-        self.assertTrue(self.is_quarantined(expiry_seconds + 0.2))
+        self.quarantine.record_response(engine(2), entry_ttl_seconds + 0.1, None)
+        self.assertTrue(self.is_quarantined(entry_ttl_seconds + 0.2))
         self.quarantine.record_response(
-            engine(2), expiry_seconds + 0.1, expiry_seconds + 0.1
+            engine(2), entry_ttl_seconds + 0.1, entry_ttl_seconds + 0.1
         )
-        self.assertFalse(self.is_quarantined(expiry_seconds + 0.2))
+        self.assertFalse(self.is_quarantined(entry_ttl_seconds + 0.2))
 
     def test_a_replica_that_survived_may_crash_later(self):
         self.crash(BAD, 1, 2)
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -1,27 +1,22 @@
 """Tests the crash records that are persisted in the store."""
 
-import unittest
-
-import trio
-
 from berylshift.clock import LoopClock
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
 from berylshift.process.directory.store_watch import StoreClock
 from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
-from berylshift.process.quarantine.crash_row_queue import (
-    MAX_PENDING_ROWS,
-    MAX_ROWS_PER_TRANSACTION,
-    CrashRowQueue,
-)
+from berylshift.process.quarantine.crash_row_queue import CrashRowQueue
+from berylshift.process.quarantine.crash_row_queue import MAX_PENDING_ROWS
+from berylshift.process.quarantine.crash_row_queue import MAX_ROWS_PER_TRANSACTION
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.quarantine.quarantine_loop import (
-    RETRY_SECONDS,
-    WRITE_SECONDS,
-    QuarantineLoop,
-)
-from berylshift.stand_ins.fake_directory import STORE_CLOCK_AHEAD_SECONDS, FakeCrashRows
+from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
+from berylshift.process.quarantine.quarantine_loop import RETRY_SECONDS
+from berylshift.process.quarantine.quarantine_loop import WRITE_SECONDS
+from berylshift.stand_ins.fake_directory import FakeCrashRows
+from berylshift.stand_ins.fake_directory import STORE_CLOCK_AHEAD_SECONDS
 from berylshift.tests.support import run_virtual
+import trio
+import unittest
 
 BAD = combine_hashes(7, 1)
 # The longest time until a host has written its queued rows.
@@ -51,9 +46,9 @@
 
     async def main():
         async with trio.open_nursery() as nursery:
-            found = await task(World(nursery))
+            result = await task(World(nursery))
             nursery.cancel_scope.cancel()
-        return found
+        return result
 
     return run_virtual(main)
 
@@ -81,9 +76,9 @@
         async def task(world):
             crash(world.add_host(), 1, 2, 3)
             await trio.sleep(WRITTEN_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(0.1)
-            return remaining_seconds(again)
+            return remaining_seconds(restarted)
 
         left = run_world(task)
         self.assertAlmostEqual(
@@ -107,9 +102,9 @@
             await trio.sleep(10)
             world.rows.down = False
             await trio.sleep(WRITTEN_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(0.1)
-            return remaining_seconds(again) > 0
+            return remaining_seconds(restarted) > 0
 
         self.assertTrue(run_world(task))
 
@@ -118,11 +113,11 @@
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             world.rows.down = True
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(5)
             world.rows.down = False
             await trio.sleep(RETRY_SECONDS + 0.1)
-            return remaining_seconds(again) > 0
+            return remaining_seconds(restarted) > 0
 
         self.assertTrue(run_world(task))
 
@@ -155,9 +150,9 @@
             crash(world.add_host(), 1, 2)
             await trio.sleep(WRITTEN_SECONDS)
             await trio.sleep(PROVEN_QUARANTINE_SECONDS)
-            again = world.add_host()
+            restarted = world.add_host()
             await trio.sleep(WRITTEN_SECONDS)
-            return remaining_seconds(again), len(world.rows)
+            return remaining_seconds(restarted), len(world.rows)
 
         self.assertEqual(run_world(task), (0.0, 0))
 
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -1,14 +1,15 @@
 """Tests how fast many hosts learn of a request that crashes replicas."""
 
-import random
-import unittest
-
-import trio
-
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.tests.multi_host_world import MultiHostWorld, Path, WorldHost
-from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
+from berylshift.tests.multi_host_world import MultiHostWorld
+from berylshift.tests.multi_host_world import Path
+from berylshift.tests.multi_host_world import WorldHost
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS
+from berylshift.tests.test_gossip_collectors import run_world
+import random
+import trio
+import unittest
 
 BAD = combine_hashes(7, 1)
 # The platform counts a host as connected after this time without faults, and allows it
@@ -166,9 +167,9 @@
     """Run the fault schedule of one seed."""
 
     async def task(world):
-        found = FaultSchedule(world, seed)
-        await found.run()
-        return found
+        schedule = FaultSchedule(world, seed)
+        await schedule.run()
+        return schedule
 
     return run_world(task, hosts, domains, byte_budget)
 
@@ -183,9 +184,9 @@
     def check(self, hosts: int, domains: int, byte_budget: int) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                found = run_schedule(seed, hosts, domains, byte_budget)
-                self.assertGreater(len(found.crashes), 0)
-                self.assertLessEqual(found.sends_after, MAX_SENDS_AFTER)
+                schedule = run_schedule(seed, hosts, domains, byte_budget)
+                self.assertGreater(len(schedule.crashes), 0)
+                self.assertLessEqual(schedule.sends_after, MAX_SENDS_AFTER)
 
     def test_few_hosts(self):
         self.check(9, 4, BYTE_BUDGET)
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -1,20 +1,16 @@
 """Tests that usage is reported once and correctly under faults of hosts and store."""
 
-import unittest
-
-import trio
-
 from berylshift.messages.leader_calls import CallResult
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.tests.support import run_virtual
 from berylshift.tests.usage_support import SCHEDULE
-from berylshift.tests.usage_world import (
-    CUSTOMERS,
-    EPOCH,
-    UsageWorld,
-    broken_rules,
-    counts_of,
-)
+from berylshift.tests.usage_world import CUSTOMERS
+from berylshift.tests.usage_world import EPOCH
+from berylshift.tests.usage_world import UsageWorld
+from berylshift.tests.usage_world import broken_rules
+from berylshift.tests.usage_world import counts_of
+import trio
+import unittest
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
@@ -54,9 +50,9 @@
     def assert_reported(self, world: UsageWorld, min_windows: int) -> None:
         """Check that windows after the first are reported in time and correctly."""
         self.assertEqual(broken_rules(world), [])
-        found = windows_reported(world)
-        self.assertGreaterEqual(len(found), min_windows)
-        self.assertEqual(found, list(range(found[0], found[-1] + 1)))
+        reported = windows_reported(world)
+        self.assertGreaterEqual(len(reported), min_windows)
+        self.assertEqual(reported, list(range(reported[0], reported[-1] + 1)))
         windows, start = UsageWindows(SCHEDULE), EPOCH.timestamp()
         for call in world.duties.usage:
             self.assertLess(start + call.at, windows.end_of(call.report.window) + 10)
