--- a/berylshift/process/control/leases.py
+++ b/berylshift/process/control/leases.py
@@ -28,7 +28,7 @@
 
 
 class EpochRow(msgspec.Struct, frozen=True):
-    """Changes only when the holder changes; writes of orders are conditional on it."""
+    """Changes only with the holder; plans and orders are written on condition of it."""
 
     epoch: Epoch
     holder: Incarnation
--- a/berylshift/process/control/orders.py
+++ b/berylshift/process/control/orders.py
@@ -32,7 +32,7 @@
 class JournalRow(msgspec.Struct, frozen=True):
     """An engine's newest order, which ``sender`` may send or has sent.
 
-    ``settled``: no copy of it is in flight or will be sent.
+    ``settled``: every copy of it was answered or never sent.
     """
 
     state: JournalState
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -113,7 +113,7 @@
     def _estimate_needed(
         self, counts: dict[DomainName, DomainCount], now: float
     ) -> None:
-        """Estimate what is needed from the running replicas when steady.
+        """Estimate what is needed from the replicas once their number is steady.
 
         One domain's share of the interruptible replicas is spare and not counted.
         """
--- a/berylshift/process/shutdown.py
+++ b/berylshift/process/shutdown.py
@@ -35,7 +35,10 @@
         self._open: set[Bounded] = set()
 
     def begin(self, seconds: float, notice_seconds: float = 0.0) -> None:
-        """End all requests within ``seconds``; the balancer learns after the notice."""
+        """End all requests within ``seconds``.
+
+        The balancer knows of the shutdown after ``notice_seconds``.
+        """
         self._began_at = self._clock.monotonic()
         self._balancer_aware_at = self._began_at + notice_seconds
         self._ends_at = self._began_at + seconds
