--- a/berylshift/process/directory/directory_loop.py
+++ b/berylshift/process/directory/directory_loop.py
@@ -96,7 +96,7 @@
 
     async def _poll_feed(self, feed: Feed, read: Callable[[], Awaitable[None]]) -> None:
         failures = 0
-        what = feed.value
+        feed_name = feed.value
         while True:
             await self._wait_until_due(feed)
             try:
@@ -105,7 +105,7 @@
                 self._watch.forget(feed)
                 logger.info(
                     "feed position lost; reading the whole feed",
-                    extra={"feed": what, "reason": str(exc)},
+                    extra={"feed": feed_name, "reason": str(exc)},
                 )
                 await trio.sleep(INITIAL_BACKOFF_SECONDS * self._rng.random())
                 continue
@@ -120,7 +120,7 @@
             except PlatformError as exc:
                 if not failures:
                     logger.warning(
-                        "store lost", extra={"feed": what, "reason": str(exc)}
+                        "store lost", extra={"feed": feed_name, "reason": str(exc)}
                     )
                 failures += 1
                 self._replicas.mark_store_lost(self._clock.monotonic())
@@ -129,7 +129,9 @@
                     await trio.sleep(INITIAL_BACKOFF_SECONDS * self._rng.random())
                 continue
             if failures:
-                logger.info("store regained", extra={"feed": what, "tries": failures})
+                logger.info(
+                    "store regained", extra={"feed": feed_name, "tries": failures}
+                )
                 # Changes that the feed skipped during the outage show in a full read.
                 self._watch.forget(feed)
             failures = 0
--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -82,7 +82,7 @@
         self.received: FeedWord | None = None
         self.read_at = float("-inf")
 
-    def best(self) -> FeedWord | None:
+    def newest(self) -> FeedWord | None:
         """Return the newer of this host's own status and the received one.
 
         Of two from the same millisecond, the one with the later change wins.
@@ -100,7 +100,7 @@
 
     def has_unread_changes(self) -> bool:
         """Return whether a change is known that this host has not read."""
-        status = self.best()
+        status = self.newest()
         if status is None or self.position is None:
             return False
         return status.changed > self.position
@@ -209,8 +209,8 @@
 
     def status(self) -> StoreWord | None:
         """Return the newest status of both feeds, to be sent to other hosts."""
-        routes = self._feeds[Feed.ROUTES].best()
-        replicas = self._feeds[Feed.REPLICAS].best()
+        routes = self._feeds[Feed.ROUTES].newest()
+        replicas = self._feeds[Feed.REPLICAS].newest()
         if routes is None or replicas is None or routes.era != replicas.era:
             return None
         return StoreWord(routes, replicas, self._recovered_ms)
@@ -221,7 +221,7 @@
         ``None``: it is known to be outdated, or nothing is known.
         """
         state = self._feeds[feed]
-        status = state.best()
+        status = state.newest()
         if status is None or state.position is None or state.has_unread_changes():
             return None
         return max(0.0, self.clock.age(status.store_ms))
--- a/berylshift/process/scaling/scale_loop.py
+++ b/berylshift/process/scaling/scale_loop.py
@@ -105,15 +105,15 @@
         A host that becomes leader in the middle of a change would count more or fewer.
         """
         for service, planner in self._planners.items():
-            if planner.found and not planner.needed:
-                found = await self._rows.get_or_set_needed(service, planner.found)
+            if planner.estimate and not planner.needed:
+                found = await self._rows.get_or_set_needed(service, planner.estimate)
                 planner.needed = found
                 logger.info(
                     "replicas needed",
                     extra={
                         "service": service,
                         "needed": found,
-                        "found": planner.found,
+                        "found": planner.estimate,
                     },
                 )
 
@@ -130,7 +130,9 @@
     async def _order(self, order: ScaleOrder, grant: Grant) -> None:
         holder = LeaseHolder(self._host, grant.fence)
         answer = await self._ordering.scale(order, holder)
-        self._planners[order.service].answered(order, answer, self._clock.monotonic())
+        self._planners[order.service].record_result(
+            order, answer, self._clock.monotonic()
+        )
         logger.info(
             "replicas ordered",
             extra={
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -65,8 +65,8 @@
         self._prices = {found.domain: found.price for found in scaling.prices}
         # The replicas that the service needs; 0: not known yet.
         self.needed = 0
-        # The estimate of what is needed, from the running replicas.
-        self.found = 0
+        # How many the service is estimated to need, from the running replicas.
+        self.estimate = 0
         self._ordered: dict[tuple[DomainName, ReplicaKind], _SentOrder] = {}
         self._unavailable_until: dict[DomainName, float] = {}
         self._missing_since: float | None = None
@@ -91,7 +91,7 @@
         ]
         return (*interruptible, *self._on_demand_orders(counts, now, is_idle))
 
-    def answered(self, order: ScaleOrder, answer: CallResult, now: float) -> None:
+    def record_result(self, order: ScaleOrder, answer: CallResult, now: float) -> None:
         """Record the result of an order."""
         if answer is CallResult.UNAVAILABLE:
             self._unavailable_until[order.domain] = now + UNAVAILABLE_RETRY_SECONDS
@@ -124,7 +124,7 @@
             return
         on_demand = sum(count.on_demand for count in counts.values())
         spare = math.ceil((total - on_demand) / len(counts))
-        self.found = total - spare
+        self.estimate = total - spare
 
     def _is_worthwhile(self, counts: dict[DomainName, DomainCount]) -> bool:
         """Return whether scaling can save cost; otherwise operators' numbers stay.
--- a/berylshift/tests/test_directory_schedules.py
+++ b/berylshift/tests/test_directory_schedules.py
@@ -283,7 +283,7 @@
 
     @SCHEDULES
     @given(st.lists(EVENTS, max_size=25))
-    def test_hosts_in_touch_agree_with_the_store(self, events):
+    def test_hosts_without_faults_agree_with_the_store(self, events):
         run_virtual(ScheduleRunner().run, events)
 
     def test_a_lagging_copy_does_not_revert_routes(self):
--- a/berylshift/tests/test_leader_lease.py
+++ b/berylshift/tests/test_leader_lease.py
@@ -160,7 +160,7 @@
         world.order(0)
         self.assertEqual(world.orders, [])
 
-    def test_fences_rise_over_eras(self):
+    def test_fencing_tokens_increase_across_eras(self):
         world = Holders()
         first = world.acquire(0)
         world.time += 20
--- a/berylshift/tests/test_process_pools.py
+++ b/berylshift/tests/test_process_pools.py
@@ -149,7 +149,7 @@
 class PlansTest(unittest.TestCase):
     """Versions of plans in force."""
 
-    def test_versions_only_rise(self):
+    def test_versions_never_decrease(self):
         plans = Plans()
         plans.apply_if_newer(
             "p", PlanRow(2, [Move("engine-1", role_order(Role.MIXED))]), 1.0
@@ -196,7 +196,7 @@
         self.assertTrue(changes)
         self.assertEqual({change.role for change in changes}, {Role.MIXED})
 
-    def test_a_change_must_pay_several_times_running(self):
+    def test_a_change_must_pay_in_consecutive_decisions(self):
         roles = (Role.DECODE,) * 8 + (Role.MIXED,) * 2
         found = state(prefill=6, decode=1, roles=roles)
         self.assertEqual(self.decide(found, times=MIN_CONSECUTIVE_DECISIONS - 1), [])
--- a/berylshift/tests/test_scaling_planner.py
+++ b/berylshift/tests/test_scaling_planner.py
@@ -132,9 +132,9 @@
         until = self.now + seconds
         while self.now < until:
             orders = self.planner.plan(self.listed(), self.now, is_idle)
-            self.planner.needed = self.planner.needed or self.planner.found
+            self.planner.needed = self.planner.needed or self.planner.estimate
             for order in orders:
-                self.planner.answered(order, self.execute(order), self.now)
+                self.planner.record_result(order, self.execute(order), self.now)
             self.now += STEP_SECONDS
             fewest = min(fewest, self.serving())
             self.started = [one for one in self.started if one.gone_at > self.now]
@@ -249,7 +249,7 @@
         platform.play(40)
         platform.planner = ScalePlanner(SERVICE, platform.planner.scaling)
         platform.play(2)
-        self.assertEqual(platform.planner.found, 12)
+        self.assertEqual(platform.planner.estimate, 12)
 
     def test_the_same_order_is_not_repeated(self):
         platform = Platform()
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -22,7 +22,7 @@
 HOLDER_GAP_SECONDS = 3.0
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
 CUSTOMERS = tuple(CustomerName(name) for name in ("a", "b", "c"))
-HEAR_SECONDS = 0.1
+EXCHANGE_INTERVAL_SECONDS = 0.1
 
 
 @dataclass
@@ -114,7 +114,7 @@
     async def exchange_counts(self) -> None:
         """Have the hosts exchange counts until cancelled."""
         while True:
-            await trio.sleep(HEAR_SECONDS)
+            await trio.sleep(EXCHANGE_INTERVAL_SECONDS)
             for sender in self._connected():
                 counts = sender.book.own_told(trio.current_time())
                 done = sender.book.done_told(trio.current_time())
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -121,7 +121,7 @@
         "what is needed is kept, not found anew",
         "process/scaling/scale_loop.py",
         "                planner.needed = found\n",
-        "                planner.needed = planner.found\n",
+        "                planner.needed = planner.estimate\n",
         "test_scaling_loop.ScaleLoopTest",
     ),
     Proof(
