--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -11,15 +11,17 @@
 by a host that had been suspended, whatever the hosts' clocks show.
 """
 
+from berylshift.ids import Revision
+from berylshift.ids import StoreEra
+from berylshift.messages.load_digest import FeedStatus
+from berylshift.messages.load_digest import StoreStatus
+from berylshift.process.directory.store_era_tracker import EraSource
+from berylshift.process.directory.store_era_tracker import StoreEraTracker
+from berylshift.store.eras import FIRST_ERA
 from collections import deque
 from collections.abc import Callable
 from enum import Enum
 
-from berylshift.ids import Revision, StoreEra
-from berylshift.messages.load_digest import FeedStatus, StoreStatus
-from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
-from berylshift.store.eras import FIRST_ERA
-
 # Fractions of the time within which a change must be in force. A feed without changes
 # answers after the first; a status older than the second is not enough. The difference
 # allows a status to pass through two hosts, the rest a read by this host itself.
@@ -82,7 +84,7 @@
         self.received: FeedStatus | None = None
         self.read_at = float("-inf")
 
-    def best(self) -> FeedStatus | None:
+    def newest(self) -> FeedStatus | None:
         """Return the newer of this host's own status and the received one.
 
         Of two from the same millisecond, the one with the later change wins.
@@ -102,7 +104,7 @@
 
     def has_unread_changes(self) -> bool:
         """Return whether a change is known that this host has not read."""
-        status = self.best()
+        status = self.newest()
         if status is None or self.position is None:
             return False
         return status.last_change > self.position
@@ -211,8 +213,8 @@
 
     def status(self) -> StoreStatus | None:
         """Return the newest status of both feeds, to be sent to other hosts."""
-        routes = self._feeds[Feed.ROUTES].best()
-        replicas = self._feeds[Feed.REPLICAS].best()
+        routes = self._feeds[Feed.ROUTES].newest()
+        replicas = self._feeds[Feed.REPLICAS].newest()
         if routes is None or replicas is None or routes.era != replicas.era:
             return None
         return StoreStatus(routes, replicas, self._recovered_ms)
@@ -223,7 +225,7 @@
         ``None``: it is known to be outdated, or nothing is known.
         """
         state = self._feeds[feed]
-        status = state.best()
+        status = state.newest()
         if status is None or state.position is None or state.has_unread_changes():
             return None
         return max(0.0, self.clock.age(status.store_ms))
