--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -1,22 +1,20 @@
 """Peers' datagrams: capnp messages behind a keyed tag."""
 
-from berylshift.connection.datagram_tag import BadDatagramError
-from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
-from berylshift.connection.datagram_tag import TAG_BYTES
-from berylshift.connection.datagram_tag import Tagger
-from berylshift.ids import Fingerprint
-from berylshift.ids import HostName
-from berylshift.ids import Incarnation
-from berylshift.ids import PoolName
-from berylshift.ids import TargetName
+from pathlib import Path
+
+import capnp
+
+from berylshift.connection.datagram_tag import (
+    LARGEST_DATAGRAM,
+    TAG_BYTES,
+    BadDatagramError,
+    Tagger,
+)
+from berylshift.ids import Fingerprint, HostName, Incarnation, PoolName, TargetName
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
-from berylshift.process.membership.digest import Digest
-from berylshift.process.membership.digest import Echo
-from berylshift.process.membership.digest import Mix
-from pathlib import Path
-import capnp
+from berylshift.process.membership.digest import Digest, Echo, Mix
 
 MILLISECONDS = 1000
 
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -1,5 +1,7 @@
 """One modelled prompt on its way through a host, a reading and an answering engine."""
 
+from typing import TYPE_CHECKING
+
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -8,17 +10,12 @@
 from berylshift.model.host import ModelHost
 from berylshift.model.result import PromptEnd
 from berylshift.model.traffic import Arrival
-from berylshift.process.targets.target_load import MILD_FAILURE
-from berylshift.process.targets.target_load import SEVERE_FAILURE
+from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_scheduler import PrefillJob
-from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS
-from berylshift.request.refusals import MIN_RETRY_AFTER_SECONDS
+from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS, MIN_RETRY_AFTER_SECONDS
 from berylshift.request.relay import MAX_PREFILLS
-from berylshift.request.slo_status import SloStatus
-from berylshift.request.slo_status import engine_rank
-from berylshift.request.slo_status import urgency_for
-from typing import TYPE_CHECKING
+from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -11,17 +11,15 @@
 by a host that had been suspended, whatever the hosts' clocks show.
 """
 
-from berylshift.ids import Revision
-from berylshift.ids import StoreEra
-from berylshift.messages.load_digest import FeedStatus
-from berylshift.messages.load_digest import StoreStatus
-from berylshift.process.directory.store_era_tracker import EraSource
-from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.store.eras import FIRST_ERA
 from collections import deque
 from collections.abc import Callable
 from enum import Enum
 
+from berylshift.ids import Revision, StoreEra
+from berylshift.messages.load_digest import FeedStatus, StoreStatus
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
+from berylshift.store.eras import FIRST_ERA
+
 # Fractions of the time within which a change must be in force. A feed without changes
 # answers after the first; a status older than the second is not enough. The difference
 # allows a status to pass through two hosts, the rest a read by this host itself.
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -12,22 +12,25 @@
 has not crashed.
 """
 
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
+from collections import OrderedDict
+from collections.abc import Iterable
+
+from berylshift.ids import Fingerprint, InstanceId
 from berylshift.messages.fingerprint import head_hash_of
-from berylshift.messages.load_digest import CrashReport
-from berylshift.messages.load_digest import target_hash
+from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
-from berylshift.process.quarantine.crash_gossip import CrashGossip
-from berylshift.process.quarantine.crash_gossip import CrashKey
-from berylshift.process.quarantine.crash_gossip import GOSSIP_SECONDS
-from berylshift.process.quarantine.crash_record import Crash
-from berylshift.process.quarantine.crash_record import CrashRecord
-from berylshift.process.quarantine.crash_record import MIN_SUSPECT_CRASHES
-from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
+from berylshift.process.quarantine.crash_gossip import (
+    GOSSIP_SECONDS,
+    CrashGossip,
+    CrashKey,
+)
+from berylshift.process.quarantine.crash_record import (
+    MIN_SUSPECT_CRASHES,
+    PROVEN_QUARANTINE_SECONDS,
+    Crash,
+    CrashRecord,
+)
 from berylshift.process.quarantine.crash_row_queue import CrashRowQueue
-from collections import OrderedDict
-from collections.abc import Iterable
 
 # A request that completed this recently is not the cause of a crash. Otherwise all
 # callers that ask for the same resource would be refused at each replica crash.
--- a/berylshift/process/quarantine/quarantine_loop.py
+++ b/berylshift/process/quarantine/quarantine_loop.py
@@ -1,5 +1,9 @@
 """Persists crash records in the store, so that they survive a restart of all hosts."""
 
+import logging
+
+import trio
+
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.directory.store_watch import StoreClock
@@ -7,11 +11,8 @@
 from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
 from berylshift.process.quarantine.crash_row_queue import RowBatch
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.store.crash_rows import CrashRow
-from berylshift.store.crash_rows import CrashRows
+from berylshift.store.crash_rows import CrashRow, CrashRows
 from berylshift.store.interfaces import PlatformError
-import logging
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -5,24 +5,23 @@
 settled report may have been lost with the store is not settled again.
 """
 
+import logging
+from collections.abc import Callable
+
+import trio
+
 from berylshift.clock import Clock
-from berylshift.messages.leader_calls import CallResult
-from berylshift.messages.leader_calls import LeaseHolder
-from berylshift.messages.usage import UsageReport
-from berylshift.messages.usage import UsageReporting
-from berylshift.messages.usage import UsageRows
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
+from berylshift.messages.usage import UsageReport, UsageReporting, UsageRows
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
-from berylshift.process.leader_tasks.leader_lease import Grant
-from berylshift.process.leader_tasks.leader_lease import LeaderLease
-from berylshift.process.leader_tasks.leader_lease import Refused
-from berylshift.process.usage.filtered_clock import FilteredClock
-from berylshift.process.usage.filtered_clock import SAMPLE_INTERVAL_SECONDS
+from berylshift.process.leader_tasks.leader_lease import Grant, LeaderLease, Refused
+from berylshift.process.usage.filtered_clock import (
+    SAMPLE_INTERVAL_SECONDS,
+    FilteredClock,
+)
 from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.store.interfaces import PlatformError
-from collections.abc import Callable
-import logging
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -1,42 +1,43 @@
 """HTTP handler of the native API: completions, service calls and health checks."""
 
+import logging
+import random
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+from dataclasses import dataclass
+
+import msgspec
+
 from berylshift.clock import Clock
 from berylshift.connection.http_request import HttpRequest
 from berylshift.connection.responder import Responder
-from berylshift.ids import CustomerName
-from berylshift.ids import FleetName
-from berylshift.ids import RequestId
-from berylshift.ids import WorkName
+from berylshift.ids import CustomerName, FleetName, RequestId, WorkName
 from berylshift.metrics import Metrics
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.request.completion import Completion
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.errors import BadRequestError
-from berylshift.request.messages import Caller
-from berylshift.request.messages import DEADLINE_HEADER
-from berylshift.request.messages import Ending
-from berylshift.request.messages import KEY_HEADER
-from berylshift.request.messages import ModelCall
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import PlainCall
-from berylshift.request.messages import PlainEnding
-from berylshift.request.messages import Reason
-from berylshift.request.response_writer import BufferedSink
-from berylshift.request.response_writer import ResponseWriter
-from berylshift.request.response_writer import STATUS_BY_REASON
-from berylshift.request.response_writer import StreamSink
-from berylshift.request.response_writer import encode_completion
+from berylshift.request.messages import (
+    DEADLINE_HEADER,
+    KEY_HEADER,
+    Caller,
+    Ending,
+    ModelCall,
+    Outcome,
+    PlainCall,
+    PlainEnding,
+    Reason,
+)
+from berylshift.request.response_writer import (
+    STATUS_BY_REASON,
+    BufferedSink,
+    ResponseWriter,
+    StreamSink,
+    encode_completion,
+)
 from berylshift.request.service_call import ServiceCalls
-from berylshift.settings import CallerSettings
-from berylshift.settings import Credential
-from collections.abc import Callable
-from collections.abc import Iterator
-from contextlib import contextmanager
-from dataclasses import dataclass
-import logging
-import msgspec
-import random
+from berylshift.settings import CallerSettings, Credential
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -1,21 +1,22 @@
 """Prefill scheduling: the engine, its queue order and the predicted latency."""
 
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+from collections.abc import Callable, Iterable
+
+import msgspec
+
+from berylshift.ids import InstanceId, ServiceName
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefill_send_rate import PrefillSendRate
-from berylshift.request.placement import Placement
-from berylshift.request.placement import PlacementPolicy
-from berylshift.request.slo_status import RouteObjective
-from berylshift.request.slo_status import SloStatus
-from berylshift.request.slo_status import late_prefill_seconds
-from berylshift.request.slo_status import slo_status_of
-from berylshift.request.slo_status import urgency_for
-from collections.abc import Callable
-from collections.abc import Iterable
-import msgspec
+from berylshift.request.placement import Placement, PlacementPolicy
+from berylshift.request.slo_status import (
+    RouteObjective,
+    SloStatus,
+    late_prefill_seconds,
+    slo_status_of,
+    urgency_for,
+)
 
 
 class PrefillJob(msgspec.Struct, frozen=True):
--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -1,7 +1,6 @@
 """The replicas that one request may still be sent to."""
 
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+from berylshift.ids import InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
 from berylshift.process.directory.pools import Pool
--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -1,13 +1,14 @@
 """Many hosts learn of store changes and of each other's load through a few of them."""
 
-from berylshift.messages.load_digest import Urgency
-from berylshift.tests.multi_host_world import MultiHostWorld
-from berylshift.tests.multi_host_world import Path
-from berylshift.tests.support import run_virtual
 import random
-import trio
 import unittest
 
+import trio
+
+from berylshift.messages.load_digest import Urgency
+from berylshift.tests.multi_host_world import MultiHostWorld, Path
+from berylshift.tests.support import run_virtual
+
 # The time in which a change must be in force, and the byte budget a second: so small
 # that thirty hosts use collectors, as two hundred do with the default budget.
 BOUND_SECONDS = 4.0
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -1,24 +1,18 @@
 """Tests membership and the codec of the peers' datagrams."""
 
+import random
+import unittest
+
 from berylshift.connection.datagram_tag import Tagger
-from berylshift.connection.peer_codec import BadDatagramError
-from berylshift.connection.peer_codec import PeerCodec
-from berylshift.ids import DomainName
-from berylshift.ids import HostName
+from berylshift.connection.peer_codec import BadDatagramError, PeerCodec
+from berylshift.ids import DomainName, HostName
 from berylshift.messages.fingerprint import combine_hashes
 from berylshift.messages.load_digest import CrashReport
 from berylshift.process.engine_state.load_view import Share
 from berylshift.process.limits.customer_limits import Demand
-from berylshift.process.membership.digest import Digest
-from berylshift.process.membership.digest import Echo
-from berylshift.process.membership.digest import Mix
-from berylshift.process.membership.members import Membership
-from berylshift.process.membership.members import host_of
-from berylshift.process.membership.members import make_incarnation
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import HostState
-import random
-import unittest
+from berylshift.process.membership.digest import Digest, Echo, Mix
+from berylshift.process.membership.members import Membership, host_of, make_incarnation
+from berylshift.store.interfaces import HostEntry, HostState
 
 ME = make_incarnation(HostName("host-1"), 1000, 1)
 
--- a/berylshift/tests/test_quarantine.py
+++ b/berylshift/tests/test_quarantine.py
@@ -1,23 +1,28 @@
 """Tests which requests are quarantined after replica crashes."""
 
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
+import unittest
+
+from berylshift.ids import Fingerprint, InstanceId
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import CrashReport
-from berylshift.messages.load_digest import target_hash
+from berylshift.messages.load_digest import CrashReport, target_hash
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.process.gossip.protocol import SEND_SECONDS
-from berylshift.process.quarantine.crash_gossip import GOSSIP_SECONDS
-from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
-from berylshift.process.quarantine.crash_gossip import RESEND_SECONDS
-from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
-from berylshift.process.quarantine.crash_record import SUSPECT_QUARANTINE_SECONDS
-from berylshift.process.quarantine.quarantine import COMPLETED_EXEMPT_SECONDS
-from berylshift.process.quarantine.quarantine import MAX_OBSERVED
-from berylshift.process.quarantine.quarantine import MAX_QUARANTINED
-from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.quarantine.quarantine import SURVIVED_SECONDS
-import unittest
+from berylshift.process.quarantine.crash_gossip import (
+    GOSSIP_SECONDS,
+    MAX_CRASHES_PER_DIGEST,
+    RESEND_SECONDS,
+)
+from berylshift.process.quarantine.crash_record import (
+    PROVEN_QUARANTINE_SECONDS,
+    SUSPECT_QUARANTINE_SECONDS,
+)
+from berylshift.process.quarantine.quarantine import (
+    COMPLETED_EXEMPT_SECONDS,
+    MAX_OBSERVED,
+    MAX_QUARANTINED,
+    SURVIVED_SECONDS,
+    Quarantine,
+)
 
 BAD = combine_hashes(7, 1)
 HEARTBEAT = 1.2
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -1,22 +1,27 @@
 """Tests the crash records that are persisted in the store."""
 
+import unittest
+
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.ids import InstanceId
 from berylshift.messages.fingerprint import combine_hashes
 from berylshift.process.directory.store_watch import StoreClock
 from berylshift.process.quarantine.crash_record import PROVEN_QUARANTINE_SECONDS
-from berylshift.process.quarantine.crash_row_queue import CrashRowQueue
-from berylshift.process.quarantine.crash_row_queue import MAX_PENDING_ROWS
-from berylshift.process.quarantine.crash_row_queue import MAX_ROWS_PER_TRANSACTION
+from berylshift.process.quarantine.crash_row_queue import (
+    MAX_PENDING_ROWS,
+    MAX_ROWS_PER_TRANSACTION,
+    CrashRowQueue,
+)
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
-from berylshift.process.quarantine.quarantine_loop import RETRY_SECONDS
-from berylshift.process.quarantine.quarantine_loop import WRITE_SECONDS
-from berylshift.stand_ins.fake_directory import FakeCrashRows
-from berylshift.stand_ins.fake_directory import STORE_CLOCK_AHEAD_SECONDS
+from berylshift.process.quarantine.quarantine_loop import (
+    RETRY_SECONDS,
+    WRITE_SECONDS,
+    QuarantineLoop,
+)
+from berylshift.stand_ins.fake_directory import STORE_CLOCK_AHEAD_SECONDS, FakeCrashRows
 from berylshift.tests.support import run_virtual
-import trio
-import unittest
 
 BAD = combine_hashes(7, 1)
 # The longest time until a host has written its queued rows.
--- a/berylshift/tests/test_quarantine_spread.py
+++ b/berylshift/tests/test_quarantine_spread.py
@@ -1,16 +1,15 @@
 """Tests how fast many hosts learn of a request that crashes replicas."""
 
-from berylshift.ids import InstanceId
-from berylshift.messages.fingerprint import combine_hashes
-from berylshift.tests.multi_host_world import MultiHostWorld
-from berylshift.tests.multi_host_world import Path
-from berylshift.tests.multi_host_world import WorldHost
-from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS
-from berylshift.tests.test_gossip_collectors import run_world
 import random
-import trio
 import unittest
 
+import trio
+
+from berylshift.ids import InstanceId
+from berylshift.messages.fingerprint import combine_hashes
+from berylshift.tests.multi_host_world import MultiHostWorld, Path, WorldHost
+from berylshift.tests.test_gossip_collectors import SETTLED_SECONDS, run_world
+
 BAD = combine_hashes(7, 1)
 # The platform counts a host as connected after this time without faults, and allows it
 # the same time to learn of the third crash.
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -1,43 +1,49 @@
 """Routes in force, loads, limit shares, and the digests of other hosts."""
 
-from berylshift.connection.datagram_tag import BadDatagramError
-from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
-from berylshift.connection.datagram_tag import Tagger
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from berylshift.connection.datagram_tag import (
+    LARGEST_DATAGRAM,
+    BadDatagramError,
+    Tagger,
+)
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import Revision
 from berylshift.messages.fingerprint import combine_hashes
-from berylshift.messages.load_digest import BlockPrefill
-from berylshift.messages.load_digest import CrashReport
-from berylshift.messages.load_digest import FeedStatus
-from berylshift.messages.load_digest import LimitUpdate
-from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.load_digest import LoadEntry
-from berylshift.messages.load_digest import PhaseUpdate
-from berylshift.messages.load_digest import Scope
-from berylshift.messages.load_digest import StoreStatus
-from berylshift.messages.load_digest import Urgency
+from berylshift.messages.load_digest import (
+    BlockPrefill,
+    CrashReport,
+    FeedStatus,
+    LimitUpdate,
+    LoadDigest,
+    LoadEntry,
+    PhaseUpdate,
+    Scope,
+    StoreStatus,
+    Urgency,
+)
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
-from berylshift.process.directory.expected_phases import MAX_ORDERS_PER_DIGEST as MOST_PHASES
-from berylshift.process.directory.expected_phases import MOST_TOLD as MAX_PHASES
+from berylshift.process.directory.expected_phases import (
+    MAX_ORDERS_PER_DIGEST as MAX_PHASES,
+)
 from berylshift.process.directory.route_holder import RouteHolder
-from berylshift.process.gossip.collector import MAX_PREFILLS
-from berylshift.process.gossip.collector import PREFILLS_PER_CRASH
-from berylshift.process.gossip.peer_loads import DIGEST_TTL_SECONDS
-from berylshift.process.gossip.peer_loads import PeerLoads
+from berylshift.process.gossip.collector import MAX_PREFILLS, PREFILLS_PER_CRASH
+from berylshift.process.gossip.peer_loads import DIGEST_TTL_SECONDS, PeerLoads
 from berylshift.process.limits.shared_retry_budget import SharedRetryBudget
 from berylshift.process.quarantine.crash_gossip import MAX_CRASHES_PER_DIGEST
 from berylshift.process.targets.limit_gossip import MAX_UPDATES as MAX_LIMITS
-from berylshift.process.targets.prefix_cache_index import MAX_BLOCKS
-from berylshift.process.targets.prefix_cache_index import PREFIX_CACHE_SHARE
-from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
-from berylshift.process.targets.target_load import SEVERE_FAILURE
-from berylshift.process.targets.target_load import TargetLoads
+from berylshift.process.targets.prefix_cache_index import (
+    MAX_BLOCKS,
+    PREFIX_CACHE_SHARE,
+    PrefixCacheIndex,
+)
+from berylshift.process.targets.target_load import SEVERE_FAILURE, TargetLoads
 from berylshift.tests.entry_world import routes
 from berylshift.tests.support import EXPLORE
-from hypothesis import given
-from hypothesis import strategies as st
-import unittest
 
 
 class RouteHolderTest(unittest.TestCase):
--- a/berylshift/tests/test_usage_counts.py
+++ b/berylshift/tests/test_usage_counts.py
@@ -1,22 +1,22 @@
 """Tests that usage counts are exact however digests arrive."""
 
+import random
+import unittest
+
+from hypothesis import given
+from hypothesis import strategies as st
+
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import CustomerName
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.usage import CustomerCount
-from berylshift.messages.usage import RunCount
-from berylshift.messages.usage import customer_hash
-from berylshift.process.usage.counter_gossip import MAX_COUNTS_PER_DIGEST
-from berylshift.process.usage.counter_gossip import RESEND_SECONDS
-from berylshift.process.usage.usage_counts import UsageCounts
-from berylshift.process.usage.usage_counts import WINDOWS_KEPT
+from berylshift.messages.usage import CustomerCount, RunCount, customer_hash
+from berylshift.process.usage.counter_gossip import (
+    MAX_COUNTS_PER_DIGEST,
+    RESEND_SECONDS,
+)
+from berylshift.process.usage.usage_counts import WINDOWS_KEPT, UsageCounts
 from berylshift.tests.support import EXPLORE
-from berylshift.tests.usage_support import no_usage
-from berylshift.tests.usage_support import usage_counts
-from hypothesis import given
-from hypothesis import strategies as st
-import random
-import unittest
+from berylshift.tests.usage_support import no_usage, usage_counts
 
 LARGE, SMALL = CustomerName("large"), CustomerName("small")
 WINDOW = 100
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -1,16 +1,20 @@
 """Tests that usage is reported once and correctly under faults of hosts and store."""
 
+import unittest
+
+import trio
+
 from berylshift.messages.leader_calls import CallResult
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.tests.support import run_virtual
 from berylshift.tests.usage_support import SCHEDULE
-from berylshift.tests.usage_world import CUSTOMERS
-from berylshift.tests.usage_world import EPOCH
-from berylshift.tests.usage_world import UsageWorld
-from berylshift.tests.usage_world import broken_rules
-from berylshift.tests.usage_world import counts_of
-import trio
-import unittest
+from berylshift.tests.usage_world import (
+    CUSTOMERS,
+    EPOCH,
+    UsageWorld,
+    broken_rules,
+    counts_of,
+)
 
 SEEDS = range(40)
 FAULTS = ("kill", "cut", "down", "lose", "late", "restore", "busy", "unknown", "calm")
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -1,25 +1,23 @@
 """Simulated hosts that report usage, on a virtual clock, with scripted faults."""
 
+import random
+from dataclasses import dataclass, field
+from datetime import UTC, datetime
+
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.ids import CustomerName
 from berylshift.messages.usage import UsageReport
-from berylshift.process.directory.store_era_tracker import EraSource
-from berylshift.process.directory.store_era_tracker import StoreEraTracker
+from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
 from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.usage.filtered_clock import FilteredClock
 from berylshift.process.usage.usage_counts import UsageCounts
 from berylshift.process.usage.usage_loop import UsageLoop
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
-from berylshift.stand_ins.fake_duties import FakeDuties
-from berylshift.stand_ins.fake_duties import FakeUsageRows
+from berylshift.stand_ins.fake_duties import FakeDuties, FakeUsageRows
 from berylshift.tests.usage_support import SCHEDULE
-from dataclasses import dataclass
-from dataclasses import field
-from datetime import UTC
-from datetime import datetime
-import random
-import trio
 
 HOLDER_GAP_SECONDS = 3.0
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
