--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -96,7 +96,7 @@
     def _is_allowed(self) -> bool:
         """Return whether the call is not quarantined; record the refusal if it is."""
         try:
-            self._crash_watch.check(has_started=self._answer.tokens > 0)
+            self._crash_watch.check(response_started=self._answer.tokens > 0)
         except QuarantinedError as exc:
             self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
             self._deps.decisions.refused(self._call.request, "engine", self._refusal)
@@ -108,9 +108,9 @@
 
         The maximum duration applies once the response has started.
         """
-        has_started = self._answer.tokens > 0
+        response_started = self._answer.tokens > 0
         return self._now() >= (
-            self._response_deadline if has_started else self._call.deadline
+            self._response_deadline if response_started else self._call.deadline
         )
 
     def ignores_retry_budget(self) -> bool:
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -181,11 +181,11 @@
         self.step = Step.READ
 
     def on_attempt(
-        self, sent: AttemptRecord, answer: ServiceAnswer | None, now: float
+        self, finished: AttemptRecord, answer: ServiceAnswer | None, now: float
     ) -> None:
         """Handle a finished attempt."""
-        self.history.add(sent)
-        if sent.outcome is AttemptOutcome.DONE:
+        self.history.add(finished)
+        if finished.outcome is AttemptOutcome.DONE:
             self.answer = answer
             self._record(RowState.DONE, Outcome.COMPLETE, Reason.OK)
         elif self.history.may_have_run:
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -38,16 +38,16 @@
         self._request = request
         self.fingerprint: Fingerprint | None = None
 
-    def check(self, has_started: bool = False) -> None:
+    def check(self, response_started: bool = False) -> None:
         """Raise ``QuarantinedError`` if the request is quarantined.
 
-        If its response ``has_started``, a request that is only suspect continues: the
-        caller would lose the part it has received.
+        ``response_started``: a request that is only suspect continues, since its caller
+        would lose the part that it has received.
         """
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.wait(self.fingerprint, now, has_started)
+        wait = self._quarantine.wait(self.fingerprint, now, response_started)
         if wait > 0:
             crashes = self._quarantine.crashes(self.fingerprint)
             raise QuarantinedError(crashes, wait)
@@ -70,7 +70,7 @@
         if is_alive:
             self._quarantine.lives(instance, now)
         logger.info(
-            "replica broke off",
+            "connection to replica lost",
             extra={
                 "request": self._request,
                 "same": shown(request),
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -83,7 +83,7 @@
         self._call = call
         self._prefill_tokens = prefill_tokens
         self._model_call = model_call
-        self._got_first = False
+        self._has_first_chunk = False
 
     async def run(self, on_chunks: OnChunks) -> None:
         """Pass chunks to ``on_chunks`` until it returns ``True``: they are complete."""
@@ -147,8 +147,8 @@
         raise TargetBrokenError("engine ended the stream before the last chunk")
 
     def _record_first_chunk(self) -> None:
-        if not self._got_first:
-            self._got_first = True
+        if not self._has_first_chunk:
+            self._has_first_chunk = True
             now = self._now()
             self._deps.context.load.first_token(self._row.name, self._call.attempt, now)
 
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -109,9 +109,9 @@
         The caller gets a complete response or a truncated stream here; for any other
         outcome, the handler sends the final response.
         """
-        left = self._deadline - self._now() - FINAL_RESPONSE_SECONDS
+        seconds_left = self._deadline - self._now() - FINAL_RESPONSE_SECONDS
         self._out.limit_writes(self._deadline + WRITE_GRACE_SECONDS)
-        scope = trio.move_on_after(max(0.0, left))
+        scope = trio.move_on_after(max(0.0, seconds_left))
         with scope, self._deps.shutdown.bounding(scope):
             try:
                 await self.crash_watch.wait_for_fingerprint()
@@ -128,8 +128,8 @@
                 self._release_kv_source()
             return RelayResult(outcome, self._last_outcome(), self._attempt_log)
         if self._open_placement is not None:
-            what = f"{self._open_placement.reason} open"
-            self._log_attempt(self._open_placement, what, self._attempt_started)
+            description = f"{self._open_placement.reason} open"
+            self._log_attempt(self._open_placement, description, self._attempt_started)
         if self._out.started:
             return RelayResult(
                 RelayOutcome.CUT,
@@ -144,11 +144,11 @@
             timeout_source=self._timeout_source(),
         )
 
-    def truncated_result(self, why: str) -> RelayResult:
+    def truncated_result(self, reason: str) -> RelayResult:
         """Return the result of a request whose caller reads its response too slowly."""
         return RelayResult(
             RelayOutcome.CUT,
-            why,
+            reason,
             self._attempt_log,
             timeout_source=self._timeout_source(),
         )
@@ -217,14 +217,20 @@
         last = self._history.last
         return str(last.outcome) if last is not None else "no replica"
 
-    def _log_attempt(self, place: Placement, what: str, sent_at: float) -> None:
+    def _log_attempt(
+        self, placement: Placement, description: str, sent_at: float
+    ) -> None:
         """Add an attempt to the log: its prediction, start and end."""
         ms = (self._now() - self._started_at) * 1000
         sent_ms = (sent_at - self._started_at) * 1000
-        inputs = f"predicted={place.seconds * 1000:.0f}ms tokens={place.tokens}"
-        inputs += f" again={place.again} ahead={place.ahead:.0f}"
-        inputs += f" standing={self._slo_status} sent={sent_ms:.0f}ms"
-        self._attempt_log.append(f"{place.target.instance} {what} {inputs} {ms:.0f}ms")
+        details = (
+            f"predicted={placement.seconds * 1000:.0f}ms tokens={placement.tokens}"
+        )
+        details += f" again={placement.again} ahead={placement.ahead:.0f}"
+        details += f" standing={self._slo_status} sent={sent_ms:.0f}ms"
+        self._attempt_log.append(
+            f"{placement.target.instance} {description} {details} {ms:.0f}ms"
+        )
 
     async def _run_attempts(self) -> RelayOutcome:
         stop_reason = await run_attempts(
@@ -269,20 +275,20 @@
         self._check_allowed()
         if self._req.prompt is None:
             return await self._send_attempt(self._choice.plain(self._out.started), None)
-        place = self._decode_placement(None)
-        if place is None:
+        placement = self._decode_placement(None)
+        if placement is None:
             return await self._send_attempt(None, None)
         if self._kv_source is None and not self._out.started:
-            self._choice.reserve(place.target.instance)
+            self._choice.reserve(placement.target.instance)
             if not await self._prefill_prompt(self._req.prompt):
                 return None
             # Another attempt of this request may have crashed a replica meanwhile.
             self._check_allowed()
         source = None if self._out.started else self._kv_source
-        place = self._decode_placement(source and source.engine)
-        if place is not None and source is None:
-            self._check_first_chunk(place.seconds)
-        return await self._send_attempt(place, source)
+        placement = self._decode_placement(source and source.engine)
+        if placement is not None and source is None:
+            self._check_first_chunk(placement.seconds)
+        return await self._send_attempt(placement, source)
 
     def _decode_placement(self, prefill_engine: Replica | None) -> Placement | None:
         """Return the decode engine for a prompt prefilled at ``prefill_engine``."""
@@ -325,26 +331,26 @@
                 return False
         return not tried
 
-    async def _prefill_at(self, place: Placement) -> AttemptOutcome:
+    async def _prefill_at(self, placement: Placement) -> AttemptOutcome:
         """Prefill at one engine; keep its KV cache for the decode engine."""
         sent_at = self._attempt_started = self._now()
-        self._open_placement = place
+        self._open_placement = placement
         found = await self._deps.prefill_client.read(
             self._req.id,
-            place,
+            placement,
             self._urgency,
-            self._target_request(place.target, prefill_only=True),
+            self._target_request(placement.target, prefill_only=True),
             self._first_chunk_deadline - sent_at,
         )
         self._prefills += found.end not in NEVER_SENT
         self._open_placement = None
-        self._log_attempt(place, f"read {place.reason} {found.end}", sent_at)
+        self._log_attempt(placement, f"read {placement.reason} {found.end}", sent_at)
         if found.source is None:
-            await self._record_health(place.target, found.end)
+            await self._record_health(placement.target, found.end)
         else:
-            self.crash_watch.on_response(place.target, sent_at)
+            self.crash_watch.on_response(placement.target, sent_at)
             self._deps.speeds.was_read(
-                self.service, place.tokens, place.ahead, self._now() - sent_at
+                self.service, placement.tokens, placement.ahead, self._now() - sent_at
             )
         self._kv_source, self._kv_source_uses = found.source, 0
         return found.end
@@ -385,22 +391,24 @@
     # One attempt
 
     async def _send_attempt(
-        self, place: Placement | None, source: KvSource | None
+        self, placement: Placement | None, source: KvSource | None
     ) -> AttemptRecord | None:
         """Make one attempt and relay its response; return its outcome."""
-        if place is None:
+        if placement is None:
             self._choice.check_room()
             return None
-        loads, instance = self._deps.loads, place.target.instance
+        loads, instance = self._deps.loads, placement.target.instance
         limit_exempt = self._choice.use(instance)
-        loads.sent(instance, place.tokens, self._urgency)
-        prefill = PendingPrefill(loads, instance, place.tokens, self._urgency)
-        self._open_placement = place
+        loads.sent(instance, placement.tokens, self._urgency)
+        prefill = PendingPrefill(loads, instance, placement.tokens, self._urgency)
+        self._open_placement = placement
         sent_at = self._attempt_started = self._now()
-        had_started = self._out.started
+        response_had_started = self._out.started
         outcome = AttemptOutcome.NOT_REACHED
         try:
-            out = self._target_request(place.target, source, limit_exempt=limit_exempt)
+            out = self._target_request(
+                placement.target, source, limit_exempt=limit_exempt
+            )
             outcome = await self._exchange.run(out, prefill)
         finally:
             prefill.done()
@@ -410,17 +418,17 @@
             )
         self._settle_kv_source(outcome)
         self._open_placement = None
-        self._log_attempt(place, f"{place.reason} {outcome}", sent_at)
+        self._log_attempt(placement, f"{placement.reason} {outcome}", sent_at)
         # Recording the health may wait for a connection probe. If the deadline passes
         # meanwhile, the attempt must still count as one that may have run.
         self._history.has_open_attempt = outcome.may_have_run
-        await self._record_health(place.target, outcome)
+        await self._record_health(placement.target, outcome)
         self._history.has_open_attempt = False
         if outcome is AttemptOutcome.DONE:
-            self.crash_watch.on_response(place.target, sent_at)
+            self.crash_watch.on_response(placement.target, sent_at)
             self.crash_watch.on_completed()
-        if outcome is AttemptOutcome.DONE and not had_started:
-            self._update_speeds(place, source, sent_at)
+        if outcome is AttemptOutcome.DONE and not response_had_started:
+            self._update_speeds(placement, source, sent_at)
         return AttemptRecord(instance, outcome)
 
     def _report_run(self, sent_at: float, may_have_run: bool) -> None:
@@ -436,7 +444,7 @@
             self._deps.on_run_started(self._req.customer, self._now() - run_started_at)
 
     def _update_speeds(
-        self, place: Placement, source: KvSource | None, sent_at: float
+        self, placement: Placement, source: KvSource | None, sent_at: float
     ) -> None:
         """Update the engine speed estimates from a complete response to a prompt."""
         if self._req.prompt is None or self._out.first_event_at is None:
@@ -445,7 +453,7 @@
         speeds.answered(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.began(self.service, tokens, place.ahead, waited)
+            speeds.began(self.service, tokens, placement.ahead, waited)
 
     def _settle_kv_source(self, outcome: AttemptOutcome) -> None:
         """Keep the KV cache for another engine if this one did not take it.
@@ -479,7 +487,7 @@
         elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.NOT_RUN):
             loads.failed(instance, MILD, now)
         elif outcome is AttemptOutcome.THROTTLED:
-            logger.info("send throttled", extra={"instance": instance})
+            logger.info("attempt throttled by replica", extra={"instance": instance})
         else:
             loads.failed(instance, SEVERE, now)
             self._deps.client.forget(instance)
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -61,17 +61,17 @@
     """
     budget.first(clock.monotonic())
     while True:
-        sent = await sender.send()
-        if sent is None:
+        attempt = await sender.send()
+        if attempt is None:
             return StopReason.NO_PLACEMENT
-        history.add(sent)
-        if sent.outcome is AttemptOutcome.DONE:
+        history.add(attempt)
+        if attempt.outcome is AttemptOutcome.DONE:
             return StopReason.DONE
         if not may_retry(bounds, history):
             return StopReason.NOT_RETRYABLE
         if sender.is_past_deadline():
             return StopReason.DEADLINE_PASSED
-        if sent.outcome in NEVER_SENT:
+        if attempt.outcome in NEVER_SENT:
             continue
         if not budget.take(clock.monotonic()) and not sender.ignores_retry_budget():
             return StopReason.RETRY_BUDGET_SPENT
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -79,9 +79,9 @@
         self.has_open_attempt = False
         self._may_have_run_before = False
 
-    def add(self, sent: AttemptRecord) -> None:
+    def add(self, attempt: AttemptRecord) -> None:
         """Add a finished attempt."""
-        self.attempts.append(sent)
+        self.attempts.append(attempt)
 
     def clear_attempts(self) -> None:
         """Clear the attempts, but remember whether one may have run.
@@ -94,7 +94,7 @@
     @property
     def possible_runs(self) -> int:
         """Return how many attempts may have run."""
-        return sum(sent.outcome.may_have_run for sent in self.attempts)
+        return sum(attempt.outcome.may_have_run for attempt in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
--- a/berylshift/request/retry_targets.py
+++ b/berylshift/request/retry_targets.py
@@ -19,12 +19,12 @@
     A broken stream is resumed on the same engine first, which has the prompt in its
     cache. Any other failure, or a second one, excludes the target.
     """
-    counts = Counter(sent.target for sent in history.attempts)
+    counts = Counter(attempt.target for attempt in history.attempts)
     return frozenset(
-        TargetName(sent.target)
-        for sent in history.attempts
-        if sent.outcome is not AttemptOutcome.BROKEN
-        or counts[sent.target] >= MAX_ATTEMPTS_PER_TARGET
+        TargetName(attempt.target)
+        for attempt in history.attempts
+        if attempt.outcome is not AttemptOutcome.BROKEN
+        or counts[attempt.target] >= MAX_ATTEMPTS_PER_TARGET
     )
 
 
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -53,7 +53,7 @@
             self._watch.check()
 
     def avoided(
-        self, pool: Pool, tried: Iterable[InstanceId], has_started: bool
+        self, pool: Pool, tried: Iterable[InstanceId], response_started: bool
     ) -> list[InstanceId]:
         """Return the replicas that the request must not be sent to.
 
@@ -74,7 +74,7 @@
         if not crashes:
             return found
         left = left_of(pool.answerers, found)
-        if is_last(left, pool.answerers) and not has_started:
+        if is_last(left, pool.answerers) and not response_started:
             raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
         aside = set_aside(left)
         return found + [rep.instance for rep in left if rep not in aside]
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -298,9 +298,9 @@
             await refuse(responder, self._timed_out(relay))
 
     async def _forward_failure(
-        self, failed: FailedResponse, responder: Responder
+        self, failure: FailedResponse, responder: Responder
     ) -> None:
-        head, body = failed.head, failed.body
+        head, body = failure.head, failure.body
         await responder.full_raw(head.status, list(head.headers), body)
 
     def _timed_out(self, relay: Relay) -> Refusal:
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -100,7 +100,7 @@
         done = trio.Event()
         found: list[PlainEnding] = []
 
-        async def work() -> None:
+        async def run_confirmation() -> None:
             self.open_confirmations += 1
             try:
                 found.append(await self._confirm(call))
@@ -112,7 +112,7 @@
                 self.open_confirmations -= 1
             done.set()
 
-        self._nursery.start_soon(work)
+        self._nursery.start_soon(run_confirmation)
         await done.wait()
         return found[0]
 
@@ -149,10 +149,10 @@
         with self._deps.last_sends.bounding(state):
             if self._deps.clock.monotonic() >= state.deadline:
                 # The process would stop before the call has finished.
-                leaving = Ending(
+                draining = Ending(
                     Outcome.NOT_RUN, Reason.DRAINING, "", DRAINING_RETRY_SECONDS
                 )
-                return await self.refuse(call, leaving)
+                return await self.refuse(call, draining)
             while state.step is not Step.ANSWER:
                 await self._run_step(state, call, key, tried, watch)
         if state.needs_abandon:
@@ -234,13 +234,13 @@
         watch: CrashWatch,
     ) -> None:
         sender = self._deps.sender
-        placed = sender.place(call, frozenset(tried))
-        if isinstance(placed, Ending):
-            state.on_no_target(placed.reason)
+        plan = sender.place(call, frozenset(tried))
+        if isinstance(plan, Ending):
+            state.on_no_target(plan.reason)
             return
-        tried.add(placed.target.name)
-        found = await sender.run(placed, call, state.attempt, watch)
-        sent = AttemptRecord(placed.target.name, found.outcome)
+        tried.add(plan.target.name)
+        found = await sender.run(plan, call, state.attempt, watch)
+        sent = AttemptRecord(plan.target.name, found.outcome)
         state.on_attempt(sent, found.answer, self._deps.clock.monotonic())
 
     async def _record(self, state: Confirmation, key: str) -> None:
@@ -253,7 +253,7 @@
                 answer = await self._deps.gate.put_row(condition, write)
                 written = answer.committed
             except PlatformError:
-                logger.warning("result of a confirmation not written yet")
+                logger.warning("confirmation result not written; queued for retry")
         if written:
             state.owns_row = state.is_insert_uncertain = False
         else:
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -134,7 +134,7 @@
     Proof(
         "the last engine takes no suspect",
         "request/routed_crash_watch.py",
-        "        if is_last(left, pool.answerers) and not has_started:\n",
+        "        if is_last(left, pool.answerers) and not response_started:\n",
         "        if False:\n",
         f"{ASIDE}.SuspectsTest",
     ),
@@ -963,7 +963,7 @@
     Proof(
         "a throttled engine's turn is kept while a prompt is read",
         "request/relay.py",
-        "            self._choice.reserve(place.target.instance)\n",
+        "            self._choice.reserve(placement.target.instance)\n",
         "",
         f"{LIMITS}.NoRoomTest.test_no_prompt_is_read_that_no_engine_would_answer",
     ),
