--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -1,12 +1,14 @@
 """Attributes target crashes to a request."""
 
-import logging
-from collections.abc import Awaitable, Callable
-
 from berylshift.clock import Clock
-from berylshift.ids import Fingerprint, InstanceId, RequestId
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.ids import RequestId
 from berylshift.messages.fingerprint import fingerprint_hex
 from berylshift.process.quarantine.quarantine import Quarantine
+from collections.abc import Awaitable
+from collections.abc import Callable
+import logging
 
 # How long a target whose connection broke gets to accept a new one: many times the
 # round trip to another region, and short for a caller that waits for the next attempt.
@@ -38,16 +40,16 @@
         self._request = request
         self.fingerprint: Fingerprint | None = None
 
-    def check(self, has_started: bool = False) -> None:
+    def check(self, response_started: bool = False) -> None:
         """Raise ``QuarantinedError`` if the request is quarantined.
 
-        If its response ``has_started``, a request that is only suspect continues: the
-        caller would lose the part it has received.
+        ``response_started``: a request that is only suspect continues, since its caller
+        would lose the part that it has received.
         """
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.remaining_seconds(self.fingerprint, now, has_started)
+        wait = self._quarantine.remaining_seconds(self.fingerprint, now, response_started)
         if wait > 0:
             crashes = self._quarantine.crash_count(self.fingerprint)
             raise QuarantinedError(crashes, wait)
@@ -70,7 +72,7 @@
         if is_alive:
             self._quarantine.record_reconnect(instance, now)
         logger.info(
-            "replica broke off",
+            "connection to replica lost",
             extra={
                 "request": self._request,
                 "same": fingerprint_hex(request),
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -1,18 +1,15 @@
 """Retry loop shared by routed requests, completions and service calls."""
 
+from berylshift.clock import Clock
+from berylshift.request.retry_policy import AttemptHistory
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.request.retry_policy import AttemptRecord
+from berylshift.request.retry_policy import NEVER_SENT
+from berylshift.request.retry_policy import RetryBounds
+from berylshift.request.retry_policy import may_retry
 from enum import StrEnum
 from typing import Protocol
 
-from berylshift.clock import Clock
-from berylshift.request.retry_policy import (
-    NEVER_SENT,
-    AttemptHistory,
-    AttemptOutcome,
-    AttemptRecord,
-    RetryBounds,
-    may_retry,
-)
-
 
 class StopReason(StrEnum):
     """Why the loop stopped."""
@@ -61,17 +58,17 @@
     """
     budget.note_first_attempt(clock.monotonic())
     while True:
-        sent = await sender.send()
-        if sent is None:
+        attempt = await sender.send()
+        if attempt is None:
             return StopReason.NO_PLACEMENT
-        history.add(sent)
-        if sent.outcome is AttemptOutcome.DONE:
+        history.add(attempt)
+        if attempt.outcome is AttemptOutcome.DONE:
             return StopReason.DONE
         if not may_retry(bounds, history):
             return StopReason.NOT_RETRYABLE
         if sender.is_past_deadline():
             return StopReason.DEADLINE_PASSED
-        if sent.outcome in NEVER_SENT:
+        if attempt.outcome in NEVER_SENT:
             continue
         if (
             not budget.try_acquire(clock.monotonic())
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -1,23 +1,19 @@
 """Attributes replica crashes to a routed request."""
 
-from collections.abc import Iterable
-
-from berylshift.ids import Fingerprint, InstanceId
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.pools import Pool
-from berylshift.request.crash_watch import (
-    PROBE_TIMEOUT_SECONDS,
-    CrashWatch,
-    QuarantinedError,
-)
+from berylshift.request.crash_watch import CrashWatch
+from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
+from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES
-from berylshift.request.isolation import (
-    is_last_remaining,
-    isolation_replicas,
-    remaining_replicas,
-)
+from berylshift.request.isolation import is_last_remaining
+from berylshift.request.isolation import isolation_replicas
+from berylshift.request.isolation import remaining_replicas
 from berylshift.request.relay_dependencies import RelayDependencies
+from collections.abc import Iterable
 
 # Retry-After of a suspect request for which only the last replica is left. Crashed
 # replicas have restarted by then.
@@ -57,7 +53,7 @@
             self._watch.check()
 
     def avoided(
-        self, pool: Pool, tried: Iterable[InstanceId], has_started: bool
+        self, pool: Pool, tried: Iterable[InstanceId], response_started: bool
     ) -> list[InstanceId]:
         """Return the replicas that the request must not be sent to.
 
@@ -78,7 +74,7 @@
         if not crashes:
             return found
         left = remaining_replicas(pool.decode_engines, found)
-        if is_last_remaining(left, pool.decode_engines) and not has_started:
+        if is_last_remaining(left, pool.decode_engines) and not response_started:
             raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
         aside = isolation_replicas(left)
         return found + [rep.instance for rep in left if rep not in aside]
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -1,34 +1,38 @@
 """Calls to plain services: retried lookups, and confirmations that run at most once."""
 
-import logging
-import random
-from dataclasses import dataclass
-
-import msgspec
-import trio
-
 from berylshift.clock import Clock
-from berylshift.ids import AttemptId, TargetName
+from berylshift.ids import AttemptId
+from berylshift.ids import TargetName
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import Priority
 from berylshift.process.records.pending_records import PendingRecords
 from berylshift.process.shutdown import Shutdown
 from berylshift.request import confirmation
-from berylshift.request.confirmation import Confirmation, ConfirmRow, Event, Step
+from berylshift.request.confirmation import ConfirmRow
+from berylshift.request.confirmation import Confirmation
+from berylshift.request.confirmation import Event
+from berylshift.request.confirmation import Step
 from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.messages import Ending, Outcome, PlainCall, PlainEnding, Reason
+from berylshift.request.messages import Ending
+from berylshift.request.messages import Outcome
+from berylshift.request.messages import PlainCall
+from berylshift.request.messages import PlainEnding
+from berylshift.request.messages import Reason
 from berylshift.request.retry_policy import AttemptRecord
 from berylshift.request.retryable_call import RetryableCall
 from berylshift.request.service_sender import ServiceSender
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import (
-    ABSENT,
-    AnswerLostError,
-    Condition,
-    PlatformError,
-    Write,
-    as_raw,
-)
+from berylshift.store.interfaces import ABSENT
+from berylshift.store.interfaces import AnswerLostError
+from berylshift.store.interfaces import Condition
+from berylshift.store.interfaces import PlatformError
+from berylshift.store.interfaces import Write
+from berylshift.store.interfaces import as_raw
+from dataclasses import dataclass
+import logging
+import msgspec
+import random
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -94,7 +98,7 @@
         done = trio.Event()
         found: list[PlainEnding] = []
 
-        async def work() -> None:
+        async def run_confirmation() -> None:
             self.open_confirmations += 1
             try:
                 found.append(await self._confirm(call))
@@ -108,7 +112,7 @@
                 self.open_confirmations -= 1
             done.set()
 
-        self._nursery.start_soon(work)
+        self._nursery.start_soon(run_confirmation)
         await done.wait()
         return found[0]
 
@@ -145,10 +149,10 @@
         with self._deps.last_sends.bounding(state):
             if self._deps.clock.monotonic() >= state.deadline:
                 # The process would stop before the call has finished.
-                leaving = Ending(
+                draining = Ending(
                     Outcome.NOT_RUN, Reason.DRAINING, "", DRAINING_RETRY_SECONDS
                 )
-                return await self.refuse(call, leaving)
+                return await self.refuse(call, draining)
             while state.step is not Step.ANSWER:
                 await self._run_step(state, call, key, tried, watch)
         if state.needs_abandon:
@@ -230,13 +234,13 @@
         watch: CrashWatch,
     ) -> None:
         sender = self._deps.sender
-        placed = sender.place(call, frozenset(tried))
-        if isinstance(placed, Ending):
-            state.on_no_target(placed.reason)
+        plan = sender.place(call, frozenset(tried))
+        if isinstance(plan, Ending):
+            state.on_no_target(plan.reason)
             return
-        tried.add(placed.target.name)
-        found = await sender.run(placed, call, state.attempt, watch)
-        sent = AttemptRecord(placed.target.name, found.outcome)
+        tried.add(plan.target.name)
+        found = await sender.run(plan, call, state.attempt, watch)
+        sent = AttemptRecord(plan.target.name, found.outcome)
         state.on_attempt(sent, found.answer, self._deps.clock.monotonic())
 
     async def _record(self, state: Confirmation, key: str) -> None:
@@ -249,7 +253,7 @@
                 answer = await self._deps.gate.put_row(condition, write)
                 written = answer.committed
             except PlatformError:
-                logger.warning("result of a confirmation not written yet")
+                logger.warning("confirmation result not written; queued for retry")
         if written:
             state.owns_row = state.is_insert_uncertain = False
         else:
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -4,12 +4,12 @@
 berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
 """
 
+from dataclasses import dataclass
+from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
-from dataclasses import dataclass
-from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
@@ -135,7 +135,7 @@
         "the last engine takes no suspect",
         "request/routed_crash_watch.py",
         "        if is_last_remaining(left, pool.decode_engines)"
-        " and not has_started:\n",
+        " and not response_started:\n",
         "        if False:\n",
         f"{ISOLATION}.SuspectsTest",
     ),
@@ -969,7 +969,7 @@
     Proof(
         "a throttled engine's turn is kept while a prompt is read",
         "request/relay.py",
-        "            self._choice.reserve(place.target.instance)\n",
+        "            self._choice.reserve(placement.target.instance)\n",
         "",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
