--- a/berylshift/platform/own_tables.py
+++ b/berylshift/platform/own_tables.py
@@ -20,7 +20,7 @@
     records,
     rows_of,
 )
-from berylshift.store.calls import StoreCalls
+from berylshift.store.client import StoreCalls
 from berylshift.store.crash_rows import CrashRow, CrashRowsRead
 from berylshift.store.directory import MalformedEntryError
 from berylshift.store.host_rows import HostRecord
--- a/berylshift/platform/rows.py
+++ b/berylshift/platform/rows.py
@@ -9,7 +9,7 @@
 
 from berylshift.ids import StoreEra
 from berylshift.platform import names
-from berylshift.store.calls import StoreAnswer, StoreCalls
+from berylshift.store.client import StoreAnswer, StoreCalls
 from berylshift.store.directory import MalformedEntryError
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
--- a/berylshift/platform/store.py
+++ b/berylshift/platform/store.py
@@ -10,7 +10,7 @@
 from berylshift.platform.configuration import read_routes
 from berylshift.platform.entries import read_replica
 from berylshift.platform.rows import PAGE_ROWS, Row, Rows, era_of, next_start, rows_of
-from berylshift.store.calls import StoreCalls
+from berylshift.store.client import StoreCalls
 from berylshift.store.directory import HistoryLostError, MalformedEntryError
 
 logger = logging.getLogger(__name__)
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -13,9 +13,9 @@
 from berylshift.connection.peer_link import UdpPeerLink
 from berylshift.connection.target_client import TargetClient
 from berylshift.entry_application import EntryApplication, EntryPorts
-from berylshift.platform.duties import PlatformDuties
+from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformCodec
+from berylshift.platform.leader_calls import PlatformDuties
 from berylshift.platform.own_tables import (
     PlatformCrashes,
     PlatformHosts,
@@ -27,7 +27,7 @@
 from berylshift.reload import SettingsFile
 from berylshift.settings import Settings
 from berylshift.signals import watch_signals
-from berylshift.store.calls import StoreCalls
+from berylshift.store.client import StoreCalls
 from berylshift.utils import split_address
 
 
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -21,8 +21,8 @@
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.messages.replicas import EnginePhase, Replica, instance_of
 from berylshift.platform import names
+from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformCodec
 from berylshift.settings import parse_settings
 from berylshift.stand_ins.entry_replica import EntryReplica, Kept
 from berylshift.stand_ins.fake_directory import (
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -14,9 +14,9 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
+from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.configuration import read_routes
 from berylshift.platform.entries import read_replica
-from berylshift.platform.exchange import PlatformCodec
 from berylshift.platform.unknown_headers import MOST_NAMES
 from berylshift.request.errors import BadRequestError
 from berylshift.store.directory import MalformedEntryError
--- a/berylshift/tests/test_platform_duties.py
+++ b/berylshift/tests/test_platform_leader_calls.py
@@ -15,8 +15,8 @@
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import CustomerCount, UsageReport
 from berylshift.platform.configuration import read_routes
-from berylshift.platform.duties import PlatformDuties
 from berylshift.platform.entries import read_replica
+from berylshift.platform.leader_calls import PlatformDuties
 from berylshift.tests.support import run_virtual
 from berylshift.tests.test_platform_adapter import CONFIGURATION, entry
 from berylshift.version.routes import DomainPrice, Scaling
--- a/berylshift/tests/test_platform_store.py
+++ b/berylshift/tests/test_platform_store.py
@@ -18,7 +18,7 @@
 from berylshift.platform.store import PlatformDirectory
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.stand_ins.store_server import StoreRow, StoreServer
-from berylshift.store.calls import StoreCalls
+from berylshift.store.client import StoreCalls
 from berylshift.store.crash_rows import CrashRow
 from berylshift.store.directory import HistoryLostError, MalformedEntryError
 from berylshift.store.host_rows import HostRecord
--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -9,7 +9,7 @@
 from berylshift.messages.fingerprint import fingerprint_hex, head_hash_of
 from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
-from berylshift.platform.exchange import PlatformCodec
+from berylshift.platform.codec import PlatformCodec
 from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES, RequestFingerprinter
 from berylshift.tests.entry_world import prompt_headers
 
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -9,7 +9,7 @@
 from berylshift.ids import CustomerName, ReplicaName, TableVersion
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
-from berylshift.platform.exchange import LONGEST_KEY_BYTES, PlatformCodec
+from berylshift.platform.codec import LONGEST_KEY_BYTES, PlatformCodec
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.request.key_gate import KeyGate, KeyVerdict
 from berylshift.tests.entry_world import route
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -13,7 +13,7 @@
 from berylshift.ids import AttemptId, InstanceId, RequestId
 from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
-from berylshift.platform.exchange import PlatformCodec
+from berylshift.platform.codec import PlatformCodec
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.engine_attempt import AttemptFailedError, EngineAttempt
 from berylshift.request.relay_dependencies import RelayDependencies
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -12,8 +12,8 @@
 from berylshift.messages.replicas import EnginePhase, Replica, ReplicaChanges
 from berylshift.messages.routed import FlowControl
 from berylshift.platform import names
+from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
--- a/berylshift/tests/test_version_sheet.py
+++ b/berylshift/tests/test_version_table_csv.py
@@ -6,7 +6,7 @@
 
 from berylshift.tests.support import engines_table
 from berylshift.version.rows import Row
-from berylshift.version.sheet import read_sheet, row_with, write_sheet
+from berylshift.version.table_csv import read_sheet, row_with, write_sheet
 
 
 class SheetTest(unittest.TestCase):
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -21,7 +21,7 @@
 from berylshift.version.changelog import TableLog
 from berylshift.version.diff import Edit
 from berylshift.version.rows import OrderCheck, Row, RowKind
-from berylshift.version.sheet import row_with
+from berylshift.version.table_csv import row_with
 
 ENGINES = 4
 REPLICAS = 2
--- a/berylshift/tools/mark_commands.py
+++ b/berylshift/tools/mark_commands.py
@@ -16,7 +16,7 @@
 from berylshift.tools.table_commands import find_row
 from berylshift.version.diff import Edit
 from berylshift.version.rows import Row, RowKind, RowState
-from berylshift.version.sheet import row_with
+from berylshift.version.table_csv import row_with
 
 WAIT_STEP = 0.5
 MARKS = {
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -63,7 +63,7 @@
     ),
     Proof(
         "two keys in one request are none",
-        "platform/exchange.py",
+        "platform/codec.py",
         "    if len(values) != 1:\n",
         "    if not values:\n",
         f"{GATE}.HeaderTest",
@@ -228,7 +228,7 @@
     ),
     Proof(
         "an answer must bear its signature",
-        "platform/exchange.py",
+        "platform/codec.py",
         "genuine=names.SIGNATURE in found and",
         "genuine=True or",
         f"{RELAY}.NotRunTest.test_at_most_once_request_runs_once_after_failures",
@@ -250,7 +250,7 @@
     ),
     Proof(
         "a request names the instance it is for",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        headers.append((names.TARGET_INSTANCE, dispatch.replica.encode()))\n",
         "",
         f"{RELAY}.InstanceTest",
@@ -278,14 +278,14 @@
     ),
     Proof(
         "forged orders are dropped",
-        "platform/exchange.py",
+        "platform/codec.py",
         "HOP_BY_HOP | names.RESERVED | REWRITTEN | named",
         "HOP_BY_HOP | REWRITTEN | named",
         "test_platform_adapter.OnwardTest",
     ),
     Proof(
         "a connection header strips no request",
-        "platform/exchange.py",
+        "platform/codec.py",
         " - (KEPT - REWRITTEN)",
         "",
         "test_platform_adapter.OnwardTest",
@@ -577,14 +577,14 @@
     ),
     Proof(
         "a slow answer of the store is read on while its parts come",
-        "store/calls.py",
+        "store/client.py",
         "                limit.allow(self._timeout)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
     Proof(
         "an answer of the store that never ends is given up",
-        "store/calls.py",
+        "store/client.py",
         "wait + LONGEST_READ_SECONDS",
         'float("inf")',
         "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
@@ -932,7 +932,7 @@
     ),
     Proof(
         "another replica's answer asks for nothing",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        if status == STATUS_WRONG_INSTANCE:\n            return None\n",
         "",
         f"{LIMITS}.LiftedTest.test_response_of_another_replica_sets_no_limit",
--- a/berylshift/tools/table_commands.py
+++ b/berylshift/tools/table_commands.py
@@ -15,8 +15,8 @@
 )
 from berylshift.version.diff import Edit, edit_between
 from berylshift.version.rows import COLUMNS, Row, RowKind
-from berylshift.version.sheet import Sheet, read_sheet, row_with, write_sheet
 from berylshift.version.table import Table
+from berylshift.version.table_csv import Sheet, read_sheet, row_with, write_sheet
 
 
 class TableShow(PlatformCommand):
