--- a/bench/relay.py
+++ b/bench/relay.py
@@ -26,7 +26,7 @@
 SETTLE_SECONDS = 4.0
 HOST = "entry-1"
 PROMPT = {names.TOKEN_COUNTS.decode(): "3000,80"}
-PROMPT[names.PROMPT_PARTS.decode()] = "a1:2000,ff:1000"
+PROMPT[names.PREFIX_BLOCKS.decode()] = "a1:2000,ff:1000"
 
 
 def _request(demo: EntryDemo, kind: Kind, number: int, pieces: int = 0) -> Outgoing:
--- a/berylshift/platform/codec.py
+++ b/berylshift/platform/codec.py
@@ -43,7 +43,7 @@
     {
         names.ATTEMPT_ID,
         names.TIME_LEFT_MS,
-        names.PROMPT_PARTS,
+        names.PREFIX_BLOCKS,
         names.MODEL,
         names.TOKEN_COUNTS,
         names.LAST_EVENT_ID,
@@ -56,14 +56,14 @@
 # Said by this host alone where routes ask for a customer's key.
 OF_CUSTOMER = frozenset({names.AUTHORIZATION, names.CUSTOMER})
 KEY_SCHEME = b"bearer"
-LONGEST_KEY_BYTES = 1024
+MAX_KEY_BYTES = 1024
 PHASE_PREFILL = b"prefill"
 LEAST_TIME_LEFT_MS = 1
 STATUS_WRONG_INSTANCE = 421
 # Too many requests, and a service that is not available (RFC 6585, RFC 9110).
 TURNED_AWAY = (429, 503)
 RETRY_AFTER = b"retry-after"
-LEAVES = b"1"
+DRAINING_VALUE = b"1"
 
 
 class _Handle(msgspec.Struct):
@@ -148,7 +148,7 @@
         found = dict(headers)
         return FlowControl(
             rate_limit=_rate(found.get(names.RATE_LIMIT)),
-            draining=found.get(names.LEAVING) == LEAVES,
+            draining=found.get(names.DRAINING) == DRAINING_VALUE,
             retry_after=_retry_after(status, found),
         )
 
@@ -202,7 +202,7 @@
     words = values[0].split()
     if len(words) != 2 or words[0].lower() != KEY_SCHEME:
         return None
-    return ApiKey(words[1]) if len(words[1]) <= LONGEST_KEY_BYTES else None
+    return ApiKey(words[1]) if len(words[1]) <= MAX_KEY_BYTES else None
 
 
 def _seconds(value: bytes | None) -> float | None:
@@ -215,7 +215,7 @@
 
 def _prompt(single: dict[bytes, bytes]) -> Prompt | None:
     """Return the announced prompt; it only guides placement, so a bad one is none."""
-    parts = single.get(names.PROMPT_PARTS)
+    parts = single.get(names.PREFIX_BLOCKS)
     counts = single.get(names.TOKEN_COUNTS)
     if parts is None or counts is None:
         return None
--- a/berylshift/platform/configuration.py
+++ b/berylshift/platform/configuration.py
@@ -107,7 +107,7 @@
     tenants: list[_Tenant] | None = None
 
 
-def read_routes(data: bytes) -> RouteTable:
+def parse_configuration(data: bytes) -> RouteTable:
     """Return the routes of a configuration; raise ``MalformedEntryError``."""
     try:
         found = msgspec.json.decode(data, type=_Configuration)
@@ -161,16 +161,16 @@
         host=route.host.lower(),
         prefix=route.prefix,
         kind=KINDS[route.route_kind],
-        timeout=route.timeout_ms / 1000,
-        objective=route.target_latency_ms / 1000,
+        timeout_seconds=route.timeout_ms / 1000,
+        objective_seconds=route.target_latency_ms / 1000,
         rank=route.priority,
         shares=tuple(
             ServiceShare(ServiceName(share.service), share.weight) for share in shares
         ),
-        most_attempts=route.max_attempts,
-        prompted=route.session_affinity,
+        max_attempts=route.max_attempts,
+        has_prompt_info=route.session_affinity,
         resumable=route.resumable,
-        pause=route.target_itl_ms / 1000,
+        event_gap_seconds=route.target_itl_ms / 1000,
         public=route.public,
     )
 
@@ -179,8 +179,8 @@
     engine = service.engine
     facts = engine and EngineFacts(
         slots=engine.batch_slots,
-        kv_tokens=engine.kv_capacity,
-        kv_token_bytes=engine.kv_bytes,
+        kv_capacity_tokens=engine.kv_capacity,
+        kv_bytes_per_token=engine.kv_bytes,
         link_mbps=engine.bandwidth_mbps,
     )
     scaling = service.scaling and _scaling(service.scaling)
@@ -191,8 +191,8 @@
 def _scaling(scaling: _Scaling) -> Scaling:
     prices = scaling.zone_prices.items()
     return Scaling(
-        least=scaling.min_replicas,
-        most=scaling.max_replicas,
+        min_replicas=scaling.min_replicas,
+        max_replicas=scaling.max_replicas,
         boot_seconds=scaling.boot_s,
         interruptible_price=scaling.max_spot_price,
         prices=tuple(DomainPrice(DomainName(zone), price) for zone, price in prices),
--- a/berylshift/platform/entries.py
+++ b/berylshift/platform/entries.py
@@ -32,7 +32,7 @@
     spot_enabled: bool = False
 
 
-def read_replica(key: str, data: bytes, revision: int = 0) -> Replica:
+def parse_replica_entry(key: str, data: bytes, revision: int = 0) -> Replica:
     """Return the replica of an entry; raise ``MalformedEntryError``."""
     try:
         found = msgspec.json.decode(data, type=_Entry)
--- a/berylshift/platform/leader_calls.py
+++ b/berylshift/platform/leader_calls.py
@@ -35,7 +35,7 @@
     spot_enabled: bool = False
 
 
-class PlatformDuties:
+class PlatformLeaderCalls:
     """Makes the calls, each once and within a time-out."""
 
     def __init__(self, client: HttpClient, address: str, timeout: float):
@@ -61,8 +61,8 @@
     async def _call(self, path: str, body: bytes, holder: LeaseHolder) -> CallResult:
         headers = {
             "content-type": "application/json",
-            names.DUTY_HOLDER: holder.host,
-            names.DUTY_FENCE: str(holder.fence),
+            names.LEASE_HOLDER: holder.host,
+            names.FENCING_TOKEN: str(holder.fence),
         }
         # On a fresh connection, as all writes: a kept one may be closed as it is sent.
         out = Outgoing(self._address, "POST", path, headers, body, reuse=False)
--- a/berylshift/platform/names.py
+++ b/berylshift/platform/names.py
@@ -2,7 +2,7 @@
 
 ATTEMPT_ID = b"berylshift-attempt-id"
 TIME_LEFT_MS = b"berylshift-deadline-ms"
-PROMPT_PARTS = b"berylshift-prefix-hash"
+PREFIX_BLOCKS = b"berylshift-prefix-hash"
 MODEL = b"berylshift-model"
 TOKEN_COUNTS = b"berylshift-token-count"
 LENGTH_HINT = b"berylshift-length-hint"
@@ -14,7 +14,7 @@
 NOT_RUN = b"berylshift-not-executed"
 # Requests a second that a replica takes from all hosts together.
 RATE_LIMIT = b"server-limit"
-LEAVING = b"server-leaving"
+DRAINING = b"server-leaving"
 RANK = b"berylshift-request-priority"
 PHASE = b"berylshift-phase"
 KV_SOURCE = b"berylshift-kv-source"
@@ -47,7 +47,7 @@
 )
 
 # What replicas' answers may carry.
-IN_ANSWERS = frozenset(
+RESPONSE_HEADERS = frozenset(
     {
         ATTEMPT_ID,
         SIGNATURE,
@@ -55,7 +55,7 @@
         LOAD,
         NOT_RUN,
         RATE_LIMIT,
-        LEAVING,
+        DRAINING,
         WEIGHT_VERSIONS,
     }
 )
@@ -69,8 +69,8 @@
 ORDER_PATH = b"/v1/order"
 SCALE_PATH = "/scale"
 USAGE_PATH = "/usage"
-DUTY_HOLDER = "berylshift-lease-holder"
-DUTY_FENCE = "berylshift-fencing-token"
+LEASE_HOLDER = "berylshift-lease-holder"
+FENCING_TOKEN = "berylshift-fencing-token"
 ROWS_GET = "/v1/rows-get"
 ROWS_FEED = "/v1/rows-feed"
 ROWS_TX = "/v1/rows-tx"
--- a/berylshift/platform/own_tables.py
+++ b/berylshift/platform/own_tables.py
@@ -15,16 +15,16 @@
     Rows,
     RowsTransaction,
     RowWrite,
-    era_of,
+    common_era,
+    parse_rows,
     read_pages,
     records,
-    rows_of,
 )
-from berylshift.store.client import StoreCalls
-from berylshift.store.crash_rows import CrashRow, CrashRowsRead
+from berylshift.store.client import StoreClient
+from berylshift.store.crash_rows import CrashRow, CrashRowsSnapshot
 from berylshift.store.directory import MalformedEntryError
 from berylshift.store.host_rows import HostRecord
-from berylshift.store.interfaces import AnswerLostError
+from berylshift.store.interfaces import ResponseLostError
 from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 
 Kind = TypeVar("Kind")
@@ -36,7 +36,7 @@
 class PlatformLeases:
     """Lease rows in a table of our own."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
@@ -50,7 +50,7 @@
                 return LeaseRow(record, revision, found.now_ms, found.era)
         return LeaseRow(None, ABSENT, found.now_ms, found.era)
 
-    async def swap(
+    async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
         """Write a row if it is at ``expected``; return its revision, else ``None``."""
@@ -62,14 +62,14 @@
         answer = await self._calls.post(names.ROWS_TX, msgspec.json.encode(body))
         if answer.status == STATUS_CONFLICT:
             return None
-        found = rows_of(answer)
+        found = parse_rows(answer)
         return Granted(Revision(found.row_version), found.era)
 
 
 class PlatformHosts:
     """The entry hosts' rows, and the key they share, in tables of our own."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
@@ -77,41 +77,41 @@
         """Write this host's row."""
         value = msgspec.json.encode(record)
         body = RowsTransaction([], [RowWrite(names.HOST_TABLE, record.host, value)])
-        rows_of(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
+        parse_rows(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
 
     async def hosts(self) -> list[HostRecord]:
         """Return all hosts' rows, those of hosts long gone too."""
         pages = await read_pages(self._calls, names.HOST_TABLE)
         return [rec for page in pages for rec in records(page.rows, HostRecord)]
 
-    async def shared_key(self, proposal: str) -> str:
+    async def get_or_set_shared_key(self, proposal: str) -> str:
         """Return the key all hosts share; the first proposal is kept for good."""
         table, name = names.KEY_TABLE, names.DATAGRAM_KEY
         query = {"table": table, "part": "", "from": name, "limit": 1}
         path = f"{names.ROWS_GET}?{urlencode(query)}"
-        found = rows_of(await self._calls.get(path))
+        found = parse_rows(await self._calls.get(path))
         if not found.rows:
             write = RowWrite(table, name, proposal.encode())
             body = RowsTransaction([RowCondition(table, name, ABSENT)], [write])
             await self._calls.post(names.ROWS_TX, msgspec.json.encode(body))
-            found = rows_of(await self._calls.get(path))
+            found = parse_rows(await self._calls.get(path))
         if not found.rows:
-            raise AnswerLostError("the key's row is not there yet")
+            raise ResponseLostError("the key's row is not there yet")
         return found.rows[0].data().decode()
 
 
 class PlatformCrashes:
     """Replicas that ended under requests, in a table of our own."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
-    async def read(self) -> CrashRowsRead:
+    async def read(self) -> CrashRowsSnapshot:
         """Return all rows that can be read."""
         pages = await read_pages(self._calls, names.CRASH_TABLE)
         rows = tuple(row for page in pages for row in records(page.rows, CrashRow))
-        return CrashRowsRead(rows, pages[-1].now_ms, era_of(pages))
+        return CrashRowsSnapshot(rows, pages[-1].now_ms, common_era(pages))
 
     async def change(self, put: Iterable[CrashRow], drop: Iterable[CrashRow]) -> None:
         """Write some rows and remove others, in one transaction."""
@@ -121,13 +121,13 @@
             [RowWrite(table, _crash_key(row), msgspec.json.encode(row)) for row in put],
             [RowRemoval(table, _crash_key(row)) for row in drop],
         )
-        rows_of(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
+        parse_rows(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
 
 
 class PlatformUsage:
     """Settled reports of usage, in a table of our own."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
@@ -151,14 +151,14 @@
             return SettledUsage(report, written.era)
         found = await self.read(report.window)
         if found is None:
-            raise AnswerLostError("the settled report is not there yet")
+            raise ResponseLostError("the settled report is not there yet")
         return found
 
 
 class PlatformScaling:
     """How many replicas services need, in a table of our own."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
@@ -170,24 +170,24 @@
             return needed
         found = _record(await _read_one(self._calls, table, service), service, int)
         if found is None:
-            raise AnswerLostError("the number needed is not there yet")
+            raise ResponseLostError("the number needed is not there yet")
         return found
 
 
 async def _write_once(
-    calls: StoreCalls, write: RowWrite, *over: RowRemoval
+    calls: StoreClient, write: RowWrite, *over: RowRemoval
 ) -> Rows | None:
     """Write a row that is not there yet; ``None``: it is. ``over`` go with it."""
     condition = RowCondition(write.table, write.key, ABSENT)
     body = RowsTransaction([condition], [write], list(over))
     answer = await calls.post(names.ROWS_TX, msgspec.json.encode(body))
-    return None if answer.status == STATUS_CONFLICT else rows_of(answer)
+    return None if answer.status == STATUS_CONFLICT else parse_rows(answer)
 
 
-async def _read_one(calls: StoreCalls, table: str, key: str) -> Rows:
+async def _read_one(calls: StoreClient, table: str, key: str) -> Rows:
     """Return an answer that has the row of ``key``, if there is one."""
     query = {"table": table, "part": "", "from": key, "limit": 1}
-    return rows_of(await calls.get(f"{names.ROWS_GET}?{urlencode(query)}"))
+    return parse_rows(await calls.get(f"{names.ROWS_GET}?{urlencode(query)}"))
 
 
 def _record(found: Rows, key: str, kind: type[Kind]) -> Kind | None:
--- a/berylshift/platform/rows.py
+++ b/berylshift/platform/rows.py
@@ -9,10 +9,10 @@
 
 from berylshift.ids import StoreEra
 from berylshift.platform import names
-from berylshift.store.client import StoreAnswer, StoreCalls
+from berylshift.store.client import StoreClient, StoreResponse
 from berylshift.store.directory import MalformedEntryError
 from berylshift.store.eras import FIRST_ERA
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 
 logger = logging.getLogger(__name__)
 
@@ -97,36 +97,36 @@
     remove: list[RowRemoval] = []
 
 
-async def read_pages(calls: StoreCalls, table: str) -> list[Rows]:
+async def read_pages(calls: StoreClient, table: str) -> list[Rows]:
     """Return all pages of a table."""
     query = {"table": table, "part": "", "limit": PAGE_ROWS}
     pages: list[Rows] = []
     while True:
         path = f"{names.ROWS_GET}?{urlencode(query)}"
-        pages.append(rows_of(await calls.get(path)))
+        pages.append(parse_rows(await calls.get(path)))
         if not pages[-1].has_more:
             return pages
-        query["from"] = next_start(pages[-1])
+        query["from"] = next_page_start(pages[-1])
 
 
-def era_of(pages: list[Rows]) -> StoreEra:
+def common_era(pages: list[Rows]) -> StoreEra:
     """Return the era of all pages; pages of two eras are no list of anything."""
     eras = {page.era for page in pages}
     if len(eras) > 1:
-        raise AnswerLostError("the store came back older between two pages")
+        raise ResponseLostError("the store came back older between two pages")
     return eras.pop()
 
 
-def rows_of(answer: StoreAnswer) -> Rows:
+def parse_rows(answer: StoreResponse) -> Rows:
     """Return the rows of an answer; raise ``PlatformError`` if it is none."""
     if answer.status in REFUSALS:
         raise StoreUnavailableError(f"status {answer.status}")
     if answer.status != STATUS_OK:
-        raise AnswerLostError(f"status {answer.status}")
+        raise ResponseLostError(f"status {answer.status}")
     try:
         found = msgspec.json.decode(answer.body, type=_Answer)
     except msgspec.DecodeError as exc:
-        raise AnswerLostError(f"answer can't be read: {exc}") from exc
+        raise ResponseLostError(f"answer can't be read: {exc}") from exc
     rows = _readable(found.rows)
     era = _era(answer.headers.get(names.STORE_ERA, ""))
     return Rows(found.row_version, rows, found.has_more, found.now_ms, era)
@@ -137,7 +137,7 @@
     if not text:
         return FIRST_ERA
     if not text.isascii() or not text.isdigit():
-        raise AnswerLostError(f"era {text!r} can't be read")
+        raise ResponseLostError(f"era {text!r} can't be read")
     return StoreEra(int(text))
 
 
@@ -155,10 +155,10 @@
     return found
 
 
-def next_start(page: Rows) -> str:
+def next_page_start(page: Rows) -> str:
     """Return the key from which the page after this one begins."""
     if not page.rows:
-        raise AnswerLostError("no key of the page can be read")
+        raise ResponseLostError("no key of the page can be read")
     return page.rows[-1].key + "\0"
 
 
--- a/berylshift/platform/store.py
+++ b/berylshift/platform/store.py
@@ -7,10 +7,17 @@
 from berylshift.ids import ReplicaName, Revision
 from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
 from berylshift.platform import names
-from berylshift.platform.configuration import read_routes
-from berylshift.platform.entries import read_replica
-from berylshift.platform.rows import PAGE_ROWS, Row, Rows, era_of, next_start, rows_of
-from berylshift.store.client import StoreCalls
+from berylshift.platform.configuration import parse_configuration
+from berylshift.platform.entries import parse_replica_entry
+from berylshift.platform.rows import (
+    PAGE_ROWS,
+    Row,
+    Rows,
+    common_era,
+    next_page_start,
+    parse_rows,
+)
+from berylshift.store.client import StoreClient
 from berylshift.store.directory import HistoryLostError, MalformedEntryError
 
 logger = logging.getLogger(__name__)
@@ -21,7 +28,7 @@
 class PlatformDirectory:
     """Routes and replicas as the platform's store tells them."""
 
-    def __init__(self, calls: StoreCalls):
+    def __init__(self, calls: StoreClient):
         """Ask through ``calls``, which bounds each call's time."""
         self._calls = calls
 
@@ -39,13 +46,15 @@
         """Return all replicas; pages are joined, the first one's revision holds."""
         pages = [await self._get(names.REPLICA_TABLE, "")]
         while pages[-1].has_more:
-            after = next_start(pages[-1])
+            after = next_page_start(pages[-1])
             pages.append(await self._get(names.REPLICA_TABLE, after))
         rows = [row for page in pages for row in page.rows]
         revision = Revision(pages[0].row_version)
         put, _ = _replicas(rows)
         # The first page's clock: what the later ones hold may be newer, not older.
-        return ReplicaChanges(put, (), revision, True, pages[0].now_ms, era_of(pages))
+        return ReplicaChanges(
+            put, (), revision, True, pages[0].now_ms, common_era(pages)
+        )
 
     async def await_replicas(self, after: Revision, seconds: float) -> ReplicaChanges:
         """Return what changed after a revision.
@@ -76,7 +85,7 @@
         answer = await self._calls.get(path, wait)
         if answer.status == STATUS_GONE:
             raise HistoryLostError(path)
-        return rows_of(answer)
+        return parse_rows(answer)
 
 
 def _routes(found: Rows, key: str) -> RouteSnapshot:
@@ -85,7 +94,7 @@
     for row in found.rows:
         if row.key == key and not row.deleted:
             newest = row
-    table = None if newest is None else read_routes(newest.data())
+    table = None if newest is None else parse_configuration(newest.data())
     return RouteSnapshot(table, revision, found.now_ms, found.era)
 
 
@@ -100,7 +109,7 @@
     found, unusable = [], []
     for row in rows:
         try:
-            found.append(read_replica(row.key, row.data(), row.row_version))
+            found.append(parse_replica_entry(row.key, row.data(), row.row_version))
         except MalformedEntryError as exc:
             logger.warning("entry passed over", extra={"reason": str(exc)})
             unusable.append(ReplicaName(row.key))
--- a/berylshift/platform/unknown_headers.py
+++ b/berylshift/platform/unknown_headers.py
@@ -7,9 +7,9 @@
 from berylshift.platform import names
 
 # Names told in a process's life: a replica may make up a new one with each answer.
-MOST_NAMES = 64
+MAX_NAMES = 64
 # Understood by name, here or by HTTP on the way.
-KNOWN = names.IN_ANSWERS | frozenset(
+KNOWN = names.RESPONSE_HEADERS | frozenset(
     {
         b"age",
         b"allow",
@@ -53,7 +53,7 @@
             for name, _ in headers
             if name not in KNOWN and not name.startswith(OF_BODY)
         }
-        new = sorted(found - self._told)[: MOST_NAMES - len(self._told)]
+        new = sorted(found - self._told)[: MAX_NAMES - len(self._told)]
         if not new:
             return
         self._told.update(new)
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -42,9 +42,9 @@
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
     PlatformError,
+    ResponseLostError,
     StoredRow,
     Transaction,
     Write,
@@ -229,7 +229,7 @@
     async def _transact(self, transaction: Transaction) -> WriteOutcome:
         try:
             answer = await self._parts.gate.transact(transaction, Priority.LEASE)
-        except AnswerLostError:
+        except ResponseLostError:
             return WriteOutcome.LOST
         except PlatformError:
             return WriteOutcome.UNAVAILABLE
--- a/berylshift/process/control/pool_reconciler.py
+++ b/berylshift/process/control/pool_reconciler.py
@@ -281,7 +281,7 @@
                 movable=snapshot.is_idle and snapshot.row.name not in moving,
             )
             for snapshot in snapshots.values()
-            if snapshot.row.takes_work and snapshot.report is not None
+            if snapshot.row.accepts_work and snapshot.report is not None
         )
         state = PoolState(engines, demand.prefill_rate, demand.decode_rate, len(moving))
         return self.planner.decide(state, now)
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -165,7 +165,7 @@
         record = self._own_record()
         while True:
             try:
-                key = await deps.rows.shared_key(proposal)
+                key = await deps.rows.get_or_set_shared_key(proposal)
                 await deps.rows.announce(record)
                 return key
             except PlatformError as exc:
--- a/berylshift/process/leader_tasks/leader_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -115,7 +115,7 @@
         if refusal is not None:
             return refusal
         record = self._new_record(row)
-        granted = await self._rows.swap(self._name, record, row.revision)
+        granted = await self._rows.compare_and_swap(self._name, record, row.revision)
         if granted is None:
             return Refused("another", self._holder_gap_seconds)
         if granted.era != row.era:
--- a/berylshift/process/membership/members.py
+++ b/berylshift/process/membership/members.py
@@ -9,7 +9,7 @@
 from berylshift.ids import HostName, Incarnation
 from berylshift.process.membership.digest import Digest, Echo
 from berylshift.store.interfaces import HostEntry, HostState
-from berylshift.version.freshness import PeerWord
+from berylshift.version.freshness import PeerConfirmation
 
 MAX_SENT_TIMES = 64
 MAX_PAST_INCARNATIONS = 8
@@ -65,7 +65,7 @@
             if self.peers[host].entry is not None:
                 del self.peers[host]
 
-    def receive(self, digest: Digest, now: float) -> PeerWord | None:
+    def receive(self, digest: Digest, now: float) -> PeerConfirmation | None:
         """Apply a datagram; return the peer's table version if it echoes a request.
 
         A late datagram, or one of a replaced process, would restore outdated
@@ -118,13 +118,13 @@
         )
         peer.incarnation = incarnation
 
-    def _confirmation_in(self, peer: Peer, digest: Digest) -> PeerWord | None:
+    def _confirmation_in(self, peer: Peer, digest: Digest) -> PeerConfirmation | None:
         for echo in digest.echoes:
             if echo.host != self.host or echo.incarnation != self.incarnation:
                 continue
             asked_at = peer.sent_at.get(echo.sequence)
             if asked_at is not None:
-                return PeerWord(
+                return PeerConfirmation(
                     peer=digest.host,
                     asked_at=asked_at,
                     version=digest.table_version,
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -71,7 +71,7 @@
             return
         confirmation = deps.members.receive(digest, now)
         if confirmation is not None:
-            deps.fresh.peer_confirmed(confirmation)
+            deps.fresh.note_peer_confirmation(confirmation)
         deps.load.note_peer_shares(digest.host, digest.shares, now)
         deps.limits.note_peer_demand(digest.host, digest.demands, now)
         deps.meter.update_peer(digest.host, digest.mixes, now)
@@ -100,7 +100,7 @@
         live_peers = len(deps.members.live_hosts(now)) - 1
         asked = deps.cfg.fanout * deps.cfg.silent_after / deps.cfg.interval
         is_connected = live_peers + 1 > min(host_count, asked) / 2
-        deps.fresh.hosts = host_count
+        deps.fresh.host_count = host_count
         deps.limits.set_hosts(host_count, is_connected, live_peers)
         deps.meter.set_hosts(host_count, live_peers)
 
@@ -117,7 +117,7 @@
             now = deps.clock.monotonic()
             self._update_host_counts(now)
             for entry in deps.members.next_peers(deps.cfg.fanout):
-                deps.fresh.peer_asked(entry.host, now)
+                deps.fresh.note_peer_query(entry.host, now)
                 await self._send(entry, is_reply=False)
             await trio.sleep(deps.cfg.interval)
 
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -157,7 +157,7 @@
         if now < self._unavailable_until.get(domain, 0.0):
             return []
         count = counts[domain]
-        room = self.scaling.most - count.on_demand
+        room = self.scaling.max_replicas - count.on_demand
         desired = max(0, min(self._interruptible_per_domain(counts), room))
         if desired == count.interruptible:
             return []
@@ -221,7 +221,7 @@
         )
         missing = max(0, self.needed - interruptible)
         found = {
-            name: max(0, self.scaling.least - count.interruptible)
+            name: max(0, self.scaling.min_replicas - count.interruptible)
             for name, count in counts.items()
         }
         missing -= sum(found.values())
@@ -233,7 +233,7 @@
             found[name] += max(0, retained)
             missing -= max(0, retained)
         for name in domains_by_price:
-            room = self.scaling.most - counts[name].interruptible - found[name]
+            room = self.scaling.max_replicas - counts[name].interruptible - found[name]
             added = max(0, min(missing, room))
             found[name] += added
             missing -= added
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -117,7 +117,7 @@
         except (PlatformError, TableLogError, ValueError) as exc:
             logger.warning("table not read", extra={"why": str(exc)})
             return False
-        self._deps.fresh.store_confirmed(asked_at, head.version)
+        self._deps.fresh.note_store_confirmation(asked_at, head.version)
         return True
 
     async def _fetch_from_peers(self) -> None:
--- a/berylshift/process/targets/engine_speeds.py
+++ b/berylshift/process/targets/engine_speeds.py
@@ -129,13 +129,13 @@
         facts = self._facts(service)
         if facts is None or facts.link_mbps <= 0:
             return TRANSFER_SETUP_SECONDS
-        bits = tokens * facts.kv_token_bytes * BITS_PER_BYTE
+        bits = tokens * facts.kv_bytes_per_token * BITS_PER_BYTE
         return TRANSFER_SETUP_SECONDS + bits / (facts.link_mbps * MEGA)
 
     def kv_capacity_tokens(self, service: ServiceName) -> int:
         """Return how many tokens fit in an engine's KV cache."""
         facts = self._facts(service)
-        return PRIOR_KV_CAPACITY_TOKENS if facts is None else facts.kv_tokens
+        return PRIOR_KV_CAPACITY_TOKENS if facts is None else facts.kv_capacity_tokens
 
     # Samples
 
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -184,7 +184,7 @@
     async def _on_connection_lost(self, target: TargetName) -> None:
         """Report a broken connection to the crash watch if the engine takes work."""
         row = self._deps.table().targets.get(target)
-        if row is None or not row.takes_work:
+        if row is None or not row.accepts_work:
             return
         client = self._deps.client
         await self._crash_watch.on_connection_lost(
@@ -202,7 +202,7 @@
     def _check_accepts_work(self, row: Row) -> None:
         """Fail the attempt if the target started draining during the prefill."""
         current = self._deps.table().targets.get(row.name)
-        is_leaving = current is None or not current.takes_work
+        is_leaving = current is None or not current.accepts_work
         is_leaving = is_leaving or self._deps.context.plans.is_moving(row.name)
         if is_leaving or not self._deps.may_route():
             raise AttemptFailedError(row.name, AttemptOutcome.NOT_RUN)
--- a/berylshift/request/key_gate.py
+++ b/berylshift/request/key_gate.py
@@ -64,7 +64,7 @@
         customers = None if table is None else table.customers
         if customers is None:
             return Admission(KeyVerdict.ADMITTED, keys_configured=False)
-        owner = None if req.key is None else customers.holder(req.key)
+        owner = None if req.key is None else customers.customer_for(req.key)
         if route.public:
             return Admission(KeyVerdict.ADMITTED, owner)
         if req.key is None:
@@ -92,7 +92,7 @@
             return True
         if req.key is None or req.customer is None:
             return False
-        owner = customers.holder(req.key)
+        owner = customers.customer_for(req.key)
         return owner is not None and owner.name == req.customer
 
     def _is_older(self, seconds: float, now: float) -> bool:
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -100,7 +100,7 @@
         self._timeout = request_timeout(route, req)
         self._deadline = self._started_at + self._timeout.seconds
         self._first_chunk_deadline = self._started_at + min(
-            self._timeout.seconds, route.patience
+            self._timeout.seconds, route.caller_patience_seconds
         )
 
     async def run(self) -> RelayResult:
@@ -165,7 +165,7 @@
         A retry may be unable to meet the deadline after an attempt that may have run;
         the outcome must not be "not run" then.
         """
-        retry_after_seconds = exc.seconds - self._route.patience
+        retry_after_seconds = exc.seconds - self._route.caller_patience_seconds
         return self._result_unless_run(
             RelayOutcome.DEADLINE_UNREACHABLE, exc, retry_after_seconds
         )
--- a/berylshift/request/request_timeout.py
+++ b/berylshift/request/request_timeout.py
@@ -25,6 +25,6 @@
 
 def request_timeout(route: Route, req: RoutedRequest) -> RequestTimeout:
     """Return the shorter of the route's timeout and the caller's."""
-    if req.seconds_left is not None and req.seconds_left < route.timeout:
+    if req.seconds_left is not None and req.seconds_left < route.timeout_seconds:
         return RequestTimeout(req.seconds_left, TimeoutSource.CALLER)
-    return RequestTimeout(route.timeout, TimeoutSource.ROUTE)
+    return RequestTimeout(route.timeout_seconds, TimeoutSource.ROUTE)
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -124,7 +124,7 @@
 
 def retry_bounds(route: Route) -> RetryBounds:
     """Return the retry limits of a routed request."""
-    return RetryBounds(route.repeatable, route.most_attempts)
+    return RetryBounds(route.repeatable, route.max_attempts)
 
 
 def may_retry(bounds: RetryBounds, history: AttemptHistory) -> bool:
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -152,7 +152,7 @@
         if customer is None:
             return self._deps.codec.strip_key(req, None), route
         named = self._deps.codec.strip_key(req, customer.name)
-        return named, route.ranked(customer.rank)
+        return named, route.with_rank(customer.rank)
 
     async def _refuse_unauthorized(
         self,
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -23,9 +23,9 @@
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
     PlatformError,
+    ResponseLostError,
     Write,
     as_raw,
 )
@@ -199,7 +199,7 @@
             try:
                 answer = await self._deps.gate.put_row(Condition(key, revision), write)
                 return Event.COMMITTED if answer.committed else Event.CONFLICT
-            except AnswerLostError:
+            except ResponseLostError:
                 return Event.LOST
             except PlatformError:
                 await trio.sleep(STORE_RETRY_SECONDS)
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -98,7 +98,7 @@
     def _takes_work(self, name: TargetName) -> bool:
         """Return whether a replica is listed and not draining."""
         row = self.table().targets.get(name)
-        return row is not None and row.takes_work
+        return row is not None and row.accepts_work
 
     async def _send(
         self, plan: Plan, call: PlainCall, attempt: AttemptId
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -15,7 +15,7 @@
 from berylshift.entry_application import EntryApplication, EntryPorts
 from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.leader_calls import PlatformDuties
+from berylshift.platform.leader_calls import PlatformLeaderCalls
 from berylshift.platform.own_tables import (
     PlatformCrashes,
     PlatformHosts,
@@ -27,7 +27,7 @@
 from berylshift.reload import SettingsFile
 from berylshift.settings import Settings
 from berylshift.signals import watch_signals
-from berylshift.store.client import StoreCalls
+from berylshift.store.client import StoreClient
 from berylshift.utils import split_address
 
 
@@ -36,13 +36,13 @@
 ) -> EntryPorts:
     """Return the platform as an entry host meets it."""
     connect = cfg.targets.connect_timeout
-    calls = StoreCalls(
+    calls = StoreClient(
         HttpClient(connect_seconds=cfg.directory.timeout),
         cfg.directory.address,
         cfg.directory.timeout,
     )
     client = TargetClient(connect)
-    duties = PlatformDuties(
+    duties = PlatformLeaderCalls(
         HttpClient(connect_seconds=cfg.duties.timeout),
         cfg.duties.address,
         cfg.duties.timeout,
--- a/berylshift/settings.py
+++ b/berylshift/settings.py
@@ -9,7 +9,7 @@
 from msgspec import Meta
 from returns.result import Failure, Result, Success
 
-from berylshift.version.checks import valid_address
+from berylshift.version.checks import is_valid_address
 
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 Share = Annotated[float, Meta(ge=0, le=1)]
@@ -300,7 +300,7 @@
         # This host may have the kernel choose a port to listen on.
         least_port = 0 if section == "host" else 1
         # Digits such as "\u00b2" count as digits, but int() has no number for them.
-        if not (value.isascii() and valid_address(value, least_port)):
+        if not (value.isascii() and is_valid_address(value, least_port)):
             faults.append(SettingFault(section, key, value, "must be IP:PORT"))
     for (section, key), allowed in CHOICES.items():
         value = getattr(getattr(settings, section), key)
--- a/berylshift/stand_ins/entry_replica.py
+++ b/berylshift/stand_ins/entry_replica.py
@@ -432,7 +432,7 @@
             found.append((names.RATE_LIMIT, b"%.2f" % self.replica.rate_limit))
             self.replica.told_limit.setdefault(self.host, trio.current_time())
         if self.replica.says_leaving:
-            found.append((names.LEAVING, b"1"))
+            found.append((names.DRAINING, b"1"))
             self.replica.told_leaving.setdefault(self.host, trio.current_time())
         return found
 
--- a/berylshift/stand_ins/fake_directory.py
+++ b/berylshift/stand_ins/fake_directory.py
@@ -8,11 +8,11 @@
 
 from berylshift.ids import ReplicaName, Revision, StoreEra
 from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
-from berylshift.store.crash_rows import CrashRow, CrashRowsRead
+from berylshift.store.crash_rows import CrashRow, CrashRowsSnapshot
 from berylshift.store.directory import HistoryLostError
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.host_rows import HostRecord
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 from berylshift.version.routes import RouteTable
 
@@ -158,7 +158,7 @@
         if self.silent:
             # A feed that is silent for good; only the caller's time-out ends it.
             await trio.sleep(seconds + 0.6)
-            raise AnswerLostError("no answer")
+            raise ResponseLostError("no answer")
         with trio.move_on_after(seconds):
             while not has_news():
                 await self._news.wait()
@@ -202,7 +202,7 @@
             await hook()
         return row
 
-    async def swap(
+    async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
         """Write a row if it is at ``expected``."""
@@ -214,7 +214,7 @@
             else:
                 at = self._now() + self.late_seconds
                 self._late.append((at, name, record, expected))
-            raise AnswerLostError("answer lost")
+            raise ResponseLostError("answer lost")
         return self._apply(name, record, expected)
 
     def restore(self, seconds: float) -> None:
@@ -259,11 +259,11 @@
         """Return how many rows there are."""
         return len(self._rows)
 
-    async def read(self) -> CrashRowsRead:
+    async def read(self) -> CrashRowsSnapshot:
         """Return all rows."""
         self._check()
         now = trio.current_time() + STORE_CLOCK_AHEAD_SECONDS
-        return CrashRowsRead(tuple(self._rows.values()), int(now * 1000))
+        return CrashRowsSnapshot(tuple(self._rows.values()), int(now * 1000))
 
     def lose_all(self) -> None:
         """Come back from a copy that has no rows."""
@@ -306,7 +306,7 @@
         """Return all hosts' rows."""
         return list(self._hosts.values())
 
-    async def shared_key(self, proposal: str) -> str:
+    async def get_or_set_shared_key(self, proposal: str) -> str:
         """Return the key all hosts share."""
         self._key = self._key or proposal
         return self._key
--- a/berylshift/stand_ins/fake_duties.py
+++ b/berylshift/stand_ins/fake_duties.py
@@ -9,7 +9,7 @@
 from berylshift.messages.scaling import ScaleOrder
 from berylshift.messages.usage import SettledUsage, UsageReport
 from berylshift.store.eras import FIRST_ERA
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 
 
 @dataclass
@@ -48,7 +48,7 @@
         found = self._rows.setdefault(report.window, report)
         if self.lose_answers:
             self.lose_answers -= 1
-            raise AnswerLostError("lost")
+            raise ResponseLostError("lost")
         return SettledUsage(found, self.era)
 
     def _check(self) -> None:
--- a/berylshift/stand_ins/fake_platform.py
+++ b/berylshift/stand_ins/fake_platform.py
@@ -10,14 +10,14 @@
 from berylshift.clock import Clock
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     HostEntry,
     HostState,
+    ResponseLostError,
     StoredRow,
     StoreThrottledError,
     StoreUnavailableError,
     Transaction,
-    TransactionAnswer,
+    TransactionResult,
     WeightInfo,
 )
 
@@ -101,7 +101,7 @@
                 found.append(self.rows[key])
         return found
 
-    def transact(self, transaction: Transaction) -> TransactionAnswer:
+    def transact(self, transaction: Transaction) -> TransactionResult:
         """Commit, or name the conditions that fail."""
         self._admit(self._write_bucket, self.script.writes_per_second)
         self.transactions += 1
@@ -114,8 +114,8 @@
             self._commit(transaction)
         if self.script.lose_answers > 0:
             self.script.lose_answers -= 1
-            raise AnswerLostError("scripted: the answer is lost")
-        return TransactionAnswer(failed)
+            raise ResponseLostError("scripted: the answer is lost")
+        return TransactionResult(failed)
 
     def _commit(self, transaction: Transaction) -> None:
         self.commits += 1
@@ -208,7 +208,7 @@
         await self._reach()
         return self.fake.scan(prefix, after, limit)
 
-    async def transact(self, transaction: Transaction) -> TransactionAnswer:
+    async def transact(self, transaction: Transaction) -> TransactionResult:
         """Commit or name the failed conditions."""
         await self._reach()
         return self.fake.transact(transaction)
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -7,8 +7,8 @@
 from berylshift.connection.responder import Responder
 from berylshift.stand_ins.fake_platform import FakePlatform, PlatformScript
 from berylshift.store.interfaces import (
-    AnswerLostError,
     HostEntry,
+    ResponseLostError,
     StoreThrottledError,
     StoreUnavailableError,
     Transaction,
@@ -38,7 +38,7 @@
             status, body = STATUS_THROTTLED, b"{}"
         except StoreUnavailableError:
             status, body = STATUS_UNAVAILABLE, b"{}"
-        except AnswerLostError:
+        except ResponseLostError:
             return
         await responder.full(status, JSON_TYPE, body)
 
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -8,14 +8,14 @@
 from berylshift.clock import Clock
 from berylshift.process.limits.store_budget import Priority, StoreBudget
 from berylshift.store.interfaces import (
-    AnswerLostError,
     Condition,
     PlatformError,
+    ResponseLostError,
     StoredRow,
     StoreUnavailableError,
     TableService,
     Transaction,
-    TransactionAnswer,
+    TransactionResult,
     Write,
 )
 
@@ -27,7 +27,7 @@
     condition: Condition
     write: Write
     done: trio.Event = field(default_factory=trio.Event)
-    answer: TransactionAnswer | None = None
+    answer: TransactionResult | None = None
     error: PlatformError | None = None
 
 
@@ -68,13 +68,13 @@
 
     async def transact(
         self, transaction: Transaction, priority: Priority
-    ) -> TransactionAnswer:
+    ) -> TransactionResult:
         """Commit a transaction of its own; raise ``PlatformError``."""
         await self._admit(self._writes, priority)
         self.transactions += 1
         return await self._watch(self._writes, self._service.transact, transaction)
 
-    async def put_row(self, condition: Condition, write: Write) -> TransactionAnswer:
+    async def put_row(self, condition: Condition, write: Write) -> TransactionResult:
         """Change one row together with others'; raise ``PlatformError``."""
         entry = _Entry(condition, write)
         self._waiting.append(entry)
@@ -87,7 +87,7 @@
             raise
         if entry.error is not None:
             raise entry.error
-        return entry.answer or TransactionAnswer()
+        return entry.answer or TransactionResult()
 
     async def run(self) -> None:
         """Send batches until cancelled."""
@@ -124,7 +124,7 @@
             rest = []
             for entry in batch:
                 if entry.condition.key in failed:
-                    entry.answer = TransactionAnswer([entry.condition.key])
+                    entry.answer = TransactionResult([entry.condition.key])
                     entry.done.set()
                 elif answer.committed:
                     entry.answer = answer
@@ -135,7 +135,7 @@
             if batch:
                 await self._admit(self._writes, Priority.CONFIRMATION)
 
-    async def _commit(self, batch: list[_Entry]) -> TransactionAnswer | None:
+    async def _commit(self, batch: list[_Entry]) -> TransactionResult | None:
         conditions = [entry.condition for entry in batch]
         writes = [entry.write for entry in batch]
         self.transactions += 1
@@ -157,7 +157,7 @@
     async def _watch(self, budget: StoreBudget, call, *args):
         try:
             answer = await call(*args)
-        except (StoreUnavailableError, AnswerLostError):
+        except (StoreUnavailableError, ResponseLostError):
             budget.note_failure(self._clock.monotonic())
             raise
         budget.note_success()
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -8,15 +8,15 @@
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 
 # An answer that comes by and by for longer than this beyond its wait is given up; a
 # change must be in force 11 s after it was acknowledged. Seconds.
-LONGEST_READ_SECONDS = 10.0
+MAX_READ_SECONDS = 10.0
 JSON_TYPE = {"content-type": "application/json"}
 
 
-class StoreAnswer(msgspec.Struct, frozen=True):
+class StoreResponse(msgspec.Struct, frozen=True):
     """Status, body and headers of one answer; names of headers are in lower case."""
 
     status: int
@@ -24,7 +24,7 @@
     headers: dict[str, str] = {}
 
 
-class StoreCalls:
+class StoreClient:
     """Asks one address; each call has a time-out beyond the wait it asks for."""
 
     def __init__(self, client: HttpClient, address: str, timeout: float):
@@ -33,7 +33,7 @@
         self._address = address
         self._timeout = timeout
 
-    async def get(self, path: str, wait: float = 0.0) -> StoreAnswer:
+    async def get(self, path: str, wait: float = 0.0) -> StoreResponse:
         """Return the answer of a read; raise ``PlatformError``.
 
         The time-out bounds the silence before each part, not the answer: a large one
@@ -41,10 +41,10 @@
         """
         out = Outgoing(self._address, "GET", path, {})
         limit = SilenceLimit(trio.current_time() + wait + self._timeout)
-        return await self._call(out, wait + LONGEST_READ_SECONDS, limit)
+        return await self._call(out, wait + MAX_READ_SECONDS, limit)
 
-    async def post(self, path: str, body: bytes) -> StoreAnswer:
-        """Return the answer of a write; ``AnswerLostError``: it may be done yet.
+    async def post(self, path: str, body: bytes) -> StoreResponse:
+        """Return the answer of a write; ``ResponseLostError``: it may be done yet.
 
         Writes go out on a fresh connection: a kept one may be closed as they are
         sent, and then nobody knows whether they were done.
@@ -54,7 +54,7 @@
 
     async def _call(
         self, out: Outgoing, seconds: float, limit: SilenceLimit
-    ) -> StoreAnswer:
+    ) -> StoreResponse:
         """Send a call within ``seconds`` in all.
 
         A connection that falls silent for good shows only by its time-out. Kept
@@ -69,11 +69,11 @@
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
             except ConnectionLayerError as exc:
-                raise AnswerLostError(str(exc)) from exc
+                raise ResponseLostError(str(exc)) from exc
         self._client.close()
-        raise AnswerLostError(reason)
+        raise ResponseLostError(reason)
 
-    async def _exchange(self, out: Outgoing, limit: SilenceLimit) -> StoreAnswer:
+    async def _exchange(self, out: Outgoing, limit: SilenceLimit) -> StoreResponse:
         async with AsyncExitStack() as stack:
             request = self._client.request(out)
             resp = await limit.bound(stack.enter_async_context(request))
@@ -82,4 +82,4 @@
             while (part := await limit.bound(anext(chunks, None))) is not None:
                 parts.append(part)
                 limit.allow(self._timeout)
-            return StoreAnswer(resp.status, b"".join(parts), resp.headers)
+            return StoreResponse(resp.status, b"".join(parts), resp.headers)
--- a/berylshift/store/crash_rows.py
+++ b/berylshift/store/crash_rows.py
@@ -24,7 +24,7 @@
     at_ms: int
 
 
-class CrashRowsRead(msgspec.Struct, frozen=True):
+class CrashRowsSnapshot(msgspec.Struct, frozen=True):
     """All rows; ``store_ms`` is the store's clock at the answer."""
 
     rows: tuple[CrashRow, ...]
@@ -35,7 +35,7 @@
 class CrashRows(Protocol):
     """Reads and writes the rows; all calls raise ``PlatformError``."""
 
-    async def read(self) -> CrashRowsRead:
+    async def read(self) -> CrashRowsSnapshot:
         """Return all rows that can be read."""
 
     async def change(self, put: Iterable[CrashRow], drop: Iterable[CrashRow]) -> None:
--- a/berylshift/store/host_rows.py
+++ b/berylshift/store/host_rows.py
@@ -22,5 +22,5 @@
     async def hosts(self) -> list[HostRecord]:
         """Return all hosts' rows, those of hosts long gone too."""
 
-    async def shared_key(self, proposal: str) -> str:
+    async def get_or_set_shared_key(self, proposal: str) -> str:
         """Return the key all hosts share; the first proposal is kept for good."""
--- a/berylshift/store/http.py
+++ b/berylshift/store/http.py
@@ -12,13 +12,13 @@
 )
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.store.interfaces import (
-    AnswerLostError,
     HostEntry,
+    ResponseLostError,
     StoredRow,
     StoreThrottledError,
     StoreUnavailableError,
     Transaction,
-    TransactionAnswer,
+    TransactionResult,
     WeightInfo,
 )
 
@@ -51,8 +51,8 @@
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
             except ConnectionLayerError as exc:
-                raise AnswerLostError(str(exc)) from exc
-        raise AnswerLostError(f"no answer within {self._timeout} s")
+                raise ResponseLostError(str(exc)) from exc
+        raise ResponseLostError(f"no answer within {self._timeout} s")
 
 
 def _checked(status: int, data: bytes) -> bytes | None:
@@ -64,14 +64,14 @@
         raise StoreThrottledError("rate limit")
     if status == STATUS_UNAVAILABLE:
         raise StoreUnavailableError("service says that it is down")
-    raise AnswerLostError(f"status {status}")
+    raise ResponseLostError(f"status {status}")
 
 
 def _decode(data: bytes | None, kind: type[Item]) -> Item:
     try:
         return msgspec.json.decode(data or b"null", type=kind)
     except msgspec.DecodeError as exc:
-        raise AnswerLostError(f"answer can't be read: {exc}") from exc
+        raise ResponseLostError(f"answer can't be read: {exc}") from exc
 
 
 class HttpTableService(_HttpService):
@@ -89,11 +89,11 @@
         data = await self._call("GET", f"/scan?{where}&limit={limit}")
         return _decode(data, list[StoredRow])
 
-    async def transact(self, transaction: Transaction) -> TransactionAnswer:
+    async def transact(self, transaction: Transaction) -> TransactionResult:
         """Commit or name the failed conditions."""
         body = msgspec.json.encode(transaction)
         data = await self._call("POST", "/transactions", body)
-        return _decode(data, TransactionAnswer)
+        return _decode(data, TransactionResult)
 
 
 class HttpObjectStore(_HttpService):
--- a/berylshift/store/interfaces.py
+++ b/berylshift/store/interfaces.py
@@ -22,7 +22,7 @@
     """The service refused for its rate limit: nothing was written."""
 
 
-class AnswerLostError(PlatformError):
+class ResponseLostError(PlatformError):
     """The answer never came: a write may have taken effect."""
 
 
@@ -56,7 +56,7 @@
     writes: list[Write]
 
 
-class TransactionAnswer(msgspec.Struct, frozen=True):
+class TransactionResult(msgspec.Struct, frozen=True):
     """``failed`` names the keys whose conditions did not hold; empty: committed."""
 
     failed: list[str] = []
@@ -103,7 +103,7 @@
     async def scan(self, prefix: str, after: str, limit: int) -> list[StoredRow]:
         """Return rows by key after ``after``; raise ``PlatformError``."""
 
-    async def transact(self, transaction: Transaction) -> TransactionAnswer:
+    async def transact(self, transaction: Transaction) -> TransactionResult:
         """Commit or name the failed conditions; raise ``PlatformError``."""
 
 
--- a/berylshift/store/lease_rows.py
+++ b/berylshift/store/lease_rows.py
@@ -45,7 +45,7 @@
     async def read(self, name: str) -> LeaseRow:
         """Return a row; revision ``ABSENT`` if there is none."""
 
-    async def swap(
+    async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
         """Write a row if it is at ``expected``; return its revision, else ``None``."""
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -65,11 +65,11 @@
 def route(name: str, kind: RouteKind, **changes) -> Route:
     """Return a route of the path ``/NAME/``."""
     values = {
-        "timeout": 4.0,
-        "objective": 0.5,
+        "timeout_seconds": 4.0,
+        "objective_seconds": 0.5,
         "rank": 1,
         "shares": (ServiceShare(PLAIN, 1),),
-        "most_attempts": 1,
+        "max_attempts": 1,
     }
     return Route(RouteName(name), HOST, f"/{name}/", kind, **{**values, **changes})
 
@@ -80,16 +80,16 @@
     """Return the usual routes: one of each kind."""
     writer = (ServiceShare(ENGINES, 1),)
     found = (
-        route("look", RouteKind.IDEMPOTENT, most_attempts=2),
+        route("look", RouteKind.IDEMPOTENT, max_attempts=2),
         route("book", RouteKind.AT_MOST_ONCE),
-        route("note", RouteKind.STREAM, shares=writer, prompted=True),
+        route("note", RouteKind.STREAM, shares=writer, has_prompt_info=True),
         route(
             "brief",
             RouteKind.STREAM,
             shares=writer,
-            prompted=True,
+            has_prompt_info=True,
             resumable=True,
-            most_attempts=2,
+            max_attempts=2,
         ),
         *more,
     )
@@ -353,7 +353,7 @@
     return (
         (names.MODEL, b"m"),
         (names.TOKEN_COUNTS, b"%d,80" % tokens),
-        (names.PROMPT_PARTS, parts.encode()),
+        (names.PREFIX_BLOCKS, parts.encode()),
         (b"x-pieces", b"%d" % pieces),
     )
 
--- a/berylshift/tests/ledger_play.py
+++ b/berylshift/tests/ledger_play.py
@@ -165,10 +165,10 @@
                 route(
                     way.name,
                     way.kind,
-                    timeout=timeout,
+                    timeout_seconds=timeout,
                     shares=shares,
-                    most_attempts=way.most_attempts,
-                    prompted=way.prompted,
+                    max_attempts=way.max_attempts,
+                    has_prompt_info=way.has_prompt_info,
                     resumable=way.resumable,
                 )
             )
@@ -380,10 +380,14 @@
 
     def _time_over(self, entry: Entry) -> float:
         """Return when a caller's time is over, or its route's by any version."""
-        times = [way.timeout for way in routes().routes if way.name == entry.kind]
+        times = [
+            way.timeout_seconds for way in routes().routes if way.name == entry.kind
+        ]
         for at, table in self.tables:
             if at <= entry.ended:
-                times += [w.timeout for w in table.routes if w.name == entry.kind]
+                times += [
+                    w.timeout_seconds for w in table.routes if w.name == entry.kind
+                ]
         return entry.begun + min(entry.left, *times)
 
     def _is_right(self, entry: Entry) -> bool:
--- a/berylshift/tests/multi_host_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -29,7 +29,7 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.settings import DirectorySettings
 from berylshift.stand_ins.fake_directory import FakeDirectory, FakeHostRows
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 from berylshift.tests.entry_world import PLAIN, routes
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
@@ -128,7 +128,7 @@
         if self.hangs:
             self.hangs = False
             await trio.sleep(wait + TIMEOUT_SECONDS)
-            raise AnswerLostError("connection hangs")
+            raise ResponseLostError("connection hangs")
         if self.refused:
             await trio.sleep(REFUSAL_SECONDS)
             raise StoreUnavailableError("refused")
--- a/berylshift/tests/order_simulation.py
+++ b/berylshift/tests/order_simulation.py
@@ -37,8 +37,8 @@
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
+    ResponseLostError,
     StoreUnavailableError,
     Transaction,
     Write,
@@ -152,7 +152,7 @@
     def _transact(self, conditions, writes) -> WriteOutcome:
         try:
             answer = self.world.platform.transact(Transaction(conditions, writes))
-        except AnswerLostError:
+        except ResponseLostError:
             return WriteOutcome.LOST
         except StoreUnavailableError:
             return WriteOutcome.UNAVAILABLE
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -23,8 +23,8 @@
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
+    ResponseLostError,
     StoreUnavailableError,
     Transaction,
     Write,
@@ -155,7 +155,7 @@
         transaction = Transaction([Condition(key, revision)], [Write(key, as_raw(row))])
         try:
             answer = self.platform.transact(transaction)
-        except AnswerLostError:
+        except ResponseLostError:
             return Event.LOST
         except StoreUnavailableError:
             return Event.UNAVAILABLE
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -42,7 +42,7 @@
         """
 
         async def task(world):
-            short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
+            short = route("short", RouteKind.AT_MOST_ONCE, timeout_seconds=2.0)
             world.directory.put_routes(routes(2, short))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -173,7 +173,7 @@
         """
 
         async def task(world):
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=30.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=30.0)
             world.directory.put_routes(routes(2, long))
             for replica in world.replicas.values():
                 replica.work_seconds = 30.0
@@ -201,7 +201,7 @@
         """
 
         async def task(world):
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=30.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=30.0)
             world.directory.put_routes(routes(2, long))
             for replica in world.replicas.values():
                 replica.work_seconds = 30.0
@@ -227,7 +227,7 @@
         """
 
         async def task(world):
-            short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
+            short = route("short", RouteKind.AT_MOST_ONCE, timeout_seconds=2.0)
             world.directory.put_routes(routes(2, short))
             await trio.sleep(0.1)
             process = await start_process(world)
--- a/berylshift/tests/test_entry_ledger.py
+++ b/berylshift/tests/test_entry_ledger.py
@@ -51,8 +51,8 @@
         """
 
         async def task(world):
-            short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=30.0)
+            short = route("short", RouteKind.AT_MOST_ONCE, timeout_seconds=2.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=30.0)
             world.directory.put_routes(routes(2, short, long))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -89,7 +89,7 @@
         """Send a request as the loop is held for 30 ms; return what came of it."""
 
         async def task(world):
-            short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
+            short = route("short", RouteKind.AT_MOST_ONCE, timeout_seconds=2.0)
             world.directory.put_routes(routes(2, short))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -145,7 +145,7 @@
         """
 
         async def task(world):
-            short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
+            short = route("short", RouteKind.AT_MOST_ONCE, timeout_seconds=2.0)
             world.directory.put_routes(routes(2, short))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -235,7 +235,7 @@
         """
 
         async def task(world):
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=20.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=20.0)
             world.directory.put_routes(routes(2, long))
             for replica in world.replicas.values():
                 replica.work_seconds = 30
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -15,7 +15,7 @@
 )
 from berylshift.version.routes import RouteKind, ServiceShare
 
-PROMPTED = {"shares": (ServiceShare(ENGINES, 1),), "prompted": True}
+PROMPTED = {"shares": (ServiceShare(ENGINES, 1),), "has_prompt_info": True}
 FRONT_LOG = "berylshift.request.routed_handler"
 
 
@@ -89,7 +89,7 @@
         """
 
         async def before(world):
-            slow = route("slow", RouteKind.AT_MOST_ONCE, timeout=20.0)
+            slow = route("slow", RouteKind.AT_MOST_ONCE, timeout_seconds=20.0)
             world.directory.put_routes(routes(2, slow))
             for replica in world.replicas.values():
                 replica.work_seconds = 30
@@ -122,8 +122,8 @@
         """
 
         async def before(world):
-            look = route("quick", RouteKind.IDEMPOTENT, timeout=1.0)
-            busy = route("busy", RouteKind.STREAM, timeout=30.0, **PROMPTED)
+            look = route("quick", RouteKind.IDEMPOTENT, timeout_seconds=1.0)
+            busy = route("busy", RouteKind.STREAM, timeout_seconds=30.0, **PROMPTED)
             world.directory.put_routes(routes(2, look, busy))
             await trio.sleep(0.1)
             # A host that is kept busy does not fall quiet before the stop's end.
@@ -188,8 +188,8 @@
             reply = await world.ask("/asked/x", "r2", headers=headers, left_ms=20_000)
             return reply, trio.current_time() - start
 
-        long = route("long", RouteKind.STREAM, timeout=30.0, **PROMPTED)
-        asked = route("asked", RouteKind.STREAM, timeout=timeout, **PROMPTED)
+        long = route("long", RouteKind.STREAM, timeout_seconds=30.0, **PROMPTED)
+        asked = route("asked", RouteKind.STREAM, timeout_seconds=timeout, **PROMPTED)
         _, found, _, too_soon = self.stop(before, after, long, asked)
         self.assertFalse(too_soon)
         return found
@@ -246,8 +246,8 @@
                 await trio.sleep(start + 1.0 - trio.current_time())
             return statuses
 
-        asked = route("asked", RouteKind.STREAM, timeout=8.0, **PROMPTED)
-        busy = route("busy", RouteKind.AT_MOST_ONCE, timeout=20.0)
+        asked = route("asked", RouteKind.STREAM, timeout_seconds=8.0, **PROMPTED)
+        busy = route("busy", RouteKind.AT_MOST_ONCE, timeout_seconds=20.0)
 
         _, found, _, too_soon = self.stop(before, after, asked, busy)
         self.assertFalse(too_soon)
@@ -302,7 +302,7 @@
         async def after(world, link):
             return await link.read()
 
-        long = route("long", RouteKind.STREAM, timeout=20.0, **PROMPTED)
+        long = route("long", RouteKind.STREAM, timeout_seconds=20.0, **PROMPTED)
         with self.assertLogs(FRONT_LOG, "INFO") as logs:
             self.stop(before, after, long)
         self.assertEqual(endings(logs), [("cut", "stop", 7.0)])
@@ -311,7 +311,7 @@
         """The same cut, but the route's time was up: no stop is to blame."""
 
         async def task(world):
-            long = route("long", RouteKind.STREAM, timeout=2.0, **PROMPTED)
+            long = route("long", RouteKind.STREAM, timeout_seconds=2.0, **PROMPTED)
             world.directory.put_routes(routes(2, long))
             await trio.sleep(0.1)
             link = world.connect()
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -44,7 +44,7 @@
         async def task(world):
             for replica in world.replicas.values():
                 replica.work_seconds = work
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=20.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=20.0)
             world.directory.put_routes(routes(2, long))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -109,7 +109,7 @@
 
     def ask(self, path: bytes, stopping: bool = False) -> bytes:
         async def task(world):
-            long = route("long", RouteKind.AT_MOST_ONCE, timeout=20.0)
+            long = route("long", RouteKind.AT_MOST_ONCE, timeout_seconds=20.0)
             world.directory.put_routes(routes(2, long))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -141,7 +141,7 @@
         """Have a caller of a long stream read nothing; return the host's log lines."""
 
         async def task(world):
-            long = route("long", RouteKind.STREAM, timeout=timeout, **PROMPTED)
+            long = route("long", RouteKind.STREAM, timeout_seconds=timeout, **PROMPTED)
             world.directory.put_routes(routes(2, long))
             await trio.sleep(0.1)
             process = await start_process(world)
@@ -173,7 +173,7 @@
         """
 
         async def task(world):
-            long = route("long", RouteKind.STREAM, timeout=20.0, **PROMPTED)
+            long = route("long", RouteKind.STREAM, timeout_seconds=20.0, **PROMPTED)
             world.directory.put_routes(routes(2, long))
             await trio.sleep(0.1)
             process = await start_process(world)
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -15,9 +15,9 @@
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
 from berylshift.platform.codec import PlatformCodec
-from berylshift.platform.configuration import read_routes
-from berylshift.platform.entries import read_replica
-from berylshift.platform.unknown_headers import MOST_NAMES
+from berylshift.platform.configuration import parse_configuration
+from berylshift.platform.entries import parse_replica_entry
+from berylshift.platform.unknown_headers import MAX_NAMES
 from berylshift.request.errors import BadRequestError
 from berylshift.store.directory import MalformedEntryError
 from berylshift.tests.support import EXPLORE
@@ -65,7 +65,7 @@
     (names.TIME_LEFT_MS, b"6000"),
     (names.MODEL, b"m"),
     (names.TOKEN_COUNTS, b"1460,80"),
-    (names.PROMPT_PARTS, b"5c:800,91:410,e4:250"),
+    (names.PREFIX_BLOCKS, b"5c:800,91:410,e4:250"),
     (names.LENGTH_HINT, b"20"),
 ]
 
@@ -79,22 +79,25 @@
     """The operators' configuration."""
 
     def test_routes(self):
-        table = read_routes(CONFIGURATION)
+        table = parse_configuration(CONFIGURATION)
         route = table.match("a.example", "/x/1")
         self.assertEqual(table.version, 7)
         self.assertEqual(
-            (route.kind, route.timeout, route.objective), ("stream", 4, 0.6)
+            (route.kind, route.timeout_seconds, route.objective_seconds),
+            ("stream", 4, 0.6),
+        )
+        self.assertTrue(route.has_prompt_info and route.resumable)
+        self.assertEqual(
+            (route.rank, route.max_attempts, route.event_gap_seconds), (1, 2, 0.3)
         )
-        self.assertTrue(route.prompted and route.resumable)
-        self.assertEqual((route.rank, route.most_attempts, route.pause), (1, 2, 0.3))
 
     def test_split_over_services(self):
-        route = read_routes(CONFIGURATION).match("a.example", "/y/")
+        route = parse_configuration(CONFIGURATION).match("a.example", "/y/")
         self.assertEqual(route.kind, RouteKind.AT_MOST_ONCE)
         self.assertEqual([s.weight for s in route.shares], [90, 10])
 
     def test_limits_and_engines(self):
-        table = read_routes(CONFIGURATION)
+        table = parse_configuration(CONFIGURATION)
         self.assertEqual(table.limits.body_bytes, 1000)
         self.assertEqual(table.limits.header_seconds, 3.0)
         self.assertEqual(table.services["s1"].engine.slots, 64)
@@ -104,11 +107,11 @@
         """Guards against a new part of the configuration that nobody notices."""
         data = CONFIGURATION[:-1] + b',"quotas":[{"secret":"x"}]}'
         with self.assertLogs("berylshift.platform.configuration", "WARNING") as logs:
-            read_routes(data)
+            parse_configuration(data)
         self.assertEqual(logs.records[0].parts, ["quotas"])
         self.assertNotIn("secret", str(logs.records[0].__dict__))
         with self.assertNoLogs("berylshift.platform.configuration", "WARNING"):
-            read_routes(CONFIGURATION)
+            parse_configuration(CONFIGURATION)
 
     def test_what_can_not_be_read_names_the_place(self):
         bad = {
@@ -121,7 +124,7 @@
                 self.subTest(word=word),
                 self.assertRaisesRegex(MalformedEntryError, word),
             ):
-                read_routes(data)
+                parse_configuration(data)
 
 
 class EntryTest(unittest.TestCase):
@@ -133,21 +136,21 @@
             b'"batch_slots":64,"state":"draining","cold_remaining_ms":0,'
             b'"phase":"decode","models":[],"sequence":4}'
         )
-        replica = read_replica("i-1", data)
+        replica = parse_replica_entry("i-1", data)
         self.assertEqual((replica.instance, replica.domain), ("i-1", "z"))
         self.assertTrue(replica.draining)
         self.assertIs(replica.phase, EnginePhase.DECODE)
 
     def test_bad_entry_names_the_replica(self):
         with self.assertRaisesRegex(MalformedEntryError, "i-9"):
-            read_replica("i-9", b'{"service":3}')
+            parse_replica_entry("i-9", b'{"service":3}')
 
     def test_a_start_is_an_instance_of_its_own(self):
-        first = read_replica("i-1", entry(born=1_700_000_000_000))
-        again = read_replica("i-1", entry(born=1_700_000_009_000))
+        first = parse_replica_entry("i-1", entry(born=1_700_000_000_000))
+        again = parse_replica_entry("i-1", entry(born=1_700_000_009_000))
         self.assertEqual((first.name, again.name), ("i-1", "i-1"))
         self.assertNotEqual(first.instance, again.instance)
-        self.assertEqual(read_replica("i-1", entry()).instance, "i-1")
+        self.assertEqual(parse_replica_entry("i-1", entry()).instance, "i-1")
 
     def test_an_entry_of_another_writer_names_no_replica(self):
         """Someone else writes into the list: fields missing, of other types, unknown.
@@ -180,7 +183,7 @@
 
     def check_foreign(self, values: dict):
         with self.assertRaises(MalformedEntryError):
-            read_replica("i-1", msgspec.json.encode(values))
+            parse_replica_entry("i-1", msgspec.json.encode(values))
 
 
 JSON_VALUES = st.recursive(
@@ -220,7 +223,10 @@
         self.read_both(json.dumps(found).encode())
 
     def read_both(self, data: bytes) -> None:
-        for read in (lambda: read_replica("i-1", data), lambda: read_routes(data)):
+        for read in (
+            lambda: parse_replica_entry("i-1", data),
+            lambda: parse_configuration(data),
+        ):
             with contextlib.suppress(MalformedEntryError):
                 read()
 
@@ -308,8 +314,8 @@
 
     def test_announced_nonsense_only_costs_the_placement(self):
         for value in (b"a", b"a:b", b":,", b"\xff:1"):
-            headers = [h for h in USUAL if h[0] != names.PROMPT_PARTS]
-            headers.append((names.PROMPT_PARTS, value))
+            headers = [h for h in USUAL if h[0] != names.PREFIX_BLOCKS]
+            headers.append((names.PREFIX_BLOCKS, value))
             req = self.language.parse_request(b"POST", b"/x/", headers, NO_BODY)
             self.assertIsNone(req.prompt)
 
@@ -367,9 +373,9 @@
     def test_no_more_than_so_many_unknown_headers_are_named(self):
         language = PlatformCodec()
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
-            for number in range(2 * MOST_NAMES):
+            for number in range(2 * MAX_NAMES):
                 language.parse_response_head(200, [(b"x-%d" % number, b"1")])
-        self.assertEqual(len(logs.records), MOST_NAMES)
+        self.assertEqual(len(logs.records), MAX_NAMES)
 
     def test_a_limit_is_a_number_of_requests_a_second(self):
         def limit(value: bytes) -> float | None:
@@ -399,7 +405,7 @@
         def leaving(value: bytes) -> bool:
             return (
                 PlatformCodec()
-                .parse_flow_control(200, [(names.LEAVING, value)])
+                .parse_flow_control(200, [(names.DRAINING, value)])
                 .draining
             )
 
--- a/berylshift/tests/test_platform_batch.py
+++ b/berylshift/tests/test_platform_batch.py
@@ -14,8 +14,8 @@
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
+    ResponseLostError,
     StoreThrottledError,
     Transaction,
     Write,
@@ -84,7 +84,7 @@
             async def put(key):
                 try:
                     await gate.put_row(Condition(key, ABSENT), Write(key, as_raw(1)))
-                except AnswerLostError:
+                except ResponseLostError:
                     lost.append(key)
 
             async with trio.open_nursery() as nursery:
--- a/berylshift/tests/test_platform_leader_calls.py
+++ b/berylshift/tests/test_platform_leader_calls.py
@@ -14,9 +14,9 @@
 from berylshift.messages.leader_calls import CallResult, LeaseHolder
 from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.messages.usage import CustomerCount, UsageReport
-from berylshift.platform.configuration import read_routes
-from berylshift.platform.entries import read_replica
-from berylshift.platform.leader_calls import PlatformDuties
+from berylshift.platform.configuration import parse_configuration
+from berylshift.platform.entries import parse_replica_entry
+from berylshift.platform.leader_calls import PlatformLeaderCalls
 from berylshift.tests.support import run_virtual
 from berylshift.tests.test_platform_adapter import CONFIGURATION, entry
 from berylshift.version.routes import DomainPrice, Scaling
@@ -59,7 +59,7 @@
                 return near
 
             client = HttpClient(dial)
-            duties = PlatformDuties(client, "10.0.0.1:80", TIMEOUT_SECONDS)
+            duties = PlatformLeaderCalls(client, "10.0.0.1:80", TIMEOUT_SECONDS)
             found = await use(duties)
             nursery.cancel_scope.cancel()
         return found
@@ -121,14 +121,16 @@
 
     def test_bounds_and_prices(self):
         data = CONFIGURATION.replace(b'"engine":', SCALING + b'"engine":', 1)
-        services = read_routes(data).services
+        services = parse_configuration(data).services
         prices = (DomainPrice("a", 0.85), DomainPrice("b", 1.2))
         self.assertEqual(services["s1"].scaling, Scaling(1, 15, 4.0, 0.18, prices))
         self.assertIsNone(services["s2"].scaling)
 
     def test_a_replica_that_may_be_taken_away(self):
-        self.assertTrue(read_replica("i", entry(spot_enabled=True)).interruptible)
-        self.assertFalse(read_replica("i", entry()).interruptible)
+        self.assertTrue(
+            parse_replica_entry("i", entry(spot_enabled=True)).interruptible
+        )
+        self.assertFalse(parse_replica_entry("i", entry()).interruptible)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_platform_store.py
+++ b/berylshift/tests/test_platform_store.py
@@ -18,12 +18,12 @@
 from berylshift.platform.store import PlatformDirectory
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.stand_ins.store_server import StoreRow, StoreServer
-from berylshift.store.client import StoreCalls
+from berylshift.store.client import StoreClient
 from berylshift.store.crash_rows import CrashRow
 from berylshift.store.directory import HistoryLostError, MalformedEntryError
 from berylshift.store.host_rows import HostRecord
 from berylshift.store.interfaces import (
-    AnswerLostError,
+    ResponseLostError,
     StoreThrottledError,
     StoreUnavailableError,
 )
@@ -56,7 +56,7 @@
         # Given the responder of a call, returns the one that its answer goes through.
         self.through = lambda responder: responder
         self.client = HttpClient(self.dial)
-        self.calls = StoreCalls(self.client, ADDRESS, 0.5)
+        self.calls = StoreClient(self.client, ADDRESS, 0.5)
         self.directory = PlatformDirectory(self.calls)
         self.dials = 0
 
@@ -253,7 +253,7 @@
         self.assertIs(self.read_with(410), HistoryLostError)
         self.assertTrue(issubclass(self.read_with(503), StoreUnavailableError))
         self.assertTrue(issubclass(self.read_with(429), StoreUnavailableError))
-        self.assertIs(self.read_with(500), AnswerLostError)
+        self.assertIs(self.read_with(500), ResponseLostError)
         self.assertFalse(issubclass(HistoryLostError, StoreThrottledError))
 
     def test_a_silent_connection_is_left_for_a_new_one(self):
@@ -265,7 +265,7 @@
         async def task(world):
             await world.directory.read_replicas()
             world.silent = True
-            with self.assertRaises(AnswerLostError):
+            with self.assertRaises(ResponseLostError):
                 await world.directory.read_replicas()
             world.silent = False
             before = world.dials
@@ -283,8 +283,8 @@
             leases = PlatformLeases(world.calls)
             empty = await leases.read("a")
             record = LeaseRecord("h1", "g1", 5)
-            first = await leases.swap("a", record, empty.revision)
-            second = await leases.swap("a", record, empty.revision)
+            first = await leases.compare_and_swap("a", record, empty.revision)
+            second = await leases.compare_and_swap("a", record, empty.revision)
             return first, second, await leases.read("a"), record
 
         first, second, row, record = self.run_store(task)
@@ -314,7 +314,7 @@
             leases = PlatformLeases(world.calls)
             row = await leases.read("a")
             record = LeaseRecord("h1", "g1", 5000, row.era)
-            granted = await leases.swap("a", record, row.revision)
+            granted = await leases.compare_and_swap("a", record, row.revision)
             later = await world.directory.read_replicas()
             routes = await world.directory.read_routes()
             return first, row.era, granted.era, later.era, routes.era
@@ -324,7 +324,7 @@
     def test_an_era_that_is_no_number_is_no_answer(self):
         async def task(world):
             world.store.era = "x"
-            with self.assertRaises(AnswerLostError):
+            with self.assertRaises(ResponseLostError):
                 await world.directory.read_replicas()
 
         self.run_store(task)
@@ -332,7 +332,7 @@
     def test_all_hosts_share_the_first_key(self):
         async def task(world):
             hosts = PlatformHosts(world.calls)
-            keys = [await hosts.shared_key(f"k{n}") for n in range(3)]
+            keys = [await hosts.get_or_set_shared_key(f"k{n}") for n in range(3)]
             for name in ("h1", "h2"):
                 await hosts.announce(HostRecord(name, "10.0.0.1:9"))
             return keys, await hosts.hosts()
--- a/berylshift/tests/test_request_key_gate.py
+++ b/berylshift/tests/test_request_key_gate.py
@@ -9,7 +9,7 @@
 from berylshift.ids import CustomerName, ReplicaName, TableVersion
 from berylshift.messages.routed import Dispatch
 from berylshift.platform import names
-from berylshift.platform.codec import LONGEST_KEY_BYTES, PlatformCodec
+from berylshift.platform.codec import MAX_KEY_BYTES, PlatformCodec
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.request.key_gate import KeyGate, KeyVerdict
 from berylshift.tests.entry_world import route
@@ -156,7 +156,7 @@
             b"Basic " + KEY,
             b"Bearer",
             b"Bearer a b",
-            b"Bearer " + b"k" * (LONGEST_KEY_BYTES + 1),
+            b"Bearer " + b"k" * (MAX_KEY_BYTES + 1),
             b"",
         ):
             self.assertIsNone(request((names.AUTHORIZATION, value)).key, value[:20])
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -21,7 +21,9 @@
 from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
 
-ROUTE = route("x", RouteKind.STREAM, objective=0.8, rank=0, pause=0.3)
+ROUTE = route(
+    "x", RouteKind.STREAM, objective_seconds=0.8, rank=0, event_gap_seconds=0.3
+)
 PREFILL_ENGINE = replica(1, EnginePhase.PREFILL)
 POOL = Pool([PREFILL_ENGINE, replica(2, EnginePhase.DECODE)])
 # The tokens that the engine prefills in half a second.
@@ -47,7 +49,7 @@
         """Schedule a prompt of 16,000 tokens and send it; return the decision."""
         job = PrefillJob(ROUTE, "s", POOL, prompt(), waited_seconds)
         decision = self.scheduler.choose(job, self.now)
-        if decision.seconds <= ROUTE.patience:
+        if decision.seconds <= ROUTE.caller_patience_seconds:
             urgency = Urgency.URGENT
             if decision.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
@@ -63,7 +65,11 @@
         on_time = statuses.count(SloStatus.ON_TIME)
         self.assertGreater(on_time, 1)
         self.assertEqual(statuses[:on_time], [SloStatus.ON_TIME] * on_time)
-        refused = [decision for decision in burst if decision.seconds > ROUTE.patience]
+        refused = [
+            decision
+            for decision in burst
+            if decision.seconds > ROUTE.caller_patience_seconds
+        ]
         self.assertGreater(len(refused), 10)
         self.assertNotIn(
             SloStatus.ON_TIME, {decision.slo_status for decision in refused}
@@ -75,7 +81,7 @@
         self.loads.of(PREFILL_ENGINE.instance).prefill_tokens[Urgency.URGENT] = 0
         decision = self.arrive()
         self.assertIs(decision.slo_status, SloStatus.ON_TIME)
-        self.assertLess(decision.seconds, ROUTE.objective)
+        self.assertLess(decision.seconds, ROUTE.objective_seconds)
 
     def test_a_prompt_that_waited_too_long_is_late_at_an_idle_engine(self):
         self.assertIs(self.arrive(waited_seconds=0.5).slo_status, SloStatus.LATE)
--- a/berylshift/tests/test_request_retry_policy.py
+++ b/berylshift/tests/test_request_retry_policy.py
@@ -13,8 +13,8 @@
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
 
-ONCE = retry_bounds(route("book", RouteKind.AT_MOST_ONCE, most_attempts=3))
-AGAIN = retry_bounds(route("look", RouteKind.IDEMPOTENT, most_attempts=2))
+ONCE = retry_bounds(route("book", RouteKind.AT_MOST_ONCE, max_attempts=3))
+AGAIN = retry_bounds(route("look", RouteKind.IDEMPOTENT, max_attempts=2))
 
 
 def after(*ends: AttemptOutcome) -> AttemptHistory:
--- a/berylshift/tests/test_request_timeout.py
+++ b/berylshift/tests/test_request_timeout.py
@@ -14,7 +14,9 @@
 
     def timeout_for(self, seconds_left):
         req = RoutedRequest(RequestId("r1"), b"POST", b"/", (), None, seconds_left)
-        timeout = request_timeout(route("look", RouteKind.IDEMPOTENT, timeout=4.0), req)
+        timeout = request_timeout(
+            route("look", RouteKind.IDEMPOTENT, timeout_seconds=4.0), req
+        )
         return timeout.seconds, timeout.source
 
     def test_the_shorter_timeout_applies(self):
--- a/berylshift/tests/test_signals.py
+++ b/berylshift/tests/test_signals.py
@@ -52,7 +52,7 @@
                 names.ATTEMPT_ID.decode(): "r1",
                 names.TIME_LEFT_MS.decode(): "9000",
                 names.TOKEN_COUNTS.decode(): "3000,80",
-                names.PROMPT_PARTS.decode(): "a1:2000,ff:1000",
+                names.PREFIX_BLOCKS.decode(): "a1:2000,ff:1000",
                 "x-pieces": str(PIECES),
                 **demo.shown_key(),
             }
--- a/berylshift/tests/test_store_slow_answers.py
+++ b/berylshift/tests/test_store_slow_answers.py
@@ -5,7 +5,7 @@
 import trio
 
 from berylshift.platform import names
-from berylshift.store.interfaces import AnswerLostError
+from berylshift.store.interfaces import ResponseLostError
 from berylshift.tests.entry_world import EntryWorld
 from berylshift.tests.support import VirtualTestCase
 from berylshift.tests.test_platform_store import StoreWorld
@@ -125,7 +125,7 @@
             await world.directory.read_replicas()
             world.through = through
             start = trio.current_time()
-            with self.assertRaises(AnswerLostError):
+            with self.assertRaises(ResponseLostError):
                 await world.directory.read_replicas()
             seconds = trio.current_time() - start
             world.through = lambda responder: responder
--- a/berylshift/tests/test_version_diff.py
+++ b/berylshift/tests/test_version_diff.py
@@ -1,4 +1,4 @@
-"""Tests of edits, merges and checks of the table."""
+"""Edits, merges and validation of the table."""
 
 import unittest
 
@@ -23,14 +23,14 @@
 
 
 class MergeTest(unittest.TestCase):
-    """Two operators edit the same table at the same moment."""
+    """Two operators edit the table concurrently."""
 
     def setUp(self):
         self.base = engines_table(3, version=4)
 
     def test_edits_of_different_rows_merge(self):
-        # One operator drains engine-1 while the other weighs engine-2 down. Both
-        # edits are right, and neither operator needs to know of the other.
+        # One operator changes the weight of engine-1, the other one that of engine-2.
+        # Both edits are valid and neither conflicts with the other.
         theirs = change(5, route_row("engine-1", weight=7))
         mine = Edit(4, [route_row("engine-2", weight=9)], [])
         rows = merge(mine, self.base.apply(theirs), [theirs]).unwrap()
@@ -38,67 +38,67 @@
         self.assertEqual(weights["engine-1"], 7)
         self.assertEqual(weights["engine-2"], 9)
 
-    def test_edits_of_one_row_conflict_and_name_it(self):
+    def test_edits_of_the_same_row_conflict_and_name_it(self):
         theirs = change(5, route_row("engine-1", weight=7))
         mine = Edit(4, [route_row("engine-1", weight=9)], [])
-        why = merge(mine, self.base.apply(theirs), [theirs]).failure()
-        self.assertIsInstance(why, Conflict)
-        self.assertEqual(why.rows, ["route:nestwatch:engine-1"])
-        self.assertIn("version 4 to 5", str(why))
+        error = merge(mine, self.base.apply(theirs), [theirs]).failure()
+        self.assertIsInstance(error, Conflict)
+        self.assertEqual(error.rows, ["route:nestwatch:engine-1"])
+        self.assertIn("version 4 to 5", str(error))
 
-    def test_a_merge_that_breaks_the_table_is_rejected(self):
+    def test_merge_that_makes_the_table_invalid_is_rejected(self):
         # The other operator removed the engine that this route names.
         engine = engine_row("engine-1").key
         route = route_row("engine-1").key
         theirs = change(5, drop=[engine, route])
         mine = Edit(4, [route_row("engine-1", fleet="consorcio")], [])
-        why = merge(mine, self.base.apply(theirs), [theirs]).failure()
-        self.assertIsInstance(why, Rejected)
-        self.assertEqual(why.faults[0].column, "target")
+        error = merge(mine, self.base.apply(theirs), [theirs]).failure()
+        self.assertIsInstance(error, Rejected)
+        self.assertEqual(error.faults[0].column, "target")
 
-    def test_edit_between_finds_what_differs(self):
+    def test_edit_between_contains_only_the_differences(self):
         rows = [row for row in self.base.rows.values() if row.target != "engine-3"]
         rows[0] = msgspec.structs.replace(rows[0], limit=9)
         edit = edit_between(self.base, rows)
         self.assertEqual([row.target for row in edit.put], ["engine-1"])
         self.assertEqual({key.target for key in edit.drop}, {"engine-3"})
 
-    def test_versions_follow_each_other(self):
+    def test_change_must_be_of_the_next_version(self):
         with self.assertRaises(ValueError):
             self.base.apply(change(6))
 
 
 class CheckTest(unittest.TestCase):
-    """Rows that are wrong or contradict each other."""
+    """Invalid and inconsistent rows."""
 
-    def columns(self, *rows: Row) -> list[str]:
+    def fault_columns(self, *rows: Row) -> list[str]:
         return [fault.column for fault in check_rows(rows)]
 
-    def test_right_rows_have_no_faults(self):
-        self.assertEqual(self.columns(*engines_table(3).rows.values()), [])
+    def test_valid_rows_have_no_faults(self):
+        self.assertEqual(self.fault_columns(*engines_table(3).rows.values()), [])
 
-    def test_engine_needs_its_order_check(self):
+    def test_engine_requires_an_order_check(self):
         row = engine_row("engine-1", orders=OrderCheck.NONE)
-        self.assertEqual(self.columns(row), ["orders"])
+        self.assertEqual(self.fault_columns(row), ["orders"])
 
-    def test_services_take_no_orders(self):
+    def test_services_accept_no_orders(self):
         row = service_row("booking-1", orders=OrderCheck.REFUSES)
-        self.assertEqual(self.columns(row), ["orders"])
+        self.assertEqual(self.fault_columns(row), ["orders"])
 
-    def test_route_to_nowhere(self):
-        self.assertEqual(self.columns(route_row("engine-9")), ["target"])
+    def test_route_to_an_unknown_target(self):
+        self.assertEqual(self.fault_columns(route_row("engine-9")), ["target"])
 
-    def test_route_limit_above_the_targets_own(self):
+    def test_route_limit_above_the_limit_of_its_target(self):
         rows = (engine_row("engine-1", limit=8), route_row("engine-1", limit=9))
-        self.assertEqual(self.columns(*rows), ["limit"])
+        self.assertEqual(self.fault_columns(*rows), ["limit"])
 
-    def test_two_targets_at_one_address(self):
+    def test_two_targets_with_one_address(self):
         rows = (engine_row("engine-1"), engine_row("engine-2", address="10.0.0.1:8000"))
-        self.assertEqual(self.columns(*rows), ["address"])
+        self.assertEqual(self.fault_columns(*rows), ["address"])
 
     def test_customer_of_an_unknown_fleet(self):
         row = Row(RowKind.CUSTOMER, "c", fleet="nowhere")
-        self.assertEqual(self.columns(row), ["fleet"])
+        self.assertEqual(self.fault_columns(row), ["fleet"])
 
     def test_faults_name_row_value_and_reason(self):
         fault = check_rows([route_row("engine-9")])[0]
@@ -110,9 +110,9 @@
 
 
 class CandidatesTest(unittest.TestCase):
-    """What a table allows."""
+    """Targets that a table offers for new work."""
 
-    def test_only_active_targets_with_a_weight_take_work(self):
+    def test_only_active_targets_with_a_weight_accept_work(self):
         rows = [
             engine_row("engine-1", state="draining"),
             route_row("engine-1"),
@@ -123,7 +123,7 @@
         ]
         rows = [msgspec.convert(msgspec.to_builtins(row), Row) for row in rows]
         found = Table(TableVersion(1), rows).candidates("nestwatch", "match-note")
-        self.assertEqual([item.row.target for item in found], ["engine-3"])
+        self.assertEqual([candidate.row.target for candidate in found], ["engine-3"])
         self.assertEqual(found[0].limit, 5)
 
     def test_another_fleet_has_no_candidates(self):
--- a/berylshift/tools/demo_entry.py
+++ b/berylshift/tools/demo_entry.py
@@ -236,7 +236,7 @@
         headers |= self.shown_key()
         if kind is Kind.NOTE:
             headers[names.TOKEN_COUNTS.decode()] = "3000,80"
-            headers[names.PROMPT_PARTS.decode()] = "a1:2000,ff:1000"
+            headers[names.PREFIX_BLOCKS.decode()] = "a1:2000,ff:1000"
             headers["x-pieces"] = str(PIECES)
         host = random.choice([host for host in self.hosts if host.serving])
         out = Outgoing(host.address, "POST", f"/{kind}/x", headers, b"{}", reuse=False)
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -21,7 +21,7 @@
 from berylshift.version.changelog import TableLog
 from berylshift.version.diff import Edit
 from berylshift.version.rows import OrderCheck, Row, RowKind
-from berylshift.version.table_csv import row_with
+from berylshift.version.table_csv import with_cell
 
 ENGINES = 4
 REPLICAS = 2
@@ -170,7 +170,7 @@
         log = self.table_log()
         table = await log.load()
         row = next(row for row in table.rows.values() if row.target == event.who)
-        changed = row_with(row, event.column, event.value).unwrap()
+        changed = with_cell(row, event.column, event.value).unwrap()
         edit = Edit(table.version, [changed], [])
         done = await log.commit(edit, ChangeId("demo-2"), "demo", "")
         if not isinstance(done, Success):
--- a/berylshift/tools/mark_commands.py
+++ b/berylshift/tools/mark_commands.py
@@ -16,7 +16,7 @@
 from berylshift.tools.table_commands import find_row
 from berylshift.version.diff import Edit
 from berylshift.version.rows import Row, RowKind, RowState
-from berylshift.version.table_csv import row_with
+from berylshift.version.table_csv import with_cell
 
 WAIT_STEP = 0.5
 MARKS = {
@@ -45,9 +45,9 @@
         """Commit the mark, then wait if asked to."""
         table = await session.log.load()
         row = self.row(table)
-        changed = row_with(row, "state", self.mark.value).unwrap()
+        changed = with_cell(row, "state", self.mark.value).unwrap()
         if self.option("address"):
-            changed = row_with(changed, "address", self.option("address")).unwrap()
+            changed = with_cell(changed, "address", self.option("address")).unwrap()
         done = await session.commit(Edit(table.version, [changed], []))
         code = self.report(done)
         if code is not Exit.OK or not self.option("wait"):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -585,7 +585,7 @@
     Proof(
         "an answer of the store that never ends is given up",
         "store/client.py",
-        "wait + LONGEST_READ_SECONDS",
+        "wait + MAX_READ_SECONDS",
         'float("inf")',
         "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
     ),
@@ -627,9 +627,11 @@
     Proof(
         "a row that can't be read hides no other",
         "platform/store.py",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except MalformedEntryError as exc:",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except KeyError as exc:",
         "test_platform_store.ReplicaFeedTest",
     ),
--- a/berylshift/tools/replay_command.py
+++ b/berylshift/tools/replay_command.py
@@ -19,7 +19,7 @@
 from berylshift.replay.virtual_fleet import FleetSpec
 from berylshift.settings import read_credentials
 from berylshift.tools.session import Exit, ToolError
-from berylshift.version.checks import valid_address
+from berylshift.version.checks import is_valid_address
 
 COLUMNS = (
     "trace",
@@ -103,7 +103,7 @@
 
     async def _replay_http(self, trace: Trace, progress) -> ReplayResult:
         entries = self.option("entry")
-        if not entries or not all(valid_address(entry) for entry in entries):
+        if not entries or not all(is_valid_address(entry) for entry in entries):
             raise ToolError(Exit.BAD_INPUT, "give --virtual, or --entry IP:PORT")
         client = HttpClient()
         fleet = HttpFleet(
--- a/berylshift/tools/table_commands.py
+++ b/berylshift/tools/table_commands.py
@@ -16,7 +16,7 @@
 from berylshift.version.diff import Edit, edit_between
 from berylshift.version.rows import COLUMNS, Row, RowKind
 from berylshift.version.table import Table
-from berylshift.version.table_csv import Sheet, read_sheet, row_with, write_sheet
+from berylshift.version.table_csv import CsvTable, format_csv, parse_csv, with_cell
 
 
 class TableShow(PlatformCommand):
@@ -52,7 +52,7 @@
 
     async def work(self, session: PlatformSession) -> int:
         """Write the file."""
-        text = write_sheet(await session.log.load())
+        text = format_csv(await session.log.load())
         path = self.argument("file")
         if path == "-":
             self.io.write(text)
@@ -72,23 +72,23 @@
     async def work(self, session: PlatformSession) -> int:
         """Commit what differs from the version that was exported."""
         sheet = self._read()
-        head, _ = await session.log.head()
+        head, _ = await session.log.read_head()
         if sheet.base > head.version:
             text = f"the file says version {sheet.base}, the newest is {head.version}"
             raise ToolError(Exit.BAD_INPUT, text)
-        base = await session.log.at(sheet.base)
+        base = await session.log.load_version(sheet.base)
         edit = edit_between(base, sheet.rows)
         if not edit.keys:
             self.line("nothing differs")
             return Exit.OK
         return self.report(await session.commit(edit))
 
-    def _read(self) -> Sheet:
+    def _read(self) -> CsvTable:
         try:
             text = Path(self.argument("file")).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as exc:
             raise ToolError(Exit.BAD_INPUT, f"file can't be read: {exc}") from exc
-        match read_sheet(text):
+        match parse_csv(text):
             case Success(sheet):
                 return sheet
             case Failure(faults):
@@ -129,7 +129,7 @@
         """Commit the changed row."""
         table = await self._table(session)
         row = find_row(table, self.argument("target"), self.option("fleet") or "")
-        match row_with(row, self.argument("column"), self.argument("value")):
+        match with_cell(row, self.argument("column"), self.argument("value")):
             case Success(changed):
                 edit = Edit(table.version, [changed], [])
                 return self.report(await session.commit(edit))
@@ -143,7 +143,7 @@
             return await session.log.load()
         if not at.isdigit():
             raise ToolError(Exit.BAD_INPUT, "--at takes a version's number")
-        return await session.log.at(int(at))
+        return await session.log.load_version(int(at))
 
 
 class TableHistory(PlatformCommand):
@@ -162,9 +162,9 @@
         most = self.option("most")
         if not most.isdigit():
             raise ToolError(Exit.BAD_INPUT, "--most takes a number")
-        head, _ = await session.log.head()
+        head, _ = await session.log.read_head()
         first = max(0, head.version - int(most))
-        for change in reversed(await session.log.changes(first, head.version)):
+        for change in reversed(await session.log.read_changes(first, head.version)):
             put = [str(row.key) for row in change.put]
             rows = ", ".join([*put, *(f"-{key}" for key in change.drop)])
             self.line(f"{change.version}  {change.at}  {change.operator}  {rows}")
--- a/berylshift/version/__init__.py
+++ b/berylshift/version/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one version of the operators' table."""
+"""Immutable versions of the operators' table and of the routes."""
--- a/berylshift/version/changelog.py
+++ b/berylshift/version/changelog.py
@@ -1,8 +1,8 @@
-"""The operators' table as it lies in the platform: a head, changes, snapshots.
+"""The operators' table as stored on the platform: a head, changes and snapshots.
 
-The head row names the newest version. Each version has a row with what it
-changed, so that a process reads only what it lacks; every so often the whole
-table goes to the object store.
+The head row names the newest version. Each version has a row with its changes, so
+that a process reads only the versions it lacks. Every ``SNAPSHOT_INTERVAL_VERSIONS``
+versions the whole table is written to the object store.
 """
 
 from dataclasses import dataclass
@@ -15,13 +15,13 @@
 from berylshift.process.limits.store_budget import Priority
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
     ObjectStore,
     PlatformError,
+    ResponseLostError,
     StoredRow,
     Transaction,
-    TransactionAnswer,
+    TransactionResult,
     Write,
     as_raw,
 )
@@ -30,13 +30,13 @@
 from berylshift.version.table import EMPTY_TABLE, Change, Table
 
 HEAD_KEY = "table/head"
-SNAPSHOT_EVERY = 64
-CHANGES_A_READ = 64
-COMMIT_TRIES = 5
+SNAPSHOT_INTERVAL_VERSIONS = 64
+CHANGES_PER_READ = 64
+MAX_COMMIT_ATTEMPTS = 5
 
 
 class Head(msgspec.Struct, frozen=True):
-    """The newest version, and the newest one with a snapshot (0: none)."""
+    """The newest version, and the newest version with a snapshot (0: none)."""
 
     version: TableVersion
     change_id: ChangeId
@@ -45,19 +45,19 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """A whole table of one version."""
+    """The whole table at one version."""
 
     version: TableVersion
     rows: list[Row]
 
 
 class TableLogError(Exception):
-    """The table's history in the platform can't be read as it should."""
+    """The table's stored history is incomplete."""
 
 
 @dataclass(frozen=True)
 class Accepted:
-    """An accepted edit."""
+    """An edit that was committed."""
 
     change: Change
 
@@ -70,33 +70,33 @@
 def snapshot_name(version: int, change_id: ChangeId) -> str:
     """Return the object name of a version's snapshot.
 
-    Two operators may try for one version at once. The change id keeps the loser's
-    snapshot from standing under the winner's name.
+    Two operators may try to commit the same version concurrently. The change id keeps
+    the snapshot of the one that fails from being read as the committed one's.
     """
     return f"table/snapshot/{version:010d}-{change_id}"
 
 
 class RowAccess(Protocol):
-    """Rows of the table service, by priority; raises ``PlatformError``."""
+    """Rows of the table service, by priority; all calls raise ``PlatformError``."""
 
     async def read(self, keys: list[str], priority: Priority) -> list[StoredRow | None]:
-        """Return the rows as of one moment."""
+        """Return the rows from one consistent read."""
 
     async def transact(
         self, transaction: Transaction, priority: Priority
-    ) -> TransactionAnswer:
-        """Commit or name the failed conditions."""
+    ) -> TransactionResult:
+        """Commit, or return the keys of the failed conditions."""
 
 
 class TableLog:
-    """Reads and extends the table's history."""
+    """Reads the table's history and appends to it."""
 
     def __init__(self, gate: RowAccess, objects: ObjectStore):
-        """Keep rows behind ``gate`` and snapshots in ``objects``."""
+        """Store rows through ``gate`` and snapshots in ``objects``."""
         self._gate = gate
         self._objects = objects
 
-    async def head(self) -> tuple[Head, int]:
+    async def read_head(self) -> tuple[Head, int]:
         """Return the head and its revision; raise ``PlatformError``."""
         found = await self._gate.read([HEAD_KEY], Priority.TABLE)
         if found[0] is None:
@@ -107,46 +107,46 @@
     async def read_with_head(
         self, keys: list[str]
     ) -> tuple[Head, list[StoredRow | None]]:
-        """Return the head and other rows as of the same moment."""
+        """Return the head and other rows from one consistent read."""
         found = await self._gate.read([HEAD_KEY, *keys], Priority.TABLE)
         if found[0] is None:
             return Head(TableVersion(0), ChangeId("")), found[1:]
         return msgspec.json.decode(found[0].value, type=Head), found[1:]
 
-    async def changes(self, after: int, upto: int) -> list[Change]:
-        """Return the changes of versions ``after + 1`` to ``upto``."""
+    async def read_changes(self, after: int, last: int) -> list[Change]:
+        """Return the changes of versions ``after + 1`` to ``last``."""
         found: list[Change] = []
-        for start in range(after + 1, upto + 1, CHANGES_A_READ):
-            versions = range(start, min(upto + 1, start + CHANGES_A_READ))
+        for start in range(after + 1, last + 1, CHANGES_PER_READ):
+            versions = range(start, min(last + 1, start + CHANGES_PER_READ))
             keys = [change_key(version) for version in versions]
             for stored in await self._gate.read(keys, Priority.TABLE):
                 if stored is None:
-                    raise TableLogError("a version's change is missing")
+                    raise TableLogError("the change row of a version is missing")
                 found.append(msgspec.json.decode(stored.value, type=Change))
         return found
 
     async def catch_up(self, table: Table, head: Head) -> Table:
-        """Return the table at ``head``, starting from ``table``."""
+        """Return the table at ``head``, applying changes to ``table`` or a snapshot."""
         if head.snapshot > table.version:
-            table = await self._snapshot(head) or table
-        for change in await self.changes(table.version, head.version):
+            table = await self._load_snapshot(head) or table
+        for change in await self.read_changes(table.version, head.version):
             table = table.apply(change)
         return table
 
     async def load(self) -> Table:
         """Return the newest table; raise ``PlatformError``."""
-        head, _ = await self.head()
+        head, _ = await self.read_head()
         return await self.catch_up(EMPTY_TABLE, head)
 
-    async def at(self, version: int) -> Table:
-        """Return the table as it was at a version."""
-        head, _ = await self.head()
+    async def load_version(self, version: int) -> Table:
+        """Return the table at a version."""
+        head, _ = await self.read_head()
         base = Head(TableVersion(version), ChangeId(""))
         if head.snapshot <= version:
             base = msgspec.structs.replace(head, version=TableVersion(version))
         return await self.catch_up(EMPTY_TABLE, base)
 
-    async def _snapshot(self, head: Head) -> Table | None:
+    async def _load_snapshot(self, head: Head) -> Table | None:
         name = snapshot_name(head.snapshot, head.snapshot_id)
         data = await self._objects.get(name)
         if data is None:
@@ -157,18 +157,18 @@
     async def commit(
         self, edit: Edit, change_id: ChangeId, operator: str, at: str
     ) -> Result[Accepted, Conflict | Rejected]:
-        """Have an edit accepted, or say why not; raise ``PlatformError``.
+        """Commit an edit, or return why it is refused; raise ``PlatformError``.
 
-        A commit whose answer is lost is looked up by its change id: sent again
-        blindly, it would conflict with itself.
+        If the response to a commit is lost, the commit is looked up by its change id:
+        a plain retry would conflict with itself.
         """
-        for _ in range(COMMIT_TRIES):
-            head, revision = await self.head()
+        for _ in range(MAX_COMMIT_ATTEMPTS):
+            head, revision = await self.read_head()
             current = await self.catch_up(EMPTY_TABLE, head)
-            since = await self.changes(edit.base, head.version)
-            done = [change for change in since if change.change_id == change_id]
-            if done:
-                return Success(Accepted(done[0]))
+            since = await self.read_changes(edit.base, head.version)
+            committed = [change for change in since if change.change_id == change_id]
+            if committed:
+                return Success(Accepted(committed[0]))
             merged = merge(edit, current, since)
             if isinstance(merged, Failure):
                 return merged
@@ -182,7 +182,9 @@
             )
             if await self._write(change, head, revision, merged.unwrap()):
                 return Success(Accepted(change))
-        raise AnswerLostError("the store gave no clear answer; look at the history")
+        raise ResponseLostError(
+            "outcome of the commit unknown; check the table history"
+        )
 
     async def _write(
         self, change: Change, head: Head, revision: int, rows: list[Row]
@@ -191,8 +193,8 @@
         new_head = msgspec.structs.replace(
             head, version=change.version, change_id=change_id
         )
-        due = change.version - head.snapshot >= SNAPSHOT_EVERY
-        if due and await self._put_snapshot(change, rows):
+        is_snapshot_due = change.version - head.snapshot >= SNAPSHOT_INTERVAL_VERSIONS
+        if is_snapshot_due and await self._put_snapshot(change, rows):
             new_head = Head(change.version, change_id, change.version, change_id)
         transaction = Transaction(
             [Condition(HEAD_KEY, revision), Condition(change_key(change.version), 0)],
@@ -202,13 +204,13 @@
             ],
         )
         try:
-            answer = await self._gate.transact(transaction, Priority.TABLE)
-        except AnswerLostError:
+            result = await self._gate.transact(transaction, Priority.TABLE)
+        except ResponseLostError:
             return False
-        return answer.committed
+        return result.committed
 
     async def _put_snapshot(self, change: Change, rows: list[Row]) -> bool:
-        """Store a snapshot; a table without one is merely slower to read."""
+        """Store a snapshot; a failure is no error, since it only makes reads slower."""
         name = snapshot_name(change.version, ChangeId(change.change_id))
         data = msgspec.json.encode(Snapshot(change.version, rows))
         try:
--- a/berylshift/version/checks.py
+++ b/berylshift/version/checks.py
@@ -1,4 +1,4 @@
-"""Checks of a whole table; every fault is reported with row, column and reason."""
+"""Validation of a whole table; each fault names its row, column and reason."""
 
 from collections.abc import Iterable, Iterator
 from ipaddress import ip_address
@@ -9,7 +9,7 @@
 
 MAX_WEIGHT = 1_000_000
 MAX_PORT = 65535
-NEEDED = {
+REQUIRED_COLUMNS = {
     RowKind.ENGINE: ("target", "serves", "address", "domain", "orders"),
     RowKind.SERVICE: ("target", "serves", "address", "domain"),
     RowKind.ROUTE: ("target", "fleet"),
@@ -19,7 +19,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """One thing wrong with a table."""
+    """One validation error of a table."""
 
     row: str
     column: str
@@ -27,47 +27,47 @@
     reason: str
 
     def __str__(self) -> str:
-        """Return the fault as operators read it."""
+        """Return the fault as shown to operators."""
         return f"row {self.row}, column {self.column}: {self.value!r}: {self.reason}"
 
 
 def check_rows(rows: Iterable[Row]) -> list[Fault]:
-    """Return all faults of a table, in the rows' order."""
+    """Return all faults of a table: row faults first, in the order of the rows."""
     rows = list(rows)
     faults = [fault for row in rows for fault in _row_faults(row)]
-    faults += _double_keys(rows)
-    faults += _double_addresses(rows)
+    faults += _duplicate_keys(rows)
+    faults += _duplicate_addresses(rows)
     faults += _reference_faults(rows)
     return faults
 
 
 def _row_faults(row: Row) -> Iterator[Fault]:
-    for column in NEEDED[row.kind]:
+    for column in REQUIRED_COLUMNS[row.kind]:
         if not getattr(row, column):
-            yield _fault(row, column, f"a row of kind {row.kind} needs it")
+            yield _fault(row, column, f"a row of kind {row.kind} requires it")
     if not 0 <= row.weight <= MAX_WEIGHT:
-        yield _fault(row, "weight", f"must be 0 to {MAX_WEIGHT}")
+        yield _fault(row, "weight", f"must be between 0 and {MAX_WEIGHT}")
     if row.limit < 0:
-        yield _fault(row, "limit", "must be 0 (none) or more")
-    if row.address and not valid_address(row.address):
+        yield _fault(row, "limit", "must be 0 (no limit) or more")
+    if row.address and not is_valid_address(row.address):
         yield _fault(row, "address", "must be IP:PORT, as in 10.0.0.1:8000")
     if row.orders is not OrderCheck.NONE and row.kind is not RowKind.ENGINE:
-        yield _fault(row, "orders", "only engines take orders")
+        yield _fault(row, "orders", "only allowed for engines")
     if "/" in row.target:
-        yield _fault(row, "target", "must not hold a slash")
+        yield _fault(row, "target", "must not contain a slash")
 
 
-def valid_address(address: str, least_port: int = 1) -> bool:
-    """Return whether ``address`` is ``IP:PORT`` with a port from ``least_port``."""
+def is_valid_address(address: str, min_port: int = 1) -> bool:
+    """Return whether ``address`` is ``IP:PORT`` with at least port ``min_port``."""
     host, _, port = address.rpartition(":")
     try:
         ip_address(host)
     except ValueError:
         return False
-    return port.isdigit() and least_port <= int(port) <= MAX_PORT
+    return port.isdigit() and min_port <= int(port) <= MAX_PORT
 
 
-def _double_keys(rows: list[Row]) -> Iterator[Fault]:
+def _duplicate_keys(rows: list[Row]) -> Iterator[Fault]:
     seen: set[RowKey] = set()
     for row in rows:
         if row.key in seen:
@@ -75,7 +75,7 @@
         seen.add(row.key)
 
 
-def _double_addresses(rows: list[Row]) -> Iterator[Fault]:
+def _duplicate_addresses(rows: list[Row]) -> Iterator[Fault]:
     owners: dict[str, Row] = {}
     for row in rows:
         if not row.address:
--- a/berylshift/version/customers.py
+++ b/berylshift/version/customers.py
@@ -1,4 +1,4 @@
-"""The customers of one version of the routes, and the keys that they hold."""
+"""The customers of one version of the routes, and their API keys."""
 
 import logging
 from collections.abc import Iterable
@@ -11,20 +11,19 @@
 
 
 class ApiKey(msgspec.Struct, frozen=True):
-    """A secret that a caller shows; it appears in no log line, trace or message."""
+    """A secret that a caller presents; never logged, traced or put into messages."""
 
     secret: bytes
 
     def __repr__(self) -> str:
-        """Return a text that does not tell the secret."""
+        """Return a text without the secret."""
         return "ApiKey(...)"
 
 
 class Customer(msgspec.Struct, frozen=True):
-    """On whose account callers ask.
+    """The account that callers send requests for.
 
-    ``rank`` goes before a route's rank, 0 being the most urgent; ``None``: the route's
-    holds.
+    ``rank`` overrides a route's rank (0 is the most urgent); ``None`` keeps it.
     """
 
     name: CustomerName
@@ -32,31 +31,34 @@
 
 
 class CustomerKeys:
-    """Customers by key; a look-up costs the same however many there are."""
+    """Customers by key; the cost of a look-up does not depend on their number."""
 
     def __init__(self) -> None:
-        """Start without customers: no key is known."""
+        """Start without customers and keys."""
         self._by_key: dict[ApiKey, Customer | None] = {}
         self._names: set[CustomerName] = set()
 
     def add(self, customer: Customer, keys: Iterable[ApiKey]) -> None:
-        """Add a customer, or more keys of one.
+        """Add a customer, or further keys of a known one.
 
-        A key that two customers claim is nobody's: whichever of the two it were given
-        to, the other one's callers would ask on the wrong account.
+        A key that two customers claim belongs to neither: if one of them got it, the
+        other one's callers would be charged to the wrong account.
         """
         self._names.add(customer.name)
         for key in keys:
             if not key.secret:
-                logger.error("key ignored: it is empty", extra=_named(customer))
+                logger.error("API key ignored: empty", extra=_log_fields(customer))
                 continue
-            holder = self._by_key.setdefault(key, customer)
-            if holder is None or holder.name != customer.name:
-                logger.error("key ignored: two claim it", extra=_named(customer))
+            owner = self._by_key.setdefault(key, customer)
+            if owner is None or owner.name != customer.name:
+                logger.error(
+                    "API key ignored: several customers claim it",
+                    extra=_log_fields(customer),
+                )
                 self._by_key[key] = None
 
-    def holder(self, key: ApiKey) -> Customer | None:
-        """Return the customer that holds a key; ``None``: nobody does."""
+    def customer_for(self, key: ApiKey) -> Customer | None:
+        """Return the customer that a key belongs to, or ``None``."""
         return self._by_key.get(key)
 
     @property
@@ -65,9 +67,9 @@
         return frozenset(self._names)
 
     def __len__(self) -> int:
-        """Return how many keys are known."""
+        """Return the number of known keys."""
         return len(self._by_key)
 
 
-def _named(customer: Customer) -> dict[str, str]:
+def _log_fields(customer: Customer) -> dict[str, str]:
     return {"customer": customer.name}
--- a/berylshift/version/diff.py
+++ b/berylshift/version/diff.py
@@ -11,7 +11,7 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """What an operator wants changed, against the version that was read."""
+    """Rows that an operator changes, relative to the version that was read."""
 
     base: int
     put: list[Row]
@@ -19,7 +19,7 @@
 
     @property
     def keys(self) -> set[RowKey]:
-        """Return the keys that the edit touches."""
+        """Return the keys that the edit changes."""
         return {row.key for row in self.put} | set(self.drop)
 
 
@@ -31,21 +31,21 @@
     rows: list[str]
 
     def __str__(self) -> str:
-        """Return the conflict as operators read it."""
+        """Return the conflict as shown to operators."""
         names = ", ".join(self.rows)
         return (
-            f"the table moved from version {self.base} to {self.current}, and these"
-            f" rows were changed by another edit: {names}; export it again"
+            f"the table moved from version {self.base} to {self.current}, and another"
+            f" edit changed the same rows: {names}; export the table again"
         )
 
 
 class Rejected(msgspec.Struct, frozen=True):
-    """An edit whose table would be wrong."""
+    """An edit that would make the table invalid."""
 
     faults: list[Fault]
 
     def __str__(self) -> str:
-        """Return the faults, a line each."""
+        """Return the faults, one per line."""
         return "\n".join(str(fault) for fault in self.faults)
 
 
@@ -60,18 +60,18 @@
 def merge(
     edit: Edit, current: Table, since: Iterable[Change]
 ) -> Result[list[Row], Conflict | Rejected]:
-    """Return the whole table after ``edit``, or why it can't be accepted.
+    """Return all rows after ``edit``, or why it can't be accepted.
 
-    ``since`` holds the changes after the version that the operator read: an edit
-    merges with them unless both touch one row.
+    ``since`` holds the changes made after the version that the operator read. The edit
+    is merged with them unless both change the same row.
     """
-    touched: set[RowKey] = set()
+    changed: set[RowKey] = set()
     for change in since:
-        touched.update(change.drop)
-        touched.update(row.key for row in change.put)
-    clash = sorted(str(key) for key in touched & edit.keys)
-    if clash:
-        return Failure(Conflict(edit.base, current.version, clash))
+        changed.update(change.drop)
+        changed.update(row.key for row in change.put)
+    conflicting = sorted(str(key) for key in changed & edit.keys)
+    if conflicting:
+        return Failure(Conflict(edit.base, current.version, conflicting))
     rows = {key: row for key, row in current.rows.items() if key not in edit.drop}
     rows.update({row.key: row for row in edit.put})
     faults = check_rows(rows.values())
--- a/berylshift/version/freshness.py
+++ b/berylshift/version/freshness.py
@@ -1,8 +1,8 @@
 """Whether this process may route by the table version that it holds.
 
-A process cut off from the store and its peers does not hear that a target is
-leaving, and would send it work for ever. It may route only while its view was
-confirmed within a limit, counted from before the question was sent.
+A process that is partitioned from the store and its peers does not learn that a target
+is draining, and would keep sending work to it. It may route only while its view was
+confirmed within a time limit, counted from when the confirmation was requested.
 """
 
 from collections import deque
@@ -11,9 +11,9 @@
 
 from berylshift.ids import HostName
 
-SAMPLE = 8
-ANSWER_SECONDS = 0.5
-ASKED_KEPT = 256
+MIN_SAMPLE_PEERS = 8
+RESPONSE_SECONDS = 0.5
+MAX_QUERIES_KEPT = 256
 
 
 class View(Enum):
@@ -25,11 +25,11 @@
 
 
 @dataclass(frozen=True)
-class PeerWord:
-    """What a peer says of its view.
+class PeerConfirmation:
+    """A peer's statement about its own view.
 
-    ``asked_at`` is when this process sent the datagram that the peer answers, so a
-    word that lay in a buffer while this process was paused is an old one.
+    ``asked_at`` is when this process sent the datagram that the peer answers, so that a
+    confirmation that stayed in a buffer while this process was paused counts as old.
     ``store_age`` is the age in seconds of the peer's own store confirmation.
     """
 
@@ -42,75 +42,94 @@
 
 @dataclass
 class Freshness:
-    """Keeps when the view was last confirmed; times in monotonic seconds."""
+    """Tracks when the view was last confirmed; times in monotonic seconds."""
 
-    limit: float
+    limit_seconds: float
     version: int = 0
     plan: int = 0
-    hosts: int = 1
-    _by_store: float | None = None
-    _words: dict[HostName, PeerWord] = field(default_factory=dict)
-    _asked: deque[tuple[float, HostName]] = field(
-        default_factory=lambda: deque(maxlen=ASKED_KEPT)
+    host_count: int = 1
+    _store_confirmed_at: float | None = None
+    _confirmations: dict[HostName, PeerConfirmation] = field(default_factory=dict)
+    _queries: deque[tuple[float, HostName]] = field(
+        default_factory=lambda: deque(maxlen=MAX_QUERIES_KEPT)
     )
 
-    def store_confirmed(self, asked_at: float, version: int) -> None:
-        """Note that the store's head, asked for at ``asked_at``, was ``version``."""
+    def note_store_confirmation(self, asked_at: float, version: int) -> None:
+        """Record that the store's head, requested at ``asked_at``, was ``version``."""
         if version <= self.version:
-            self._by_store = max(asked_at, self._by_store or asked_at)
+            self._store_confirmed_at = max(
+                asked_at, self._store_confirmed_at or asked_at
+            )
 
-    def peer_asked(self, peer: HostName, at: float) -> None:
-        """Note that a peer was asked."""
-        self._asked.append((at, peer))
+    def note_peer_query(self, peer: HostName, at: float) -> None:
+        """Record that a peer was asked to confirm the view."""
+        self._queries.append((at, peer))
 
-    def peer_confirmed(self, word: PeerWord) -> None:
-        """Note a peer's word."""
-        old = self._words.get(word.peer)
-        if old is None or word.asked_at >= old.asked_at:
-            self._words[word.peer] = word
+    def note_peer_confirmation(self, confirmation: PeerConfirmation) -> None:
+        """Record a peer's confirmation."""
+        old = self._confirmations.get(confirmation.peer)
+        if old is None or confirmation.asked_at >= old.asked_at:
+            self._confirmations[confirmation.peer] = confirmation
 
     def store_age(self, now: float) -> float:
         """Return the age in seconds of the last store confirmation."""
-        return now - self._by_store if self._by_store is not None else float("inf")
+        return (
+            now - self._store_confirmed_at
+            if self._store_confirmed_at is not None
+            else float("inf")
+        )
 
     def view(self, now: float) -> View:
-        """Return whether new work may be routed now."""
+        """Return the state of the view; new work may be routed while it is fresh."""
         if not self.version:
             return View.NONE
-        if self.store_age(now) <= self.limit or self._fresh_by_peers(now):
+        if self.store_age(now) <= self.limit_seconds or self._fresh_by_peers(now):
             return View.FRESH
         return View.STALE
 
     def _fresh_by_peers(self, now: float) -> bool:
-        """Return whether peers vouch for this view.
+        """Return whether peers confirm this view.
 
-        One peer that has itself read the store is enough. Where none has, the
-        store is taken to be down for all only if most of the peers that were
-        asked say so: a few hosts, or a region, may be cut off from a store that
-        others still see change. Peers are asked in turn over the whole host list,
-        so at any size those asked within the limit are a fair sample.
+        One peer that has read the store itself is enough. If none has, the store is
+        assumed to be down for all hosts only if a majority of the peers that were asked
+        respond: a few hosts, or a region, may be partitioned from a store that others
+        still see changing. Peers are asked in turn over the whole host list, so those
+        asked within the limit are a representative sample at any number of hosts.
         """
-        words = {
-            word.peer: word
-            for word in self._words.values()
-            if now - word.asked_at <= self.limit
+        recent = {
+            confirmation.peer: confirmation
+            for confirmation in self._confirmations.values()
+            if now - confirmation.asked_at <= self.limit_seconds
         }
-        if not all(self._is_not_behind(word) for word in words.values()):
+        if not all(
+            self._is_not_behind(confirmation) for confirmation in recent.values()
+        ):
             return False
-        if any(self._has_read(word, now) for word in words.values()):
+        if any(
+            self._has_recent_store_read(confirmation, now)
+            for confirmation in recent.values()
+        ):
             return True
-        asked = self._asked_lately(now) | set(words)
-        if len(asked) < min(self.hosts - 1, SAMPLE):
+        asked = self._expected_responders(now) | set(recent)
+        if len(asked) < min(self.host_count - 1, MIN_SAMPLE_PEERS):
             return False
-        return len(words) + 1 > (len(asked) + 1) / 2 and bool(words)
-
-    def _is_not_behind(self, word: PeerWord) -> bool:
-        return word.version <= self.version and word.plan <= self.plan
-
-    def _has_read(self, word: PeerWord, now: float) -> bool:
-        return now - word.asked_at + word.store_age <= self.limit
-
-    def _asked_lately(self, now: float) -> set[HostName]:
-        """Return the peers whose answers should be here by now."""
-        latest = now - ANSWER_SECONDS
-        return {peer for at, peer in self._asked if now - self.limit <= at <= latest}
+        return len(recent) + 1 > (len(asked) + 1) / 2 and bool(recent)
+
+    def _is_not_behind(self, confirmation: PeerConfirmation) -> bool:
+        return confirmation.version <= self.version and confirmation.plan <= self.plan
+
+    def _has_recent_store_read(
+        self, confirmation: PeerConfirmation, now: float
+    ) -> bool:
+        return (
+            now - confirmation.asked_at + confirmation.store_age <= self.limit_seconds
+        )
+
+    def _expected_responders(self, now: float) -> set[HostName]:
+        """Return the peers whose responses should have arrived by now."""
+        latest = now - RESPONSE_SECONDS
+        return {
+            peer
+            for at, peer in self._queries
+            if now - self.limit_seconds <= at <= latest
+        }
--- a/berylshift/version/routes.py
+++ b/berylshift/version/routes.py
@@ -1,4 +1,4 @@
-"""One version of the routes: which service answers which host and path."""
+"""One version of the routes: which services handle which host and path."""
 
 from enum import StrEnum
 from functools import cached_property
@@ -8,11 +8,11 @@
 from berylshift.ids import DomainName, RouteName, ServiceName, TableVersion
 from berylshift.version.customers import CustomerKeys
 
-LEAST_PATIENCE = 2.0
+MIN_CALLER_PATIENCE_SECONDS = 2.0
 
 
 class RouteKind(StrEnum):
-    """What may be repeated of a route's requests."""
+    """Whether and how requests of a route may be retried."""
 
     IDEMPOTENT = "idempotent"
     AT_MOST_ONCE = "at-most-once"
@@ -27,30 +27,31 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Requests of one host below one path prefix; times in seconds.
+    """Rules for the requests of one HTTP host below one path prefix.
 
-    ``objective`` is the time to the first event (streams) or to the answer that
-    still counts as good; ``pause`` is the same for two events of a stream. ``rank`` 0
-    is the most urgent. ``prompted`` requests say what their prompt is made of. A
-    ``public`` route takes requests without a customer's key.
+    ``objective_seconds`` is the latency objective: the longest acceptable time to the
+    first event (streams) or to the response. ``event_gap_seconds`` is the longest
+    acceptable time between two events of a stream. ``rank`` 0 is the most urgent. With
+    ``has_prompt_info``, requests describe their prompt in headers. A ``public`` route
+    accepts requests without a customer's key.
     """
 
     name: RouteName
     host: str
     prefix: str
     kind: RouteKind
-    timeout: float
-    objective: float
+    timeout_seconds: float
+    objective_seconds: float
     rank: int
     shares: tuple[ServiceShare, ...]
-    most_attempts: int
-    prompted: bool = False
+    max_attempts: int
+    has_prompt_info: bool = False
     resumable: bool = False
-    pause: float = 0.0
+    event_gap_seconds: float = 0.0
     public: bool = False
 
-    def ranked(self, rank: int | None) -> "Route":
-        """Return the route as it is for a customer of ``rank``; ``None``: as it is."""
+    def with_rank(self, rank: int | None) -> "Route":
+        """Return the route with the rank of a customer; ``None`` keeps the route's."""
         if rank is None or rank == self.rank:
             return self
         return msgspec.structs.replace(self, rank=rank)
@@ -63,58 +64,62 @@
         return self.kind is RouteKind.IDEMPOTENT
 
     @property
-    def patience(self) -> float:
-        """Return the seconds after which a caller leaves a stream without an event.
+    def caller_patience_seconds(self) -> float:
+        """Return how long a caller waits for a stream's next event.
 
-        The platform's callers wait two seconds, four times the objective or eight
-        times the pause, whichever is longest.
+        The platform's callers wait for the longest of 2 seconds, 4 times the latency
+        objective and 8 times the event gap. For other kinds it is the timeout.
         """
         if self.kind is not RouteKind.STREAM:
-            return self.timeout
-        longest = max(LEAST_PATIENCE, 4 * self.objective, 8 * self.pause)
-        return min(self.timeout, longest)
+            return self.timeout_seconds
+        longest = max(
+            MIN_CALLER_PATIENCE_SECONDS,
+            4 * self.objective_seconds,
+            8 * self.event_gap_seconds,
+        )
+        return min(self.timeout_seconds, longest)
 
 
 class EngineFacts(msgspec.Struct, frozen=True):
-    """What the engines of a service can do."""
+    """Capacity of each engine of a service."""
 
     slots: int
-    kv_tokens: int
-    kv_token_bytes: int
+    kv_capacity_tokens: int
+    kv_bytes_per_token: int
     link_mbps: float
 
 
 class DomainPrice(msgspec.Struct, frozen=True):
-    """What a second of a standing replica costs in a domain, in the platform's unit."""
+    """Price per second of an on-demand replica in a domain, in the platform's unit."""
 
     domain: DomainName
     price: float
 
 
 class Scaling(msgspec.Struct, frozen=True):
-    """How many replicas a service may have in each domain, and what they cost.
+    """How many replicas a service may have in each domain, and their prices.
 
-    ``least`` and ``most`` hold for both kinds together. ``interruptible_price`` is the
-    price of an interruptible replica as a part of a standing one's; ``None``: there
-    are none. A new replica serves after ``boot_seconds``.
+    The bounds apply to on-demand and interruptible replicas together.
+    ``interruptible_price`` is the price of an interruptible replica as a fraction of
+    an on-demand one's; ``None``: there are none. A new replica is ready after
+    ``boot_seconds``.
     """
 
-    least: int
-    most: int
+    min_replicas: int
+    max_replicas: int
     boot_seconds: float
     interruptible_price: float | None = None
     prices: tuple[DomainPrice, ...] = ()
 
 
 class Service(msgspec.Struct, frozen=True):
-    """A service that routes name.
+    """A service that routes refer to.
 
-    ``engine`` is set where it serves a model, ``scaling`` where replicas of it can be
-    ordered.
+    ``engine`` is set if it serves a model, ``scaling`` if its replicas can be scaled.
     """
 
     name: ServiceName
-    most_connections: int
+    max_connections: int
     engine: EngineFacts | None = None
     scaling: Scaling | None = None
 
@@ -139,10 +144,10 @@
         limits: CallerLimits,
         customers: CustomerKeys | None = None,
     ):
-        """Take routes and services as checked.
+        """Index routes and services, which must be valid already.
 
-        ``customers``: who may use routes that are not public; ``None``: no route asks
-        for a key.
+        ``customers`` may use routes that are not public; ``None``: no route requires a
+        key.
         """
         self.version = version
         self.routes = routes
@@ -151,18 +156,18 @@
         self.customers = customers
 
     @cached_property
-    def _by_place(self) -> dict[tuple[str, str], Route]:
+    def _by_host_and_prefix(self) -> dict[tuple[str, str], Route]:
         return {(route.host, route.prefix): route for route in self.routes}
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix that begins ``path``.
+        """Return the route of ``host`` with the longest prefix that matches ``path``.
 
-        Every prefix ends with a slash, so only the slashes of the path are tried:
-        the cost does not grow with the number of routes.
+        Every prefix ends with a slash, so only the prefixes that end at a slash of the
+        path are tried: the cost does not depend on the number of routes.
         """
         end = len(path)
         while (slash := path.rfind("/", 0, end)) >= 0:
-            route = self._by_place.get((host, path[: slash + 1]))
+            route = self._by_host_and_prefix.get((host, path[: slash + 1]))
             if route is not None:
                 return route
             end = slash
--- a/berylshift/version/rows.py
+++ b/berylshift/version/rows.py
@@ -11,7 +11,7 @@
 
 
 class RowKind(StrEnum):
-    """What a row speaks of."""
+    """What a row describes."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -21,7 +21,7 @@
 
 
 class RowState(StrEnum):
-    """What the operators have marked; only ``active`` takes new work."""
+    """The state set by operators; only ``active`` accepts new work."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -30,7 +30,7 @@
 
 
 class OrderCheck(StrEnum):
-    """Whether an engine refuses an order that carries an old fencing number."""
+    """Whether an engine refuses an order with an outdated fencing token."""
 
     NONE = ""
     REFUSES = "refuses"
@@ -38,19 +38,19 @@
 
 
 class RowKey(msgspec.Struct, frozen=True, order=True):
-    """Identity of a row: two rows with one key contradict each other."""
+    """Identity of a row, unique within a table."""
 
     kind: RowKind
     target: str
     fleet: str = ""
 
     def __str__(self) -> str:
-        """Return the key as operators read it."""
+        """Return the key as shown to operators."""
         return ":".join(part for part in (self.kind, self.fleet, self.target) if part)
 
 
 class Row(msgspec.Struct, frozen=True):
-    """One row. ``limit`` is in concurrent requests, for customers in requests/s."""
+    """One row; ``limit`` is in concurrent requests, for customers in requests/s."""
 
     kind: RowKind
     target: str
@@ -75,8 +75,8 @@
         return TargetName(self.target)
 
     @property
-    def takes_work(self) -> bool:
-        """Return whether new work may go there."""
+    def accepts_work(self) -> bool:
+        """Return whether new work may be sent to the target."""
         return self.state is RowState.ACTIVE
 
 
--- a/berylshift/version/table.py
+++ b/berylshift/version/table.py
@@ -1,4 +1,4 @@
-"""One version of the operators' table: immutable, indexed for routing."""
+"""One immutable version of the operators' table, indexed for routing."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """What one accepted edit put and dropped; ``at`` is a calendar time."""
+    """Rows written and removed by one accepted edit; ``at`` is a wall-clock time."""
 
     version: TableVersion
     change_id: str
@@ -24,7 +24,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A target that a fleet's work may go to, with the weight and limits in force."""
+    """A target that a fleet's work may be sent to, with its weight and limit."""
 
     row: Row
     weight: int
@@ -32,10 +32,10 @@
 
 
 class Table:
-    """Rows of one version, by key and by what they serve."""
+    """Rows of one version, indexed by key, target, customer and host."""
 
     def __init__(self, version: TableVersion, rows: Iterable[Row]):
-        """Index ``rows``; they are taken as checked."""
+        """Index ``rows``, which must be valid already."""
         self.version = version
         self.rows: dict[RowKey, Row] = {row.key: row for row in rows}
         self.targets: dict[TargetName, Row] = {}
@@ -59,29 +59,29 @@
             if route.kind is not RowKind.ROUTE or not route.weight:
                 continue
             target = self.targets.get(route.name)
-            if target and target.takes_work and route.takes_work:
+            if target and target.accepts_work and route.accepts_work:
                 limits = [limit for limit in (route.limit, target.limit) if limit]
-                item = Candidate(target, route.weight, min(limits, default=0))
-                found[route.fleet, target.serves].append(item)
+                candidate = Candidate(target, route.weight, min(limits, default=0))
+                found[route.fleet, target.serves].append(candidate)
         return dict(found)
 
     def candidates(self, fleet: FleetName, work: WorkName) -> list[Candidate]:
-        """Return the targets that take new work of this fleet for this name."""
+        """Return the targets that accept new ``work`` of this fleet."""
         return self._candidates.get((fleet, work), [])
 
     def engines(self) -> list[Row]:
-        """Return the engines, in whatever state."""
+        """Return all engines, whatever their state."""
         return [row for row in self.targets.values() if row.kind is RowKind.ENGINE]
 
     def host_state(self, host: str) -> RowState:
-        """Return the mark on a host; a host without a row is active."""
+        """Return the state of a host; a host without a row is active."""
         row = self.hosts.get(host)
         return row.state if row else RowState.ACTIVE
 
     def apply(self, change: Change) -> "Table":
         """Return the next version."""
         if change.version != self.version + 1:
-            raise ValueError(f"version {change.version} does not follow {self.version}")
+            raise ValueError(f"version {change.version} can't follow {self.version}")
         rows = dict(self.rows)
         for key in change.drop:
             rows.pop(key, None)
--- a/berylshift/version/table_csv.py
+++ b/berylshift/version/table_csv.py
@@ -1,4 +1,4 @@
-"""The table as CSV, so that a spreadsheet can edit it."""
+"""The operators' table as CSV, for editing in a spreadsheet."""
 
 import csv
 import io
@@ -13,15 +13,15 @@
 VERSION_CELL = "version"
 
 
-class Sheet(msgspec.Struct, frozen=True):
-    """A CSV file's rows and the table version that it was exported at."""
+class CsvTable(msgspec.Struct, frozen=True):
+    """Rows of a CSV file and the table version that it was exported from."""
 
     base: int
     rows: list[Row]
 
 
-def write_sheet(table: Table) -> str:
-    """Return the table as CSV: version, column names, then a line a row."""
+def format_csv(table: Table) -> str:
+    """Return the table as CSV: version, column names, then one line per row."""
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     writer.writerow([VERSION_CELL, table.version])
@@ -32,18 +32,18 @@
     return out.getvalue()
 
 
-def read_sheet(text: str) -> Result[Sheet, list[Fault]]:
-    """Return the sheet, or every fault in it with its line."""
+def parse_csv(text: str) -> Result[CsvTable, list[Fault]]:
+    """Return the parsed file, or all its faults with their lines."""
     lines = list(csv.reader(io.StringIO(text)))
-    head_faults = _head_faults(lines)
-    if head_faults:
-        return Failure(head_faults)
+    header_faults = _header_faults(lines)
+    if header_faults:
+        return Failure(header_faults)
     rows: list[Row] = []
     faults: list[Fault] = []
     for number, cells in enumerate(lines[2:], start=3):
         if not any(cells):
             continue
-        match _read_line(number, lines[1], cells):
+        match _parse_line(number, lines[1], cells):
             case Success(row):
                 rows.append(row)
             case Failure(fault):
@@ -51,10 +51,10 @@
     faults += check_rows(rows)
     if faults:
         return Failure(faults)
-    return Success(Sheet(int(lines[0][1]), rows))
+    return Success(CsvTable(int(lines[0][1]), rows))
 
 
-def _head_faults(lines: list[list[str]]) -> list[Fault]:
+def _header_faults(lines: list[list[str]]) -> list[Fault]:
     if len(lines) < 2:
         return [Fault("1", "", "", "needs a version line and a line of column names")]
     first = [cell for cell in lines[0] if cell]
@@ -68,7 +68,7 @@
     ]
 
 
-def _read_line(number: int, names: list[str], cells: list[str]) -> Result[Row, Fault]:
+def _parse_line(number: int, names: list[str], cells: list[str]) -> Result[Row, Fault]:
     values = {
         name: cell.strip()
         for name, cell in zip(names, cells, strict=False)
@@ -78,7 +78,7 @@
 
 
 def row_from_cells(where: str, values: dict[str, str]) -> Result[Row, Fault]:
-    """Return the row that the cells spell; ``where`` names it in a fault."""
+    """Return the row with these cells; ``where`` names it in a fault."""
     try:
         return Success(msgspec.convert(values, Row, strict=False))
     except msgspec.ValidationError as exc:
@@ -87,7 +87,7 @@
         return Failure(Fault(where, column, values.get(column, ""), reason))
 
 
-def row_with(row: Row, column: str, text: str) -> Result[Row, Fault]:
+def with_cell(row: Row, column: str, text: str) -> Result[Row, Fault]:
     """Return ``row`` with one cell changed."""
     where = str(row.key)
     if column not in COLUMNS:
