--- a/berylshift/store/__init__.py
+++ b/berylshift/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's services behind protocols, and their HTTP clients."""
+"""Protocols of the platform's services, and their HTTP clients."""
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -1,4 +1,4 @@
-"""The way of all table calls: budget, batches, and the order of priorities."""
+"""Access to the table service: rate budget, priorities and batched writes."""
 
 import math
 from dataclasses import dataclass, field
@@ -21,18 +21,18 @@
 
 
 @dataclass
-class _Entry:
-    """One row's change that waits for a batch."""
+class _PendingWrite:
+    """A conditional write of one row that waits for a batch."""
 
     condition: Condition
     write: Write
     done: trio.Event = field(default_factory=trio.Event)
-    answer: TransactionResult | None = None
+    result: TransactionResult | None = None
     error: PlatformError | None = None
 
 
 class TableGate:
-    """Passes calls on to the table service within the process's budget."""
+    """Calls the table service within the rate budgets of this process."""
 
     def __init__(
         self,
@@ -40,112 +40,115 @@
         clock: Clock,
         reads: StoreBudget,
         writes: StoreBudget,
-        window: float,
+        window_seconds: float,
         batch_rows: int,
     ):
-        """Collect small writes for ``window`` seconds, ``batch_rows`` at most."""
+        """Batch writes for ``window_seconds``, up to ``batch_rows`` per transaction."""
         self._service = service
         self._clock = clock
         self._reads = reads
         self._writes = writes
-        self._window = window
+        self._window_seconds = window_seconds
         self._batch_rows = batch_rows
-        self._waiting: list[_Entry] = []
+        self._pending: list[_PendingWrite] = []
         self._wake = trio.Event()
         self.transactions = 0
 
     async def read(self, keys: list[str], priority: Priority) -> list[StoredRow | None]:
         """Return rows; raise ``PlatformError``."""
         await self._admit(self._reads, priority)
-        return await self._watch(self._reads, self._service.read, keys)
+        return await self._call(self._reads, self._service.read, keys)
 
     async def scan(
         self, prefix: str, after: str, limit: int, priority: Priority
     ) -> list[StoredRow]:
         """Return a page of rows; raise ``PlatformError``."""
         await self._admit(self._reads, priority)
-        return await self._watch(self._reads, self._service.scan, prefix, after, limit)
+        return await self._call(self._reads, self._service.scan, prefix, after, limit)
 
     async def transact(
         self, transaction: Transaction, priority: Priority
     ) -> TransactionResult:
-        """Commit a transaction of its own; raise ``PlatformError``."""
+        """Commit an unbatched transaction; raise ``PlatformError``."""
         await self._admit(self._writes, priority)
         self.transactions += 1
-        return await self._watch(self._writes, self._service.transact, transaction)
+        return await self._call(self._writes, self._service.transact, transaction)
 
     async def put_row(self, condition: Condition, write: Write) -> TransactionResult:
-        """Change one row together with others'; raise ``PlatformError``."""
-        entry = _Entry(condition, write)
-        self._waiting.append(entry)
+        """Write one row as part of a batch; raise ``PlatformError``."""
+        pending = _PendingWrite(condition, write)
+        self._pending.append(pending)
         self._wake.set()
         try:
-            await entry.done.wait()
+            await pending.done.wait()
         except trio.Cancelled:
-            if entry in self._waiting:
-                self._waiting.remove(entry)
+            if pending in self._pending:
+                self._pending.remove(pending)
             raise
-        if entry.error is not None:
-            raise entry.error
-        return entry.answer or TransactionResult()
+        if pending.error is not None:
+            raise pending.error
+        return pending.result or TransactionResult()
 
     async def run(self) -> None:
         """Send batches until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 await self._wake.wait()
-                await trio.sleep(self._window)
+                await trio.sleep(self._window_seconds)
                 await self._admit(self._writes, Priority.CONFIRMATION)
                 batch = self._take_batch()
                 if batch:
                     nursery.start_soon(self._send, batch)
 
-    def _take_batch(self) -> list[_Entry]:
-        """Return entries with different keys; the rest waits for the next batch."""
-        batch: dict[str, _Entry] = {}
-        left: list[_Entry] = []
-        for entry in self._waiting:
-            if len(batch) < self._batch_rows and entry.write.key not in batch:
-                batch[entry.write.key] = entry
+    def _take_batch(self) -> list[_PendingWrite]:
+        """Return writes with distinct keys; the others wait for the next batch."""
+        batch: dict[str, _PendingWrite] = {}
+        remaining: list[_PendingWrite] = []
+        for pending in self._pending:
+            if len(batch) < self._batch_rows and pending.write.key not in batch:
+                batch[pending.write.key] = pending
             else:
-                left.append(entry)
-        self._waiting = left
-        if not left:
+                remaining.append(pending)
+        self._pending = remaining
+        if not remaining:
             self._wake = trio.Event()
         return list(batch.values())
 
-    async def _send(self, batch: list[_Entry]) -> None:
-        """Commit a batch; one failed condition must not fail the others."""
+    async def _send(self, batch: list[_PendingWrite]) -> None:
+        """Commit a batch, again without the writes whose conditions fail.
+
+        One failed condition must not fail the writes of other callers.
+        """
         while batch:
-            answer = await self._commit(batch)
-            if answer is None:
+            result = await self._commit(batch)
+            if result is None:
                 return
-            failed = set(answer.failed)
-            rest = []
-            for entry in batch:
-                if entry.condition.key in failed:
-                    entry.answer = TransactionResult([entry.condition.key])
-                    entry.done.set()
-                elif answer.committed:
-                    entry.answer = answer
-                    entry.done.set()
+            failed = set(result.failed)
+            remaining = []
+            for pending in batch:
+                if pending.condition.key in failed:
+                    pending.result = TransactionResult([pending.condition.key])
+                    pending.done.set()
+                elif result.committed:
+                    pending.result = result
+                    pending.done.set()
                 else:
-                    rest.append(entry)
-            batch = rest
+                    remaining.append(pending)
+            batch = remaining
             if batch:
                 await self._admit(self._writes, Priority.CONFIRMATION)
 
-    async def _commit(self, batch: list[_Entry]) -> TransactionResult | None:
-        conditions = [entry.condition for entry in batch]
-        writes = [entry.write for entry in batch]
+    async def _commit(self, batch: list[_PendingWrite]) -> TransactionResult | None:
+        conditions = [pending.condition for pending in batch]
+        writes = [pending.write for pending in batch]
         self.transactions += 1
         try:
             transaction = Transaction(conditions, writes)
-            return await self._watch(self._writes, self._service.transact, transaction)
+            return await self._call(self._writes, self._service.transact, transaction)
         except PlatformError as exc:
-            for entry in batch:
-                entry.error = exc
-                entry.done.set()
+            for pending in batch:
+                pending.error = exc
+                pending.done.set()
             return None
 
     async def _admit(self, budget: StoreBudget, priority: Priority) -> None:
@@ -154,11 +157,11 @@
                 raise StoreUnavailableError("no budget")
             await trio.sleep(wait)
 
-    async def _watch(self, budget: StoreBudget, call, *args):
+    async def _call(self, budget: StoreBudget, call, *args):
         try:
-            answer = await call(*args)
+            result = await call(*args)
         except (StoreUnavailableError, ResponseLostError):
             budget.note_failure(self._clock.monotonic())
             raise
         budget.note_success()
-        return answer
+        return result
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -1,4 +1,4 @@
-"""Bounded HTTP reads of the platform's store."""
+"""HTTP client of the platform's store, with time limits."""
 
 from contextlib import AsyncExitStack, aclosing
 
@@ -10,14 +10,14 @@
 from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
 from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 
-# An answer that comes by and by for longer than this beyond its wait is given up; a
-# change must be in force 11 s after it was acknowledged. Seconds.
+# Upper bound on a read beyond its wait, even while data keeps arriving: a change must
+# be in force 11 s after it was acknowledged.
 MAX_READ_SECONDS = 10.0
 JSON_TYPE = {"content-type": "application/json"}
 
 
 class StoreResponse(msgspec.Struct, frozen=True):
-    """Status, body and headers of one answer; names of headers are in lower case."""
+    """Status, body and headers of a response; header names are in lower case."""
 
     status: int
     body: bytes
@@ -25,47 +25,51 @@
 
 
 class StoreClient:
-    """Asks one address; each call has a time-out beyond the wait it asks for."""
+    """Calls one address; each call has a timeout beyond its long-poll wait."""
 
-    def __init__(self, client: HttpClient, address: str, timeout: float):
-        """Ask ``address``; a write, or a silence in a read, may take ``timeout``."""
+    def __init__(self, client: HttpClient, address: str, timeout_seconds: float):
+        """Call ``address``.
+
+        ``timeout_seconds`` bounds a whole write, and each gap within a read.
+        """
         self._client = client
         self._address = address
-        self._timeout = timeout
+        self._timeout_seconds = timeout_seconds
 
-    async def get(self, path: str, wait: float = 0.0) -> StoreResponse:
-        """Return the answer of a read; raise ``PlatformError``.
+    async def get(self, path: str, wait_seconds: float = 0.0) -> StoreResponse:
+        """Return the response to a read; raise ``PlatformError``.
 
-        The time-out bounds the silence before each part, not the answer: a large one
-        takes a small host's link and processor longer, however often it is read.
+        The timeout bounds the gap before each chunk, not the whole response: a large
+        response always takes longer on a host with a slow link or CPU, so a retry would
+        time out again.
         """
         out = Outgoing(self._address, "GET", path, {})
-        limit = SilenceLimit(trio.current_time() + wait + self._timeout)
-        return await self._call(out, wait + MAX_READ_SECONDS, limit)
+        limit = SilenceLimit(trio.current_time() + wait_seconds + self._timeout_seconds)
+        return await self._call(out, wait_seconds + MAX_READ_SECONDS, limit)
 
     async def post(self, path: str, body: bytes) -> StoreResponse:
-        """Return the answer of a write; ``ResponseLostError``: it may be done yet.
+        """Return the response to a write; ``ResponseLostError``: it may take effect.
 
-        Writes go out on a fresh connection: a kept one may be closed as they are
-        sent, and then nobody knows whether they were done.
+        Writes use a new connection: a pooled one may be closed by the server while the
+        write is sent, and then its outcome is unknown.
         """
         out = Outgoing(self._address, "POST", path, JSON_TYPE, body, reuse=False)
-        return await self._call(out, self._timeout, SilenceLimit(NEVER))
+        return await self._call(out, self._timeout_seconds, SilenceLimit(NEVER))
 
     async def _call(
         self, out: Outgoing, seconds: float, limit: SilenceLimit
     ) -> StoreResponse:
-        """Send a call within ``seconds`` in all.
+        """Complete a call within ``seconds`` in total.
 
-        A connection that falls silent for good shows only by its time-out. Kept
-        ones may be as silent, so all of them are dropped with it.
+        A dead connection that raises no error is detected only by its timeout. Pooled
+        connections may be dead too, so all of them are closed with it.
         """
-        reason = f"no answer within {seconds:.1f} s"
+        reason = f"no response within {seconds:.1f} s"
         with trio.move_on_after(seconds):
             try:
                 return await self._exchange(out, limit)
             except SilentError:
-                reason = f"silent for longer than its {self._timeout:.1f} s"
+                reason = f"no data received for {self._timeout_seconds:.1f} s"
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
             except ConnectionLayerError as exc:
@@ -78,8 +82,8 @@
             request = self._client.request(out)
             resp = await limit.bound(stack.enter_async_context(request))
             chunks = await stack.enter_async_context(aclosing(resp.chunks()))
-            parts = []
-            while (part := await limit.bound(anext(chunks, None))) is not None:
-                parts.append(part)
-                limit.allow(self._timeout)
-            return StoreResponse(resp.status, b"".join(parts), resp.headers)
+            received = []
+            while (chunk := await limit.bound(anext(chunks, None))) is not None:
+                received.append(chunk)
+                limit.allow(self._timeout_seconds)
+            return StoreResponse(resp.status, b"".join(received), resp.headers)
--- a/berylshift/store/crash_rows.py
+++ b/berylshift/store/crash_rows.py
@@ -1,7 +1,7 @@
-"""Replicas that ended under requests, as the platform's store keeps them.
+"""Replica crashes during requests, as rows in the platform's store.
 
-Hosts tell each other what they know. Should all of them end at once, the rows are what
-is left: without them, the same request would end as many replicas again.
+Hosts exchange crashes by gossip. The rows survive a crash of all hosts at once: without
+them, the same request would crash as many replicas again.
 """
 
 from collections.abc import Iterable
@@ -14,9 +14,9 @@
 
 
 class CrashRow(msgspec.Struct, frozen=True):
-    """A replica, by the hash of its name, that ended under a request.
+    """A replica crash during a request; ``target`` is the hash of the replica's name.
 
-    ``at_ms`` is when, on the store's steady clock.
+    ``at_ms`` is the time of the crash on the store's monotonic clock.
     """
 
     request: Fingerprint
@@ -25,7 +25,7 @@
 
 
 class CrashRowsSnapshot(msgspec.Struct, frozen=True):
-    """All rows; ``store_ms`` is the store's clock at the answer."""
+    """All rows; ``store_ms`` is the store's clock at the time of the response."""
 
     rows: tuple[CrashRow, ...]
     store_ms: int
@@ -36,7 +36,7 @@
     """Reads and writes the rows; all calls raise ``PlatformError``."""
 
     async def read(self) -> CrashRowsSnapshot:
-        """Return all rows that can be read."""
+        """Return all rows that can be decoded."""
 
     async def change(self, put: Iterable[CrashRow], drop: Iterable[CrashRow]) -> None:
-        """Write some rows and remove others, in one transaction."""
+        """Write the rows ``put`` and remove the rows ``drop`` in one transaction."""
--- a/berylshift/store/directory.py
+++ b/berylshift/store/directory.py
@@ -8,24 +8,27 @@
 
 
 class HistoryLostError(PlatformError):
-    """Changes since the revision asked for are no longer known: read anew."""
+    """The store no longer has the changes after the requested revision.
+
+    The whole list must be read again.
+    """
 
 
 class MalformedEntryError(PlatformError):
-    """An entry can't be read; the message says which and why."""
+    """An entry can't be decoded; the message names it and the reason."""
 
 
 class Directory(Protocol):
-    """Reads and follows what the platform says; all calls raise ``PlatformError``."""
+    """Reads and watches routes and replicas; all calls raise ``PlatformError``."""
 
     async def read_routes(self) -> RouteSnapshot:
         """Return the routes in force."""
 
     async def await_routes(self, after: Revision, seconds: float) -> RouteSnapshot:
-        """Return newer routes, or the same revision and no table after a while."""
+        """Return newer routes; after ``seconds`` the revision without a table."""
 
     async def read_replicas(self) -> ReplicaChanges:
         """Return all replicas."""
 
     async def await_replicas(self, after: Revision, seconds: float) -> ReplicaChanges:
-        """Return what changed after a revision; nothing after a while."""
+        """Return the changes after a revision; none after ``seconds``."""
--- a/berylshift/store/eras.py
+++ b/berylshift/store/eras.py
@@ -1,6 +1,6 @@
-"""Eras of the platform's store: one more each time it comes back from an older copy."""
+"""Eras of the platform's store: a new one begins each time it is restored."""
 
 from berylshift.ids import StoreEra
 
-# The era of a store that tells none.
+# The era of a store that reports none.
 FIRST_ERA = StoreEra(0)
--- a/berylshift/store/host_rows.py
+++ b/berylshift/store/host_rows.py
@@ -1,4 +1,4 @@
-"""The entry hosts' own rows in the platform's store."""
+"""Rows of the entry hosts in the platform's store."""
 
 from typing import Protocol
 
@@ -6,7 +6,7 @@
 
 
 class HostRecord(msgspec.Struct, frozen=True):
-    """One host: where its datagrams arrive (``IP:PORT``), and its failure domain."""
+    """A host, the ``IP:PORT`` that receives its datagrams, and its failure domain."""
 
     host: str
     address: str
@@ -14,13 +14,13 @@
 
 
 class HostRows(Protocol):
-    """Keeps hosts and the key they share; all calls raise ``PlatformError``."""
+    """Stores hosts and their shared key; all calls raise ``PlatformError``."""
 
     async def announce(self, record: HostRecord) -> None:
         """Write this host's row."""
 
     async def hosts(self) -> list[HostRecord]:
-        """Return all hosts' rows, those of hosts long gone too."""
+        """Return the rows of all hosts, including those that no longer run."""
 
     async def get_or_set_shared_key(self, proposal: str) -> str:
-        """Return the key all hosts share; the first proposal is kept for good."""
+        """Return the key shared by all hosts; the first proposal is stored."""
--- a/berylshift/store/http.py
+++ b/berylshift/store/http.py
@@ -1,4 +1,4 @@
-"""HTTP clients of the platform's services, with time-outs."""
+"""HTTP clients of the platform's services, with timeouts."""
 
 from typing import TypeVar
 from urllib.parse import quote
@@ -31,39 +31,39 @@
 
 
 class _HttpService:
-    """What all platform clients share: one address, one time-out."""
+    """Common part of the clients: one address and one timeout."""
 
-    def __init__(self, client: HttpClient, address: str, timeout: float):
-        """Ask ``address``; each call takes at most ``timeout`` seconds."""
+    def __init__(self, client: HttpClient, address: str, timeout_seconds: float):
+        """Call ``address``; each call takes at most ``timeout_seconds``."""
         self._client = client
         self._address = address
-        self._timeout = timeout
+        self._timeout_seconds = timeout_seconds
 
     async def _call(self, method: str, path: str, body: bytes = b"") -> bytes | None:
-        """Return the answer's body, or ``None`` where there is no such thing."""
+        """Return the response body, or ``None`` if the object does not exist."""
         reuse = method == "GET"
         out = Outgoing(self._address, method, path, JSON_TYPE, body, reuse)
-        with trio.move_on_after(self._timeout):
+        with trio.move_on_after(self._timeout_seconds):
             try:
                 async with self._client.request(out) as resp:
                     data = await resp.read()
-                    return _checked(resp.status, data)
+                    return _check_status(resp.status, data)
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
             except ConnectionLayerError as exc:
                 raise ResponseLostError(str(exc)) from exc
-        raise ResponseLostError(f"no answer within {self._timeout} s")
+        raise ResponseLostError(f"no response within {self._timeout_seconds} s")
 
 
-def _checked(status: int, data: bytes) -> bytes | None:
+def _check_status(status: int, data: bytes) -> bytes | None:
     if status == STATUS_OK:
         return data
     if status == STATUS_NOT_FOUND:
         return None
     if status == STATUS_THROTTLED:
-        raise StoreThrottledError("rate limit")
+        raise StoreThrottledError("rate limit exceeded")
     if status == STATUS_UNAVAILABLE:
-        raise StoreUnavailableError("service says that it is down")
+        raise StoreUnavailableError("service unavailable")
     raise ResponseLostError(f"status {status}")
 
 
@@ -71,33 +71,33 @@
     try:
         return msgspec.json.decode(data or b"null", type=kind)
     except msgspec.DecodeError as exc:
-        raise ResponseLostError(f"answer can't be read: {exc}") from exc
+        raise ResponseLostError(f"malformed response: {exc}") from exc
 
 
 class HttpTableService(_HttpService):
-    """Table service over HTTP."""
+    """Client of the table service."""
 
     async def read(self, keys: list[str]) -> list[StoredRow | None]:
-        """Return the rows as of one moment."""
+        """Return the rows from one consistent read."""
         names = "&".join(f"key={quote(key, safe='')}" for key in keys)
         data = await self._call("GET", f"/rows?{names}")
         return _decode(data, list[StoredRow | None])
 
     async def scan(self, prefix: str, after: str, limit: int) -> list[StoredRow]:
-        """Return rows by key after ``after``."""
+        """Return up to ``limit`` rows in key order, after the key ``after``."""
         where = f"prefix={quote(prefix, safe='')}&after={quote(after, safe='')}"
         data = await self._call("GET", f"/scan?{where}&limit={limit}")
         return _decode(data, list[StoredRow])
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Commit or name the failed conditions."""
+        """Commit, or return the keys of the failed conditions."""
         body = msgspec.json.encode(transaction)
         data = await self._call("POST", "/transactions", body)
         return _decode(data, TransactionResult)
 
 
 class HttpObjectStore(_HttpService):
-    """Object store over HTTP."""
+    """Client of the object store."""
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, or ``None``."""
@@ -109,22 +109,22 @@
 
 
 class HttpHostList(_HttpService):
-    """Host list over HTTP."""
+    """Client of the host list."""
 
     async def hosts(self) -> list[HostEntry]:
         """Return the hosts that the platform lists."""
         return _decode(await self._call("GET", "/hosts"), list[HostEntry])
 
     async def announce(self, entry: HostEntry) -> None:
-        """Tell the platform of this process."""
+        """Register this process in the host list."""
         await self._call("POST", "/hosts", msgspec.json.encode(entry))
 
 
 class HttpWeightStore(_HttpService):
-    """Weight store over HTTP."""
+    """Client of the weight store."""
 
     async def info(self, model: str, version: str) -> WeightInfo | None:
-        """Return what is known of a model version."""
+        """Return a model version, or ``None`` if it is unknown."""
         path = f"/weights/{quote(model, safe='')}/{quote(version, safe='')}"
         data = await self._call("GET", path)
         return None if data is None else _decode(data, WeightInfo)
--- a/berylshift/store/interfaces.py
+++ b/berylshift/store/interfaces.py
@@ -1,4 +1,4 @@
-"""The platform's services as this project meets them."""
+"""Protocols and data types of the platform's services."""
 
 from enum import StrEnum
 from typing import Protocol
@@ -15,19 +15,19 @@
 
 
 class StoreUnavailableError(PlatformError):
-    """The service refused or was never reached: nothing was written."""
+    """The service refused or could not be reached: nothing was written."""
 
 
 class StoreThrottledError(StoreUnavailableError):
-    """The service refused for its rate limit: nothing was written."""
+    """The service refused because of its rate limit: nothing was written."""
 
 
 class ResponseLostError(PlatformError):
-    """The answer never came: a write may have taken effect."""
+    """No valid response was received: a write may have taken effect."""
 
 
 class StoredRow(msgspec.Struct, frozen=True):
-    """A row of the table service; its revision rises with each write, from 1."""
+    """A row of the table service; its revision starts at 1 and grows per write."""
 
     key: str
     revision: int
@@ -42,7 +42,7 @@
 
 
 class Write(msgspec.Struct, frozen=True):
-    """A row's new value in JSON, or its deletion."""
+    """A new JSON value for a row, or its deletion."""
 
     key: str
     value: msgspec.Raw = msgspec.Raw(b"null")
@@ -50,14 +50,14 @@
 
 
 class Transaction(msgspec.Struct, frozen=True):
-    """Writes that take effect together, if all conditions hold."""
+    """Writes that are committed atomically if all conditions hold."""
 
     conditions: list[Condition]
     writes: list[Write]
 
 
 class TransactionResult(msgspec.Struct, frozen=True):
-    """``failed`` names the keys whose conditions did not hold; empty: committed."""
+    """``failed`` has the keys whose conditions did not hold; empty: committed."""
 
     failed: list[str] = []
 
@@ -68,14 +68,14 @@
 
 
 class HostState(StrEnum):
-    """What the platform says of a host."""
+    """State of a host in the platform's list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class HostEntry(msgspec.Struct, frozen=True):
-    """One host of the lagging host list; addresses are ``IP:PORT``."""
+    """One host of the host list; addresses are ``IP:PORT``."""
 
     host: HostName
     incarnation: Incarnation
@@ -86,7 +86,7 @@
 
 
 class WeightInfo(msgspec.Struct, frozen=True):
-    """Weights of one model version; ``bytes_left`` is this minute's quota."""
+    """Weights of a model version; ``bytes_left`` remain of this minute's quota."""
 
     model: str
     version: str
@@ -95,20 +95,23 @@
 
 
 class TableService(Protocol):
-    """Transactional rows; several hundred writes and 2,000 reads a second."""
+    """Transactional rows; serves several hundred writes and 2,000 reads a second."""
 
     async def read(self, keys: list[str]) -> list[StoredRow | None]:
-        """Return the rows as of one moment; raise ``PlatformError``."""
+        """Return the rows from one consistent read; raise ``PlatformError``."""
 
     async def scan(self, prefix: str, after: str, limit: int) -> list[StoredRow]:
-        """Return rows by key after ``after``; raise ``PlatformError``."""
+        """Return up to ``limit`` rows in key order, after the key ``after``.
+
+        Raise ``PlatformError``.
+        """
 
     async def transact(self, transaction: Transaction) -> TransactionResult:
-        """Commit or name the failed conditions; raise ``PlatformError``."""
+        """Commit, or return the failed conditions' keys; raise ``PlatformError``."""
 
 
 class ObjectStore(Protocol):
-    """Whole objects by name."""
+    """Objects that are read and written as a whole, by name."""
 
     async def get(self, name: str) -> bytes | None:
         """Return an object, or ``None``; raise ``PlatformError``."""
@@ -118,22 +121,22 @@
 
 
 class HostList(Protocol):
-    """The platform's lagging list of hosts, and this host's own entry."""
+    """The platform's list of hosts, which lags behind their actual state."""
 
     async def hosts(self) -> list[HostEntry]:
         """Return the hosts that the platform lists; raise ``PlatformError``."""
 
     async def announce(self, entry: HostEntry) -> None:
-        """Tell the platform of this process; raise ``PlatformError``."""
+        """Register this process in the list; raise ``PlatformError``."""
 
 
 class WeightStore(Protocol):
     """The rate-limited store of model weights."""
 
     async def info(self, model: str, version: str) -> WeightInfo | None:
-        """Return what is known of a model version; raise ``PlatformError``."""
+        """Return a model version, ``None`` if unknown; raise ``PlatformError``."""
 
 
 def as_raw(value: object) -> msgspec.Raw:
-    """Return ``value`` as the JSON of a row."""
+    """Return ``value`` encoded as the JSON value of a row."""
     return msgspec.Raw(msgspec.json.encode(value))
--- a/berylshift/store/lease_rows.py
+++ b/berylshift/store/lease_rows.py
@@ -1,4 +1,4 @@
-"""Lease rows as the platform's store keeps them."""
+"""Lease rows in the platform's store."""
 
 from typing import Protocol
 
@@ -11,10 +11,10 @@
 
 
 class LeaseRecord(msgspec.Struct, frozen=True):
-    """Who may order until when, on the store's own steady clock.
+    """Who holds a lease, and until when on the store's monotonic clock.
 
-    ``grant`` names one acquisition, so that a write whose answer was lost can be
-    found again. ``era`` is the store's as the lease was asked for.
+    ``grant`` identifies one acquisition, so that a write whose response was lost can be
+    recognised. ``era`` is the store's era when the lease was requested.
     """
 
     holder: str
@@ -24,7 +24,7 @@
 
 
 class LeaseRow(msgspec.Struct, frozen=True):
-    """A row as read: ``store_ms`` is the store's clock at the answer."""
+    """A row as read; ``store_ms`` is the store's clock at the time of the response."""
 
     record: LeaseRecord | None
     revision: Revision
@@ -33,19 +33,19 @@
 
 
 class Granted(msgspec.Struct, frozen=True):
-    """A write that was done: the row's revision, and the era that it counts in."""
+    """A committed write: the row's new revision and the store's era."""
 
     revision: Revision
     era: StoreEra = FIRST_ERA
 
 
 class LeaseRows(Protocol):
-    """Reads and swaps lease rows; all calls raise ``PlatformError``."""
+    """Reads and conditionally writes lease rows; all calls raise ``PlatformError``."""
 
     async def read(self, name: str) -> LeaseRow:
-        """Return a row; revision ``ABSENT`` if there is none."""
+        """Return a row; its revision is ``ABSENT`` if it does not exist."""
 
     async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
-        """Write a row if it is at ``expected``; return its revision, else ``None``."""
+        """Write a row if its revision is ``expected``; otherwise return ``None``."""
--- a/berylshift/tests/test_platform_batch.py
+++ b/berylshift/tests/test_platform_batch.py
@@ -1,4 +1,4 @@
-"""Tests of batched writes and of the platform's stand-in."""
+"""Batched writes, and the platform's stand-in."""
 
 import random
 
@@ -25,7 +25,7 @@
 
 
 class BatchTest(VirtualTestCase):
-    """Rows of many confirmations share one write."""
+    """Writes of rows are combined into transactions."""
 
     def with_gate(self, use, rate=1000.0):
         async def task():
@@ -42,41 +42,42 @@
         return self.run_virtual(task)
 
     async def put_all(self, gate, keys):
-        answers = {}
+        results = {}
 
-        async def put(place, key):
-            write = Write(key, as_raw(place))
-            answers[place] = await gate.put_row(Condition(key, ABSENT), write)
+        async def put(index, key):
+            write = Write(key, as_raw(index))
+            results[index] = await gate.put_row(Condition(key, ABSENT), write)
 
         async with trio.open_nursery() as nursery:
-            for place, key in enumerate(keys):
-                nursery.start_soon(put, place, key)
-        return answers
+            for index, key in enumerate(keys):
+                nursery.start_soon(put, index, key)
+        return results
 
-    def test_rows_at_one_moment_share_a_write(self):
+    def test_concurrent_writes_share_a_transaction(self):
         async def use(gate, fake):
-            answers = await self.put_all(gate, [f"k{i}" for i in range(40)])
-            return all(a.committed for a in answers.values()), fake.commits
+            results = await self.put_all(gate, [f"k{i}" for i in range(40)])
+            return all(result.committed for result in results.values()), fake.commits
 
         self.assertEqual(self.with_gate(use), (True, 1))
 
     def test_one_conflict_does_not_fail_the_others(self):
         async def use(gate, fake):
             fake.transact(Transaction([], [Write("k3", as_raw(0))]))
-            answers = await self.put_all(gate, [f"k{i}" for i in range(10)])
-            return [place for place, answer in answers.items() if answer.failed]
+            results = await self.put_all(gate, [f"k{i}" for i in range(10)])
+            return [index for index, result in results.items() if result.failed]
 
         self.assertEqual(self.with_gate(use), [3])
 
-    def test_two_arrivals_with_one_key_do_not_share_a_write(self):
-        # In one transaction both conditions would hold, and both would send.
+    def test_writes_of_the_same_key_do_not_share_a_transaction(self):
+        # In one transaction both conditions would hold, and both callers would send
+        # their request.
         async def use(gate, fake):
-            answers = await self.put_all(gate, ["k", "k", "k"])
-            return sum(answer.committed for answer in answers.values())
+            results = await self.put_all(gate, ["k", "k", "k"])
+            return sum(result.committed for result in results.values())
 
         self.assertEqual(self.with_gate(use), 1)
 
-    def test_lost_answer_is_lost_for_all_rows_of_the_batch(self):
+    def test_lost_response_fails_all_writes_of_the_batch(self):
         async def use(gate, fake):
             fake.script.lose_answers = 1
             lost = []
@@ -94,7 +95,7 @@
 
         self.assertEqual(self.with_gate(use), ["a", "b", "c"])
 
-    def test_writes_keep_to_the_budget(self):
+    def test_writes_stay_within_the_budget(self):
         async def use(gate, fake):
             start = trio.current_time()
             for number in range(60):
@@ -107,7 +108,7 @@
 
 
 class FakePlatformTest(VirtualTestCase):
-    """The stand-in keeps to its script."""
+    """The stand-in enforces the limits in its script."""
 
     def test_rate_limit_refuses_and_writes_nothing(self):
         async def task():
@@ -122,7 +123,7 @@
 
         self.assertEqual(self.run_virtual(task), (15, 5))
 
-    def test_weights_are_handed_out_as_far_as_the_quota_goes(self):
+    def test_weights_are_limited_by_the_quota(self):
         async def task():
             script = PlatformScript(weight_bytes_per_minute=20_000_000_000)
             fake = FakePlatform(LoopClock(), script)
--- a/berylshift/tests/test_platform_store.py
+++ b/berylshift/tests/test_platform_store.py
@@ -53,8 +53,8 @@
         self.server = HttpServer(self.handle)
         self.status = 0
         self.silent = False
-        # Given the responder of a call, returns the one that its answer goes through.
-        self.through = lambda responder: responder
+        # Returns the responder to use in place of the given one.
+        self.wrap_responder = lambda responder: responder
         self.client = HttpClient(self.dial)
         self.calls = StoreClient(self.client, ADDRESS, 0.5)
         self.directory = PlatformDirectory(self.calls)
@@ -72,7 +72,7 @@
         if self.status:
             await responder.full(self.status, {}, b"{}")
             return
-        await self.store.handle(req, self.through(responder))
+        await self.store.handle(req, self.wrap_responder(responder))
 
     def put(self, table: str, key: str, value: object) -> None:
         self.store.version += 1
--- a/berylshift/tests/test_store_slow_answers.py
+++ b/berylshift/tests/test_store_slow_answers.py
@@ -1,4 +1,4 @@
-"""Answers of the store that come in parts, slowly or not to their end."""
+"""Responses of the store that arrive slowly or never end."""
 
 import unittest
 
@@ -10,39 +10,42 @@
 from berylshift.tests.support import VirtualTestCase
 from berylshift.tests.test_platform_store import StoreWorld
 
-# What a loaded small host takes in at a time, and the seconds for it; a configuration
-# of so many routes takes it longer than a feed's wait and time-out together.
-PART_BYTES = 16384
-PART_SECONDS = 0.1
-ROUTES = 1449
-# A change must be in force by then; no single read may hold it up longer.
+# The rate at which a loaded small host receives a response. A configuration with this
+# many routes takes it longer than the wait and the timeout of a feed together.
+CHUNK_BYTES = 16384
+CHUNK_SECONDS = 0.1
+ROUTE_COUNT = 1449
+# A change must be in force within this time, so no single read may take longer.
 IN_FORCE_SECONDS = 11.0
-# The time-out of the world's calls.
-TIMEOUT = 0.5
+# Timeout of the calls of ``StoreWorld``.
+TIMEOUT_SECONDS = 0.5
 
 
-class InParts:
-    """A responder that sends an answer in parts, the last of them perhaps never."""
+class SlowResponder:
+    """A responder that sends the body in delayed chunks.
+
+    After ``max_chunks`` it sends nothing more and does not end the response.
+    """
 
     def __init__(
         self,
         responder,
-        size: int = PART_BYTES,
-        pause: float = PART_SECONDS,
-        most: float = float("inf"),
+        chunk_bytes: int = CHUNK_BYTES,
+        delay_seconds: float = CHUNK_SECONDS,
+        max_chunks: float = float("inf"),
     ):
         self._responder = responder
-        self._size = size
-        self._pause = pause
-        self._most = most
+        self._chunk_bytes = chunk_bytes
+        self._delay_seconds = delay_seconds
+        self._max_chunks = max_chunks
 
     async def full(self, status: int, headers, body: bytes) -> None:
         await self._responder.start(status, headers)
-        for number, start in enumerate(range(0, len(body), self._size)):
-            if number >= self._most:
+        for number, start in enumerate(range(0, len(body), self._chunk_bytes)):
+            if number >= self._max_chunks:
                 await trio.sleep_forever()
-            await trio.sleep(self._pause)
-            await self._responder.send(body[start : start + self._size])
+            await trio.sleep(self._delay_seconds)
+            await self._responder.send(body[start : start + self._chunk_bytes])
         await self._responder.end()
 
 
@@ -76,33 +79,33 @@
 class LargeConfigurationTest(SlowStoreCase):
     """A configuration that a small host needs seconds to read.
 
-    The operators' change is acknowledged. The answer that tells it comes steadily but
-    takes longer than the store is given to speak: a bound on the whole answer ends each
-    read, the first as the last. Callers of a running host get what the old routes say
-    for good; one that has started again has no routes and refuses them all.
+    The response arrives steadily but takes longer than the timeout. Guards against a
+    timeout on the whole response, which would end every retry too: a running host would
+    route by the old configuration forever, and a restarted host would have no routes
+    and refuse all requests.
     """
 
     def put(self, world: StoreWorld, version: int, count: int) -> None:
         value = configuration(version, count)
         world.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, value)
 
-    def test_a_running_host_takes_it_over(self):
+    def test_running_host_applies_it(self):
         async def task(world):
-            world.through = InParts
+            world.wrap_responder = SlowResponder
             self.put(world, 1, 1)
             entry = EntryWorld(world.nursery, directory=world.directory)
             host = await entry.add_host()
             first = host.routes.table.version
-            self.put(world, 2, ROUTES)
+            self.put(world, 2, ROUTE_COUNT)
             await trio.sleep(IN_FORCE_SECONDS)
             return first, host.routes.table.version, len(host.routes.table.routes)
 
-        self.assertEqual(self.run_store(task), (1, 2, ROUTES))
+        self.assertEqual(self.run_store(task), (1, 2, ROUTE_COUNT))
 
-    def test_a_host_that_starts_takes_it_over(self):
+    def test_starting_host_applies_it(self):
         async def task(world):
-            self.put(world, 2, ROUTES)
-            world.through = InParts
+            self.put(world, 2, ROUTE_COUNT)
+            world.wrap_responder = SlowResponder
             entry = EntryWorld(world.nursery, directory=world.directory)
             host = await entry.add_host()
             await trio.sleep(IN_FORCE_SECONDS)
@@ -111,24 +114,24 @@
         self.assertTrue(self.run_store(task))
 
 
-class BrokenOffTest(SlowStoreCase):
-    """An answer that has begun and never ends.
+class UnfinishedResponseTest(SlowStoreCase):
+    """A response that starts and never ends.
 
-    The first part is there, then the connection says nothing more, or a byte now and
-    then. Were the host to wait on, it would see no change at all while the store
-    answers everybody else; so the read ends and the next one takes a new connection.
+    After the first chunks the connection delivers nothing more, or a byte now and then.
+    Guards against a host that waits for it and misses all changes while the store
+    serves the other hosts: the read must end, and the next one use a new connection.
     """
 
-    def seconds_until_lost(self, through) -> float:
+    def seconds_until_lost(self, wrap_responder) -> float:
         async def task(world):
-            world.put(names.REPLICA_TABLE, "other", b"x" * PART_BYTES * 8)
+            world.put(names.REPLICA_TABLE, "other", b"x" * CHUNK_BYTES * 8)
             await world.directory.read_replicas()
-            world.through = through
+            world.wrap_responder = wrap_responder
             start = trio.current_time()
             with self.assertRaises(ResponseLostError):
                 await world.directory.read_replicas()
             seconds = trio.current_time() - start
-            world.through = lambda responder: responder
+            world.wrap_responder = lambda responder: responder
             before = world.dials
             await world.directory.read_replicas()
             self.assertEqual(world.dials, before + 1)
@@ -136,20 +139,24 @@
 
         return self.run_store(task)
 
-    def test_silence_in_the_middle_shows_as_soon_as_at_the_start(self):
-        most = 3
+    def test_stalled_body_times_out_as_fast_as_a_missing_response(self):
+        max_chunks = 3
 
-        def through(responder):
-            return InParts(responder, most=most)
+        def wrap_responder(responder):
+            return SlowResponder(responder, max_chunks=max_chunks)
 
-        seconds = self.seconds_until_lost(through)
-        self.assertAlmostEqual(seconds, most * PART_SECONDS + TIMEOUT, delta=0.01)
+        seconds = self.seconds_until_lost(wrap_responder)
+        self.assertAlmostEqual(
+            seconds, max_chunks * CHUNK_SECONDS + TIMEOUT_SECONDS, delta=0.01
+        )
 
-    def test_a_byte_now_and_then_is_no_answer(self):
-        def through(responder):
-            return InParts(responder, size=1, pause=0.8 * TIMEOUT)
+    def test_trickling_response_ends_in_time(self):
+        def wrap_responder(responder):
+            return SlowResponder(
+                responder, chunk_bytes=1, delay_seconds=0.8 * TIMEOUT_SECONDS
+            )
 
-        self.assertLess(self.seconds_until_lost(through), IN_FORCE_SECONDS)
+        self.assertLess(self.seconds_until_lost(wrap_responder), IN_FORCE_SECONDS)
 
 
 if __name__ == "__main__":
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -578,16 +578,16 @@
     Proof(
         "a slow answer of the store is read on while its parts come",
         "store/client.py",
-        "                limit.allow(self._timeout)\n",
+        "                limit.allow(self._timeout_seconds)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
     Proof(
         "an answer of the store that never ends is given up",
         "store/client.py",
-        "wait + MAX_READ_SECONDS",
+        "wait_seconds + MAX_READ_SECONDS",
         'float("inf")',
-        "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
+        "test_store_slow_answers.UnfinishedResponseTest.test_trickling_response_ends_in_time",
     ),
     Proof(
         "an answer that has come is written whatever ends meanwhile",
