--- a/berylshift/platform/__init__.py
+++ b/berylshift/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: its names and calls, nothing that decides."""
+"""Adapter to the platform: its names, formats and calls; it makes no decisions."""
--- a/berylshift/platform/codec.py
+++ b/berylshift/platform/codec.py
@@ -1,4 +1,4 @@
-"""Callers' and replicas' headers, turned into typed messages and back."""
+"""Converts between the platform's HTTP headers and typed messages."""
 
 import msgspec
 
@@ -22,7 +22,7 @@
 from berylshift.request.errors import BadRequestError
 from berylshift.version.customers import ApiKey
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset(
     {
         b"connection",
@@ -38,8 +38,8 @@
         b"upgrade",
     }
 )
-# Said at most once; two values would let caller and replica understand two things.
-SINGLE = frozenset(
+# May occur once only: given two values, host and replica could each use another one.
+SINGLE_VALUED = frozenset(
     {
         names.ATTEMPT_ID,
         names.TIME_LEFT_MS,
@@ -49,19 +49,19 @@
         names.LAST_EVENT_ID,
     }
 )
-# Written anew for each send.
+# Set anew for each attempt.
 REWRITTEN = frozenset({names.TIME_LEFT_MS, names.LAST_EVENT_ID})
-# A Connection header may not strip what says which request this is.
-KEPT = SINGLE | {b"host", names.LENGTH_HINT}
-# Said by this host alone where routes ask for a customer's key.
-OF_CUSTOMER = frozenset({names.AUTHORIZATION, names.CUSTOMER})
+# Not removed if listed in a Connection header: they identify and describe the request.
+PROTECTED = SINGLE_VALUED | {b"host", names.LENGTH_HINT}
+# Set by this host only, if routes require a customer's key.
+CUSTOMER_HEADERS = frozenset({names.AUTHORIZATION, names.CUSTOMER})
 KEY_SCHEME = b"bearer"
 MAX_KEY_BYTES = 1024
 PHASE_PREFILL = b"prefill"
-LEAST_TIME_LEFT_MS = 1
+MIN_TIME_LEFT_MS = 1
 STATUS_WRONG_INSTANCE = 421
-# Too many requests, and a service that is not available (RFC 6585, RFC 9110).
-TURNED_AWAY = (429, 503)
+# Too Many Requests (RFC 6585) and Service Unavailable (RFC 9110).
+BACK_OFF_STATUSES = (429, 503)
 RETRY_AFTER = b"retry-after"
 DRAINING_VALUE = b"1"
 
@@ -72,16 +72,16 @@
 
 
 class PlatformCodec:
-    """The platform's headers."""
+    """Parses and writes the platform's headers."""
 
     def __init__(self) -> None:
-        """Start with no unknown header seen."""
+        """Start without any unknown header logged."""
         self._unknown = UnknownHeaders()
 
     def parse_request(
         self, method: bytes, target: bytes, headers: list[Header], body: Body
     ) -> RoutedRequest:
-        """Return a caller's request; raise ``BadRequestError``."""
+        """Parse a caller's request; raise ``BadRequestError``."""
         single = _single_values(headers)
         if not single.get(names.ATTEMPT_ID):
             raise BadRequestError("no attempt id")
@@ -89,28 +89,28 @@
             id=RequestId(single[names.ATTEMPT_ID].decode("latin-1")),
             method=method,
             target=target,
-            headers=_passed_on(headers),
+            headers=_forwarded(headers),
             body=body,
             seconds_left=_seconds(single.get(names.TIME_LEFT_MS)),
             prompt=_prompt(single),
             resume_after=single.get(names.LAST_EVENT_ID),
-            key=_key(headers),
+            key=_api_key(headers),
         )
 
     def strip_key(
         self, req: RoutedRequest, customer: CustomerName | None
     ) -> RoutedRequest:
-        """Return a request that names its customer to replicas, not its key."""
-        headers = tuple(pair for pair in req.headers if pair[0] not in OF_CUSTOMER)
+        """Return the request with its customer's name in place of the API key."""
+        headers = tuple(pair for pair in req.headers if pair[0] not in CUSTOMER_HEADERS)
         if customer is not None:
             headers = (*headers, (names.CUSTOMER, customer.encode()))
         return msgspec.structs.replace(req, headers=headers, customer=customer)
 
     def forward_headers(self, req: RoutedRequest, dispatch: Dispatch) -> list[Header]:
-        """Return the headers of one send."""
-        left = max(LEAST_TIME_LEFT_MS, int(dispatch.seconds_left * 1000))
+        """Return the headers of one attempt."""
+        time_left_ms = max(MIN_TIME_LEFT_MS, int(dispatch.seconds_left * 1000))
         headers = list(req.headers)
-        headers.append((names.TIME_LEFT_MS, b"%d" % left))
+        headers.append((names.TIME_LEFT_MS, b"%d" % time_left_ms))
         headers.append((names.TARGET_INSTANCE, dispatch.replica.encode()))
         if dispatch.resume_after is not None:
             headers.append((names.LAST_EVENT_ID, dispatch.resume_after))
@@ -123,7 +123,7 @@
         return headers
 
     def parse_response_head(self, status: int, headers: list[Header]) -> ResponseHead:
-        """Return the head of a replica's answer."""
+        """Parse the head of a replica's response."""
         found = dict(headers)
         echoed = found.get(names.ATTEMPT_ID)
         request = None if echoed is None else RequestId(echoed.decode("latin-1"))
@@ -134,15 +134,15 @@
             genuine=names.SIGNATURE in found and b"content-encoding" not in found,
             not_run=names.NOT_RUN in found or status == STATUS_WRONG_INSTANCE,
             load=_load(found.get(names.LOAD)),
-            keep_alive_seconds=_keep_seconds(found.get(b"keep-alive")),
+            keep_alive_seconds=_keep_alive_seconds(found.get(b"keep-alive")),
             headers=tuple(header for header in headers if header[0] not in HOP_BY_HOP),
-            length=_length(found.get(b"content-length")),
+            length=_content_length(found.get(b"content-length")),
         )
 
     def parse_flow_control(
         self, status: int, headers: list[Header]
     ) -> FlowControl | None:
-        """Return what an answer asks for; ``None``: another replica gave it."""
+        """Return flow control from a response; ``None`` if another replica sent it."""
         if status == STATUS_WRONG_INSTANCE:
             return None
         found = dict(headers)
@@ -153,7 +153,7 @@
         )
 
     def parse_kv_handle(self, body: bytes) -> KvHandle | None:
-        """Return the KV cache of a prefill answer, ``None`` if it can't be read."""
+        """Return the KV cache handle of a prefill response; ``None`` if malformed."""
         try:
             found = msgspec.json.decode(body, type=_Handle)
         except msgspec.DecodeError:
@@ -161,7 +161,7 @@
         return KvHandle(found.kv_handle, found.tokens)
 
     def kv_release_call(self, handle: str, replica: ReplicaName) -> ControlCall:
-        """Return the call, a DELETE, that frees a KV cache."""
+        """Return the DELETE call that releases a KV cache."""
         path = f"{names.KV_HANDLE_PATH}{handle}".encode()
         headers = ((b"host", b"engine"), (names.TARGET_INSTANCE, replica.encode()))
         return ControlCall(path, headers)
@@ -170,7 +170,7 @@
 def _single_values(headers: list[Header]) -> dict[bytes, bytes]:
     found: dict[bytes, bytes] = {}
     for name, value in headers:
-        if name not in SINGLE:
+        if name not in SINGLE_VALUED:
             continue
         if name in found:
             raise BadRequestError(f"{name.decode()} is said twice")
@@ -178,23 +178,25 @@
     return found
 
 
-def _passed_on(headers: list[Header]) -> tuple[Header, ...]:
-    """Return what goes on to a replica; forged orders to it do not."""
-    named = {
+def _forwarded(headers: list[Header]) -> tuple[Header, ...]:
+    """Return the headers to forward, without reserved ones that a caller may forge."""
+    listed = {
         token.strip().lower()
         for name, value in headers
         if name == b"connection"
         for token in value.split(b",")
     }
-    dropped = (HOP_BY_HOP | names.RESERVED | REWRITTEN | named) - (KEPT - REWRITTEN)
+    dropped = (HOP_BY_HOP | names.RESERVED | REWRITTEN | listed) - (
+        PROTECTED - REWRITTEN
+    )
     return tuple(header for header in headers if header[0] not in dropped)
 
 
-def _key(headers: list[Header]) -> ApiKey | None:
-    """Return the one key that a caller shows.
+def _api_key(headers: list[Header]) -> ApiKey | None:
+    """Return the API key that a caller presents.
 
-    Two of them, or one that is not a scheme and a word, is none: this host and a
-    replica might each go by another.
+    ``None`` if there are several, or one that is not a scheme and a token: this host
+    and a replica might each use another one.
     """
     values = [value for name, value in headers if name == names.AUTHORIZATION]
     if len(values) != 1:
@@ -214,23 +216,26 @@
 
 
 def _prompt(single: dict[bytes, bytes]) -> Prompt | None:
-    """Return the announced prompt; it only guides placement, so a bad one is none."""
-    parts = single.get(names.PREFIX_BLOCKS)
+    """Return the announced prompt; malformed ones are ignored.
+
+    The announcement only guides placement.
+    """
+    blocks = single.get(names.PREFIX_BLOCKS)
     counts = single.get(names.TOKEN_COUNTS)
-    if parts is None or counts is None:
+    if blocks is None or counts is None:
         return None
     try:
         tokens, _, output = counts.partition(b",")
-        return Prompt(_parts(parts), int(tokens), int(output or 0))
+        return Prompt(_blocks(blocks), int(tokens), int(output or 0))
     except ValueError:
         return None
 
 
-def _parts(value: bytes) -> tuple[PromptBlock, ...]:
+def _blocks(value: bytes) -> tuple[PromptBlock, ...]:
     found = []
     for entry in value.decode("ascii").split(","):
-        part, _, tokens = entry.strip().partition(":")
-        found.append(PromptBlock(PartId(part), int(tokens)))
+        block, _, tokens = entry.strip().partition(":")
+        found.append(PromptBlock(PartId(block), int(tokens)))
     return tuple(found)
 
 
@@ -245,14 +250,14 @@
 
 
 def _retry_after(status: int, headers: dict[bytes, bytes]) -> float:
-    """Return the seconds for which a refusal asks to back off."""
-    if status not in TURNED_AWAY:
+    """Return the seconds that a refusal asks to back off."""
+    if status not in BACK_OFF_STATUSES:
         return 0.0
     return parse_retry_after(headers.get(RETRY_AFTER, b"").decode("latin-1"))
 
 
 def _rate(value: bytes | None) -> float | None:
-    """Return requests a second; a value that is none names no limit."""
+    """Return requests per second; a malformed value means no limit."""
     try:
         found = float(value) if value is not None else -1.0
     except ValueError:
@@ -260,7 +265,7 @@
     return found if 0 <= found < float("inf") else None
 
 
-def _keep_seconds(value: bytes | None) -> float | None:
+def _keep_alive_seconds(value: bytes | None) -> float | None:
     if value is None:
         return None
     for item in value.split(b","):
@@ -270,5 +275,5 @@
     return None
 
 
-def _length(value: bytes | None) -> int | None:
+def _content_length(value: bytes | None) -> int | None:
     return int(value) if value is not None and value.isdigit() else None
--- a/berylshift/platform/configuration.py
+++ b/berylshift/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as the platform keeps it, turned into routes."""
+"""Parses the operators' configuration in the platform's format."""
 
 import logging
 from typing import Annotated
@@ -28,7 +28,7 @@
 
 logger = logging.getLogger(__name__)
 
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": RouteKind.IDEMPOTENT,
     "non_idempotent": RouteKind.AT_MOST_ONCE,
     "streaming": RouteKind.STREAM,
@@ -49,15 +49,15 @@
     target_latency_ms: float = 0.0
     priority: int = 5
     service: str = ""
-    # A split over several services; then ``service`` is left out.
+    # Set instead of ``service`` to split requests over several services.
     backends: list[_Share] = []
     max_attempts: int = 1
-    # Says that requests describe their prompt, not that a session is pinned.
+    # Means that requests describe their prompt, not that sessions are pinned.
     session_affinity: bool = False
     resumable: bool = False
-    # The longest pause between two events, not a time between single tokens.
+    # The longest gap between two events, not between single tokens.
     target_itl_ms: float = 0.0
-    # Taken without a customer's key.
+    # Accepts requests without a customer's key.
     public: bool = False
 
 
@@ -72,7 +72,7 @@
     min_replicas: int
     max_replicas: int
     boot_s: float
-    # A part of the price of other replicas, not a bound on what is offered for one.
+    # A fraction of the on-demand price, not the maximum bid for a replica.
     max_spot_price: float | None = None
     zone_prices: dict[str, float] = {}
 
@@ -102,56 +102,57 @@
     routes: list[_Route]
     services: list[_Service]
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    # An empty list lets nobody use a route that is not public; none at all means that
-    # no route asks for a key.
+    # If empty, nobody can use routes that are not public; if absent, no route requires
+    # a key.
     tenants: list[_Tenant] | None = None
 
 
 def parse_configuration(data: bytes) -> RouteTable:
-    """Return the routes of a configuration; raise ``MalformedEntryError``."""
+    """Return the routes in a configuration; raise ``MalformedEntryError``."""
     try:
-        found = msgspec.json.decode(data, type=_Configuration)
-        _tell_unknown_parts(data, found.version)
-        return _table(found)
+        configuration = msgspec.json.decode(data, type=_Configuration)
+        _log_unknown_fields(data, configuration.version)
+        return _table(configuration)
     except (msgspec.DecodeError, KeyError) as exc:
         raise MalformedEntryError(f"configuration: {exc}") from exc
 
 
-def _tell_unknown_parts(data: bytes, version: int) -> None:
-    """Log which parts of a configuration are passed over; their values may be secret.
+def _log_unknown_fields(data: bytes, version: int) -> None:
+    """Log the names of ignored fields; their values may be secret.
 
-    A part that is new on the platform would otherwise go unseen until a rule breaks.
+    Otherwise a field that is new on the platform goes unnoticed until a rule breaks.
     """
-    parts = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
-    unknown = sorted(parts.keys() - set(_Configuration.__struct_fields__))
+    fields = msgspec.json.decode(data, type=dict[str, msgspec.Raw])
+    unknown = sorted(fields.keys() - set(_Configuration.__struct_fields__))
     if unknown:
         logger.warning(
-            "parts passed over", extra={"version": version, "parts": unknown}
+            "unknown configuration fields ignored",
+            extra={"version": version, "parts": unknown},
         )
 
 
-def _table(found: _Configuration) -> RouteTable:
+def _table(configuration: _Configuration) -> RouteTable:
     limits = CallerLimits(
-        header_bytes=found.limits.max_header_bytes,
-        body_bytes=found.limits.max_body_bytes,
-        header_seconds=found.limits.header_timeout_ms / 1000,
-        idle_seconds=found.limits.idle_timeout_ms / 1000,
+        header_bytes=configuration.limits.max_header_bytes,
+        body_bytes=configuration.limits.max_body_bytes,
+        header_seconds=configuration.limits.header_timeout_ms / 1000,
+        idle_seconds=configuration.limits.idle_timeout_ms / 1000,
     )
     return RouteTable(
-        TableVersion(found.version),
-        tuple(_route(route) for route in found.routes),
-        tuple(_service(service) for service in found.services),
+        TableVersion(configuration.version),
+        tuple(_route(route) for route in configuration.routes),
+        tuple(_service(service) for service in configuration.services),
         limits,
-        None if found.tenants is None else _customers(found.tenants),
+        None if configuration.tenants is None else _customers(configuration.tenants),
     )
 
 
 def _customers(tenants: list[_Tenant]) -> CustomerKeys:
-    found = CustomerKeys()
+    customer_keys = CustomerKeys()
     for tenant in tenants:
         customer = Customer(CustomerName(tenant.name), tenant.priority)
-        found.add(customer, (ApiKey(key.encode()) for key in tenant.api_keys))
-    return found
+        customer_keys.add(customer, (ApiKey(key.encode()) for key in tenant.api_keys))
+    return customer_keys
 
 
 def _route(route: _Route) -> Route:
@@ -160,7 +161,7 @@
         name=RouteName(route.name),
         host=route.host.lower(),
         prefix=route.prefix,
-        kind=KINDS[route.route_kind],
+        kind=ROUTE_KINDS[route.route_kind],
         timeout_seconds=route.timeout_ms / 1000,
         objective_seconds=route.target_latency_ms / 1000,
         rank=route.priority,
--- a/berylshift/platform/engines.py
+++ b/berylshift/platform/engines.py
@@ -1,4 +1,4 @@
-"""The engines' own interface: reports and orders."""
+"""The engines' control API: reports and orders."""
 
 import msgspec
 import trio
@@ -15,8 +15,8 @@
 from berylshift.platform import names
 
 STATUS_OK = 200
-MOST_BYTES = 1 << 20
-ANSWERS = {
+MAX_RESPONSE_BYTES = 1 << 20
+ORDER_ANSWERS = {
     200: OrderAnswer.ALREADY_IN_PHASE,
     202: OrderAnswer.ACCEPTED,
     409: OrderAnswer.CONFLICT,
@@ -29,9 +29,9 @@
 class _Report(msgspec.Struct):
     phase: str
     busy: bool
-    # Orders accepted since the replica's start, not a heartbeat's number.
+    # The number of orders accepted since the replica's start, not a heartbeat number.
     sequence: int
-    # Unix milliseconds of the replica's start; not all replicas tell it.
+    # Unix time of the replica's start in milliseconds; not all replicas report it.
     born: int | None = None
 
 
@@ -40,41 +40,41 @@
     phase: str
     owner: str
     fencing_token: int
-    # The number of accepted orders that the replica must still have.
+    # The order is refused unless the replica has accepted this many orders so far.
     precondition: int
 
 
 class PlatformEngines:
-    """Asks and orders engines by the platform's calls."""
+    """Gets reports from engines and sends orders to them."""
 
-    def __init__(self, client: TargetClient, timeout: float):
-        """Wait ``timeout`` seconds for an answer."""
+    def __init__(self, client: TargetClient, timeout_seconds: float):
+        """Make calls through ``client``; each takes at most ``timeout_seconds``."""
         self._client = client
-        self._timeout = timeout
+        self._timeout_seconds = timeout_seconds
 
     async def report(self, replica: Replica) -> EngineReport | None:
-        """Return an engine's report, ``None`` if there is none to be had."""
+        """Return an engine's report, or ``None`` if it can't be obtained."""
         status, body = await self._call(replica, b"GET", names.REPORT_PATH, b"")
         if status != STATUS_OK:
             return None
         try:
-            found = msgspec.json.decode(body, type=_Report)
-            phase = EnginePhase(found.phase)
+            decoded = msgspec.json.decode(body, type=_Report)
+            phase = EnginePhase(decoded.phase)
         except (msgspec.DecodeError, ValueError):
             return None
-        return EngineReport(phase, found.busy, found.sequence, found.born)
+        return EngineReport(phase, decoded.busy, decoded.sequence, decoded.born)
 
     async def order(self, replica: Replica, order: PhaseOrder) -> OrderAnswer:
         """Send an order once."""
         body = _Order("phase", order.phase, order.holder, order.fence, order.orders)
         data = msgspec.json.encode(body)
         status, _ = await self._call(replica, b"POST", names.ORDER_PATH, data)
-        return ANSWERS.get(status, OrderAnswer.UNKNOWN)
+        return ORDER_ANSWERS.get(status, OrderAnswer.UNKNOWN)
 
     async def _call(
         self, replica: Replica, method: bytes, path: bytes, body: bytes
     ) -> tuple[int, bytes]:
-        """Return status and body; status 0 where no answer came."""
+        """Return status and body; status 0 if there was no response."""
         headers = [
             (b"host", b"engine"),
             (names.TARGET_INSTANCE, replica.name.encode()),
@@ -88,13 +88,13 @@
             path,
             headers,
             RequestBody.of(body),
-            # Orders are few, and relieve an engine that is at its limit.
+            # Orders are rare, and they relieve an engine that is at its limit.
             limit_exempt=True,
         )
-        with trio.move_on_after(self._timeout):
+        with trio.move_on_after(self._timeout_seconds):
             try:
-                async with self._client.exchange(out) as answer:
-                    return answer.status, await answer.read(MOST_BYTES)
+                async with self._client.exchange(out) as response:
+                    return response.status, await response.read(MAX_RESPONSE_BYTES)
             except ConnectionLayerError:
                 return 0, b""
         return 0, b""
--- a/berylshift/platform/entries.py
+++ b/berylshift/platform/entries.py
@@ -1,4 +1,4 @@
-"""Replicas' own entries in the platform's store, turned into replicas."""
+"""Parses the entries that replicas write to the platform's store."""
 
 from typing import Annotated
 
@@ -15,7 +15,7 @@
 
 
 class _Entry(msgspec.Struct):
-    """All that a replica writes; an entry that lacks some is another writer's."""
+    """The fields that every replica writes; an entry without them is foreign."""
 
     service: Text
     address: Address
@@ -26,33 +26,33 @@
     cold_remaining_ms: float
     sequence: int
     phase: str = ""
-    # Unix milliseconds of the replica's start; not all replicas tell it.
+    # Unix time of the replica's start in milliseconds; not all replicas report it.
     born: Annotated[int, msgspec.Meta(ge=0)] | msgspec.UnsetType = msgspec.UNSET
-    # Whether the platform may take the replica away.
+    # Whether the replica is interruptible: the platform may reclaim it.
     spot_enabled: bool = False
 
 
 def parse_replica_entry(key: str, data: bytes, revision: int = 0) -> Replica:
-    """Return the replica of an entry; raise ``MalformedEntryError``."""
+    """Return the replica that an entry describes; raise ``MalformedEntryError``."""
     try:
-        found = msgspec.json.decode(data, type=_Entry)
-        phase = EnginePhase(found.phase)
+        decoded = msgspec.json.decode(data, type=_Entry)
+        phase = EnginePhase(decoded.phase)
     except (msgspec.DecodeError, ValueError) as exc:
         raise MalformedEntryError(f"replica {key}: {exc}") from exc
-    if found.state not in STATES:
-        raise MalformedEntryError(f"replica {key}: unknown state {found.state!r}")
+    if decoded.state not in STATES:
+        raise MalformedEntryError(f"replica {key}: unknown state {decoded.state!r}")
     name = ReplicaName(key)
-    started_ms = None if found.born is msgspec.UNSET else found.born
+    started_ms = None if decoded.born is msgspec.UNSET else decoded.born
     return Replica(
         instance=instance_of(name, started_ms),
-        service=ServiceName(found.service),
-        address=found.address,
-        domain=DomainName(found.zone),
-        slots=found.batch_slots,
-        draining=found.state == DRAINING,
+        service=ServiceName(decoded.service),
+        address=decoded.address,
+        domain=DomainName(decoded.zone),
+        slots=decoded.batch_slots,
+        draining=decoded.state == DRAINING,
         phase=phase,
         name=name,
         started_ms=started_ms,
         revision=Revision(revision),
-        interruptible=found.spot_enabled,
+        interruptible=decoded.spot_enabled,
     )
--- a/berylshift/platform/leader_calls.py
+++ b/berylshift/platform/leader_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that one host at a time may make."""
+"""Calls to the platform that only the holder of a lease may make."""
 
 import msgspec
 import trio
@@ -10,7 +10,7 @@
 from berylshift.messages.usage import UsageReport
 from berylshift.platform import names
 
-ANSWERS = {
+RESULTS = {
     200: CallResult.DONE,
     202: CallResult.DONE,
     409: CallResult.UNAVAILABLE,
@@ -31,29 +31,29 @@
     service: str
     zone: str
     desired: int
-    # An order for replicas that may be taken away again.
+    # Orders interruptible replicas, which the platform may reclaim.
     spot_enabled: bool = False
 
 
 class PlatformLeaderCalls:
-    """Makes the calls, each once and within a time-out."""
+    """Makes each call once, within a timeout."""
 
-    def __init__(self, client: HttpClient, address: str, timeout: float):
-        """Call ``address``; wait ``timeout`` seconds for an answer."""
+    def __init__(self, client: HttpClient, address: str, timeout_seconds: float):
+        """Call ``address``; each call takes at most ``timeout_seconds``."""
         self._client = client
         self._address = address
-        self._timeout = timeout
+        self._timeout_seconds = timeout_seconds
 
     async def report_usage(
         self, report: UsageReport, holder: LeaseHolder
     ) -> CallResult:
-        """Send a report once; an exact repeat of an earlier one changes nothing."""
-        counts = {found.customer: found.count for found in report.counts}
+        """Send a report once; the platform ignores exact repeats of a report."""
+        counts = {entry.customer: entry.count for entry in report.counts}
         body = msgspec.json.encode(_Usage(report.window, counts))
         return await self._call(names.USAGE_PATH, body, holder)
 
     async def scale(self, order: ScaleOrder, holder: LeaseHolder) -> CallResult:
-        """Send an order once; ``UNAVAILABLE``: none of the kind are to be had there."""
+        """Send an order once; ``UNAVAILABLE``: no capacity of this kind there."""
         interruptible = order.kind is ReplicaKind.INTERRUPTIBLE
         body = _Scale(order.service, order.domain, order.desired, interruptible)
         return await self._call(names.SCALE_PATH, msgspec.json.encode(body), holder)
@@ -64,13 +64,13 @@
             names.LEASE_HOLDER: holder.host,
             names.FENCING_TOKEN: str(holder.fence),
         }
-        # On a fresh connection, as all writes: a kept one may be closed as it is sent.
+        # Writes use a new connection: the server may close a pooled one meanwhile.
         out = Outgoing(self._address, "POST", path, headers, body, reuse=False)
-        with trio.move_on_after(self._timeout):
+        with trio.move_on_after(self._timeout_seconds):
             try:
                 async with self._client.request(out) as resp:
                     await resp.read()
-                    return ANSWERS.get(resp.status, CallResult.UNKNOWN)
+                    return RESULTS.get(resp.status, CallResult.UNKNOWN)
             except ConnectFailedError:
                 return CallResult.BUSY
             except ConnectionLayerError:
--- a/berylshift/platform/names.py
+++ b/berylshift/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names on the wire, each written once."""
+"""The platform's names on the wire: headers, paths, tables and keys."""
 
 ATTEMPT_ID = b"berylshift-attempt-id"
 TIME_LEFT_MS = b"berylshift-deadline-ms"
@@ -12,7 +12,7 @@
 INSTANCE = b"berylshift-instance-id"
 LOAD = b"berylshift-instance-load"
 NOT_RUN = b"berylshift-not-executed"
-# Requests a second that a replica takes from all hosts together.
+# Requests per second that a replica accepts from all hosts together.
 RATE_LIMIT = b"server-limit"
 DRAINING = b"server-leaving"
 RANK = b"berylshift-request-priority"
@@ -27,7 +27,7 @@
 AUTHORIZATION = b"authorization"
 CUSTOMER = b"berylshift-tenant"
 
-# Only the system may say these to a replica; what a caller sends of them is dropped.
+# Only this system may send these to a replica; those from callers are dropped.
 RESERVED = frozenset(
     {
         TARGET_INSTANCE,
@@ -46,7 +46,7 @@
     }
 )
 
-# What replicas' answers may carry.
+# Headers that replicas may send in responses.
 RESPONSE_HEADERS = frozenset(
     {
         ATTEMPT_ID,
@@ -60,7 +60,7 @@
     }
 )
 
-# Rises by one each time that the store comes back from an older copy.
+# Increases by one each time the store is restored from an older copy.
 STORE_ERA = "store-era"
 
 READY_PATH = "/v1/readyz"
--- a/berylshift/platform/own_tables.py
+++ b/berylshift/platform/own_tables.py
@@ -1,4 +1,4 @@
-"""The entry hosts' own tables in the platform's store: leases, hosts, crashes."""
+"""Tables of this system in the platform's store: leases, hosts, crashes and more."""
 
 from collections.abc import Iterable
 from typing import TypeVar
@@ -16,9 +16,9 @@
     RowsTransaction,
     RowWrite,
     common_era,
+    decode_records,
     parse_rows,
     read_pages,
-    records,
 )
 from berylshift.store.client import StoreClient
 from berylshift.store.crash_rows import CrashRow, CrashRowsSnapshot
@@ -28,21 +28,21 @@
 from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 
 Kind = TypeVar("Kind")
-STATUS_CONFLICT = 412
-# Windows of usage whose settled reports are kept.
+STATUS_PRECONDITION_FAILED = 412
+# Number of usage windows whose settled reports are kept.
 WINDOWS_KEPT = 100
 
 
 class PlatformLeases:
-    """Lease rows in a table of our own."""
+    """Lease rows in the table of leases."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def read(self, name: str) -> LeaseRow:
-        """Return a row; revision ``ABSENT`` if there is none."""
-        found = await _read_one(self._calls, names.LEASE_TABLE, name)
+        """Return a row; its revision is ``ABSENT`` if it does not exist."""
+        found = await _read_one(self._client, names.LEASE_TABLE, name)
         for row in found.rows:
             if row.key == name:
                 record = _lease(row.data())
@@ -53,145 +53,149 @@
     async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
-        """Write a row if it is at ``expected``; return its revision, else ``None``."""
+        """Write a row if its revision is ``expected``; otherwise return ``None``."""
         table = names.LEASE_TABLE
         body = RowsTransaction(
             [RowCondition(table, name, expected)],
             [RowWrite(table, name, msgspec.json.encode(record))],
         )
-        answer = await self._calls.post(names.ROWS_TX, msgspec.json.encode(body))
-        if answer.status == STATUS_CONFLICT:
+        response = await self._client.post(names.ROWS_TX, msgspec.json.encode(body))
+        if response.status == STATUS_PRECONDITION_FAILED:
             return None
-        found = parse_rows(answer)
+        found = parse_rows(response)
         return Granted(Revision(found.row_version), found.era)
 
 
 class PlatformHosts:
-    """The entry hosts' rows, and the key they share, in tables of our own."""
+    """Rows of the entry hosts, and the key they share."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def announce(self, record: HostRecord) -> None:
         """Write this host's row."""
         value = msgspec.json.encode(record)
         body = RowsTransaction([], [RowWrite(names.HOST_TABLE, record.host, value)])
-        parse_rows(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
+        parse_rows(await self._client.post(names.ROWS_TX, msgspec.json.encode(body)))
 
     async def hosts(self) -> list[HostRecord]:
-        """Return all hosts' rows, those of hosts long gone too."""
-        pages = await read_pages(self._calls, names.HOST_TABLE)
-        return [rec for page in pages for rec in records(page.rows, HostRecord)]
+        """Return the rows of all hosts, including those that no longer run."""
+        pages = await read_pages(self._client, names.HOST_TABLE)
+        return [rec for page in pages for rec in decode_records(page.rows, HostRecord)]
 
     async def get_or_set_shared_key(self, proposal: str) -> str:
-        """Return the key all hosts share; the first proposal is kept for good."""
+        """Return the key shared by all hosts; the first proposal is stored."""
         table, name = names.KEY_TABLE, names.DATAGRAM_KEY
         query = {"table": table, "part": "", "from": name, "limit": 1}
         path = f"{names.ROWS_GET}?{urlencode(query)}"
-        found = parse_rows(await self._calls.get(path))
+        found = parse_rows(await self._client.get(path))
         if not found.rows:
             write = RowWrite(table, name, proposal.encode())
             body = RowsTransaction([RowCondition(table, name, ABSENT)], [write])
-            await self._calls.post(names.ROWS_TX, msgspec.json.encode(body))
-            found = parse_rows(await self._calls.get(path))
+            await self._client.post(names.ROWS_TX, msgspec.json.encode(body))
+            found = parse_rows(await self._client.get(path))
         if not found.rows:
-            raise ResponseLostError("the key's row is not there yet")
+            raise ResponseLostError("the shared key is not readable yet")
         return found.rows[0].data().decode()
 
 
 class PlatformCrashes:
-    """Replicas that ended under requests, in a table of our own."""
+    """Replica crashes during requests, in the table of crashes."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def read(self) -> CrashRowsSnapshot:
-        """Return all rows that can be read."""
-        pages = await read_pages(self._calls, names.CRASH_TABLE)
-        rows = tuple(row for page in pages for row in records(page.rows, CrashRow))
+        """Return all rows that can be decoded."""
+        pages = await read_pages(self._client, names.CRASH_TABLE)
+        rows = tuple(
+            row for page in pages for row in decode_records(page.rows, CrashRow)
+        )
         return CrashRowsSnapshot(rows, pages[-1].now_ms, common_era(pages))
 
     async def change(self, put: Iterable[CrashRow], drop: Iterable[CrashRow]) -> None:
-        """Write some rows and remove others, in one transaction."""
+        """Write the rows ``put`` and remove the rows ``drop`` in one transaction."""
         table = names.CRASH_TABLE
         body = RowsTransaction(
             [],
             [RowWrite(table, _crash_key(row), msgspec.json.encode(row)) for row in put],
             [RowRemoval(table, _crash_key(row)) for row in drop],
         )
-        parse_rows(await self._calls.post(names.ROWS_TX, msgspec.json.encode(body)))
+        parse_rows(await self._client.post(names.ROWS_TX, msgspec.json.encode(body)))
 
 
 class PlatformUsage:
-    """Settled reports of usage, in a table of our own."""
+    """Settled usage reports, in the table of usage."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def read(self, window: int) -> SettledUsage | None:
-        """Return what was settled of a window."""
+        """Return the settled report of a window, ``None`` if there is none."""
         key = str(window)
-        found = await _read_one(self._calls, names.USAGE_TABLE, key)
+        found = await _read_one(self._client, names.USAGE_TABLE, key)
         report = _record(found, key, UsageReport)
         return None if report is None else SettledUsage(report, found.era)
 
     async def settle(self, report: UsageReport) -> SettledUsage:
-        """Settle a report, unless one was settled before; return the one that holds.
+        """Store a report unless one is settled already; return the settled one.
 
-        The row of a window long over goes in the same call.
+        The same transaction removes the row of the window that is no longer kept.
         """
         table = names.USAGE_TABLE
         write = RowWrite(table, str(report.window), msgspec.json.encode(report))
-        over = RowRemoval(table, str(report.window - WINDOWS_KEPT))
-        written = await _write_once(self._calls, write, over)
+        expired = RowRemoval(table, str(report.window - WINDOWS_KEPT))
+        written = await _write_once(self._client, write, expired)
         if written is not None:
             return SettledUsage(report, written.era)
         found = await self.read(report.window)
         if found is None:
-            raise ResponseLostError("the settled report is not there yet")
+            raise ResponseLostError("the settled report is not readable yet")
         return found
 
 
 class PlatformScaling:
-    """How many replicas services need, in a table of our own."""
+    """Number of replicas that services need, in the table of scaling."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def get_or_set_needed(self, service: ServiceName, needed: int) -> int:
-        """Keep a number, unless there is one; return the one that holds."""
+        """Store a number unless one is stored already; return the stored one."""
         table = names.SCALING_TABLE
         write = RowWrite(table, service, msgspec.json.encode(needed))
-        if await _write_once(self._calls, write) is not None:
+        if await _write_once(self._client, write) is not None:
             return needed
-        found = _record(await _read_one(self._calls, table, service), service, int)
+        found = _record(await _read_one(self._client, table, service), service, int)
         if found is None:
-            raise ResponseLostError("the number needed is not there yet")
+            raise ResponseLostError("the needed number is not readable yet")
         return found
 
 
 async def _write_once(
-    calls: StoreClient, write: RowWrite, *over: RowRemoval
+    client: StoreClient, write: RowWrite, *removals: RowRemoval
 ) -> Rows | None:
-    """Write a row that is not there yet; ``None``: it is. ``over`` go with it."""
+    """Write a row and apply ``removals``; return ``None`` if the row exists."""
     condition = RowCondition(write.table, write.key, ABSENT)
-    body = RowsTransaction([condition], [write], list(over))
-    answer = await calls.post(names.ROWS_TX, msgspec.json.encode(body))
-    return None if answer.status == STATUS_CONFLICT else parse_rows(answer)
+    body = RowsTransaction([condition], [write], list(removals))
+    response = await client.post(names.ROWS_TX, msgspec.json.encode(body))
+    return (
+        None if response.status == STATUS_PRECONDITION_FAILED else parse_rows(response)
+    )
 
 
-async def _read_one(calls: StoreClient, table: str, key: str) -> Rows:
-    """Return an answer that has the row of ``key``, if there is one."""
+async def _read_one(client: StoreClient, table: str, key: str) -> Rows:
+    """Return a page that starts with the row of ``key`` if it exists."""
     query = {"table": table, "part": "", "from": key, "limit": 1}
-    return parse_rows(await calls.get(f"{names.ROWS_GET}?{urlencode(query)}"))
+    return parse_rows(await client.get(f"{names.ROWS_GET}?{urlencode(query)}"))
 
 
 def _record(found: Rows, key: str, kind: type[Kind]) -> Kind | None:
-    """Return the record under a key; raise ``MalformedEntryError``."""
+    """Return the record of a key; raise ``MalformedEntryError``."""
     for row in found.rows:
         if row.key == key:
             try:
--- a/berylshift/platform/rows.py
+++ b/berylshift/platform/rows.py
@@ -1,4 +1,4 @@
-"""Rows of the platform's store on the wire: answers read, transactions written."""
+"""Wire format of the platform's store: responses with rows, and transactions."""
 
 import logging
 from collections.abc import Iterable
@@ -18,16 +18,16 @@
 
 STATUS_OK = 200
 REFUSALS = frozenset({429, 503})
-# Rows an answer holds at most; the platform cuts longer answers at this number.
+# Maximum number of rows in a response; the platform truncates longer ones.
 PAGE_ROWS = 500
 Record = TypeVar("Record")
 
 
 class Row(msgspec.Struct):
-    """One row as an answer has it."""
+    """One row of a response."""
 
     key: str
-    # Base64 on the wire; left undecoded, since other writers' values may be anything.
+    # Base64 on the wire; decoded later, since other writers may store any value.
     value: msgspec.Raw = msgspec.Raw(b'""')
     row_version: int = 0
     deleted: bool = False
@@ -41,20 +41,20 @@
             raise MalformedEntryError(f"row {self.key}: {exc}") from exc
 
 
-class _Answer(msgspec.Struct):
-    """An answer as it is on the wire."""
+class _Response(msgspec.Struct):
+    """A response on the wire."""
 
-    # The newest revision of the whole store, not of the rows returned.
+    # The latest revision of the whole store, not of the returned rows.
     row_version: int
-    # Read one by one: one that can't be read must not hide the others.
+    # Decoded one by one, so that a malformed row does not hide the others.
     rows: list[msgspec.Raw] = []
     has_more: bool = False
-    # The store's steady clock.
+    # The store's monotonic clock.
     now_ms: int = 0
 
 
 class Rows(msgspec.Struct):
-    """The rows of an answer that can be read, those of the empty part alone."""
+    """The well-formed rows of a response that have an empty ``part``."""
 
     row_version: int
     rows: list[Row]
@@ -64,7 +64,7 @@
 
 
 class RowCondition(msgspec.Struct):
-    """A revision that a row must have; 0: there is none."""
+    """The revision that a row must have; 0: the row must not exist."""
 
     table: str
     key: str
@@ -90,65 +90,65 @@
 
 
 class RowsTransaction(msgspec.Struct):
-    """What is done all together, or not at all."""
+    """Writes and removals that are applied atomically."""
 
     precondition: list[RowCondition]
     write: list[RowWrite]
     remove: list[RowRemoval] = []
 
 
-async def read_pages(calls: StoreClient, table: str) -> list[Rows]:
+async def read_pages(client: StoreClient, table: str) -> list[Rows]:
     """Return all pages of a table."""
     query = {"table": table, "part": "", "limit": PAGE_ROWS}
     pages: list[Rows] = []
     while True:
         path = f"{names.ROWS_GET}?{urlencode(query)}"
-        pages.append(parse_rows(await calls.get(path)))
+        pages.append(parse_rows(await client.get(path)))
         if not pages[-1].has_more:
             return pages
         query["from"] = next_page_start(pages[-1])
 
 
 def common_era(pages: list[Rows]) -> StoreEra:
-    """Return the era of all pages; pages of two eras are no list of anything."""
+    """Return the era of all pages; pages of two eras are not one consistent list."""
     eras = {page.era for page in pages}
     if len(eras) > 1:
-        raise ResponseLostError("the store came back older between two pages")
+        raise ResponseLostError("the store was restored between two pages")
     return eras.pop()
 
 
-def parse_rows(answer: StoreResponse) -> Rows:
-    """Return the rows of an answer; raise ``PlatformError`` if it is none."""
-    if answer.status in REFUSALS:
-        raise StoreUnavailableError(f"status {answer.status}")
-    if answer.status != STATUS_OK:
-        raise ResponseLostError(f"status {answer.status}")
+def parse_rows(response: StoreResponse) -> Rows:
+    """Return the rows of a response; raise ``PlatformError`` if it is an error."""
+    if response.status in REFUSALS:
+        raise StoreUnavailableError(f"status {response.status}")
+    if response.status != STATUS_OK:
+        raise ResponseLostError(f"status {response.status}")
     try:
-        found = msgspec.json.decode(answer.body, type=_Answer)
+        decoded = msgspec.json.decode(response.body, type=_Response)
     except msgspec.DecodeError as exc:
-        raise ResponseLostError(f"answer can't be read: {exc}") from exc
-    rows = _readable(found.rows)
-    era = _era(answer.headers.get(names.STORE_ERA, ""))
-    return Rows(found.row_version, rows, found.has_more, found.now_ms, era)
+        raise ResponseLostError(f"malformed response: {exc}") from exc
+    rows = _well_formed(decoded.rows)
+    era = _era(response.headers.get(names.STORE_ERA, ""))
+    return Rows(decoded.row_version, rows, decoded.has_more, decoded.now_ms, era)
 
 
 def _era(text: str) -> StoreEra:
-    """Return the era that an answer tells; a store that tells none is in the first."""
+    """Return the era in a response header; ``FIRST_ERA`` if there is none."""
     if not text:
         return FIRST_ERA
     if not text.isascii() or not text.isdigit():
-        raise ResponseLostError(f"era {text!r} can't be read")
+        raise ResponseLostError(f"store era {text!r} is not a number")
     return StoreEra(int(text))
 
 
-def _readable(rows: Iterable[msgspec.Raw]) -> list[Row]:
-    """Return the rows that can be read; one that can't must not hide the others."""
+def _well_formed(rows: Iterable[msgspec.Raw]) -> list[Row]:
+    """Return the well-formed rows; a malformed one must not hide the others."""
     found = []
     for raw in rows:
         try:
             row = msgspec.json.decode(raw, type=Row)
         except msgspec.DecodeError as exc:
-            logger.warning("row passed over", extra={"reason": str(exc)})
+            logger.warning("malformed row skipped", extra={"reason": str(exc)})
             continue
         if not row.part:
             found.append(row)
@@ -156,18 +156,18 @@
 
 
 def next_page_start(page: Rows) -> str:
-    """Return the key from which the page after this one begins."""
+    """Return the key at which the next page starts."""
     if not page.rows:
-        raise ResponseLostError("no key of the page can be read")
+        raise ResponseLostError("the page has no well-formed row to continue from")
     return page.rows[-1].key + "\0"
 
 
-def records(rows: Iterable[Row], kind: type[Record]) -> list[Record]:
-    """Return the records of our own rows; one bad row must not hide the others."""
+def decode_records(rows: Iterable[Row], kind: type[Record]) -> list[Record]:
+    """Return the records in rows; a malformed row must not hide the others."""
     found = []
     for row in rows:
         try:
             found.append(msgspec.json.decode(row.data(), type=kind))
         except (msgspec.DecodeError, MalformedEntryError) as exc:
-            logger.warning("entry passed over", extra={"reason": str(exc)})
+            logger.warning("malformed entry skipped", extra={"reason": str(exc)})
     return found
--- a/berylshift/platform/store.py
+++ b/berylshift/platform/store.py
@@ -1,4 +1,4 @@
-"""Client of the platform's store: routes and replicas, read whole and followed."""
+"""Reads and watches routes and replicas in the platform's store."""
 
 import logging
 from collections.abc import Iterable
@@ -26,24 +26,24 @@
 
 
 class PlatformDirectory:
-    """Routes and replicas as the platform's store tells them."""
+    """Routes and replicas in the platform's store."""
 
-    def __init__(self, calls: StoreClient):
-        """Ask through ``calls``, which bounds each call's time."""
-        self._calls = calls
+    def __init__(self, client: StoreClient):
+        """Call the store through ``client``, which applies timeouts."""
+        self._client = client
 
     async def read_routes(self) -> RouteSnapshot:
         """Return the routes in force."""
         found = await self._get(names.OPERATOR_TABLE, "")
-        return _routes(found, names.CONFIGURATION_KEY)
+        return _route_snapshot(found, names.CONFIGURATION_KEY)
 
     async def await_routes(self, after: Revision, seconds: float) -> RouteSnapshot:
-        """Return newer routes, or the revision alone."""
+        """Return newer routes; after ``seconds`` the revision without a table."""
         found = await self._feed(names.OPERATOR_TABLE, after, seconds)
-        return _routes(found, names.CONFIGURATION_KEY)
+        return _route_snapshot(found, names.CONFIGURATION_KEY)
 
     async def read_replicas(self) -> ReplicaChanges:
-        """Return all replicas; pages are joined, the first one's revision holds."""
+        """Return all replicas; all pages, with the revision of the first one."""
         pages = [await self._get(names.REPLICA_TABLE, "")]
         while pages[-1].has_more:
             after = next_page_start(pages[-1])
@@ -51,16 +51,16 @@
         rows = [row for page in pages for row in page.rows]
         revision = Revision(pages[0].row_version)
         put, _ = _replicas(rows)
-        # The first page's clock: what the later ones hold may be newer, not older.
+        # The clock of the first page: later pages may be newer, but not older.
         return ReplicaChanges(
             put, (), revision, True, pages[0].now_ms, common_era(pages)
         )
 
     async def await_replicas(self, after: Revision, seconds: float) -> ReplicaChanges:
-        """Return what changed after a revision.
+        """Return the changes after a revision; none after ``seconds``.
 
-        An answer tells each change in order, an entry that went and came back twice:
-        only its newest row says what holds.
+        A response contains every change in order, so an entry that was removed and
+        written again occurs twice: only its latest row is used.
         """
         found = await self._feed(names.REPLICA_TABLE, after, seconds)
         newest = {row.key: row for row in found.rows}.values()
@@ -77,18 +77,18 @@
             query["from"] = start
         return await self._call(f"{names.ROWS_GET}?{urlencode(query)}", 0.0)
 
-    async def _feed(self, table: str, after: Revision, seconds: float) -> Rows:
-        query = {"table": table, "after": after, "wait_ms": int(seconds * 1000)}
-        return await self._call(f"{names.ROWS_FEED}?{urlencode(query)}", seconds)
+    async def _feed(self, table: str, after: Revision, wait_seconds: float) -> Rows:
+        query = {"table": table, "after": after, "wait_ms": int(wait_seconds * 1000)}
+        return await self._call(f"{names.ROWS_FEED}?{urlencode(query)}", wait_seconds)
 
-    async def _call(self, path: str, wait: float) -> Rows:
-        answer = await self._calls.get(path, wait)
-        if answer.status == STATUS_GONE:
+    async def _call(self, path: str, wait_seconds: float) -> Rows:
+        response = await self._client.get(path, wait_seconds)
+        if response.status == STATUS_GONE:
             raise HistoryLostError(path)
-        return parse_rows(answer)
+        return parse_rows(response)
 
 
-def _routes(found: Rows, key: str) -> RouteSnapshot:
+def _route_snapshot(found: Rows, key: str) -> RouteSnapshot:
     revision = Revision(found.row_version)
     newest = None
     for row in found.rows:
@@ -101,16 +101,16 @@
 def _replicas(
     rows: Iterable[Row],
 ) -> tuple[tuple[Replica, ...], tuple[ReplicaName, ...]]:
-    """Return the rows' replicas, and the keys of entries that name none to use.
+    """Return the replicas in rows, and the keys of malformed entries.
 
-    Any writer may write entries: one bad entry must not hide the others, and a
-    replica whose entry another writer took over is used again when it renews it.
+    Any writer can write entries: a malformed one must not hide the others. A replica
+    whose entry was overwritten is used again once it renews its entry.
     """
     found, unusable = [], []
     for row in rows:
         try:
             found.append(parse_replica_entry(row.key, row.data(), row.row_version))
         except MalformedEntryError as exc:
-            logger.warning("entry passed over", extra={"reason": str(exc)})
+            logger.warning("malformed entry skipped", extra={"reason": str(exc)})
             unusable.append(ReplicaName(row.key))
     return tuple(found), tuple(unusable)
--- a/berylshift/platform/unknown_headers.py
+++ b/berylshift/platform/unknown_headers.py
@@ -1,4 +1,4 @@
-"""Tells which headers of replicas' answers nobody here understands."""
+"""Logs unknown headers in responses of replicas."""
 
 import logging
 
@@ -6,9 +6,9 @@
 from berylshift.messages.routed import Header
 from berylshift.platform import names
 
-# Names told in a process's life: a replica may make up a new one with each answer.
-MAX_NAMES = 64
-# Understood by name, here or by HTTP on the way.
+# Maximum number of names logged by a process: a replica may use a new one per response.
+MAX_LOGGED_NAMES = 64
+# Headers of the platform and of HTTP.
 KNOWN = names.RESPONSE_HEADERS | frozenset(
     {
         b"age",
@@ -29,35 +29,35 @@
         b"www-authenticate",
     }
 )
-# What describes a body is its caller's to understand.
-OF_BODY = b"content-"
+# Headers that describe the body are for the caller.
+BODY_PREFIX = b"content-"
 
 logger = logging.getLogger(__name__)
 
 
 class UnknownHeaders:
-    """Logs each name once; values may be secret."""
+    """Logs each header name once; values may be secret and are not logged."""
 
     def __init__(self) -> None:
-        """Start with none told."""
-        self._told: set[bytes] = set()
+        """Start without any name logged."""
+        self._logged: set[bytes] = set()
 
     def note(self, headers: list[Header], request: RequestId | None) -> None:
-        """Log the names of ``headers`` that are new and unknown.
+        """Log the names of ``headers`` that are unknown and not logged yet.
 
-        A header that is new on the platform would otherwise go unseen until a rule
+        A header that is new on the platform would otherwise go unnoticed until a rule
         breaks.
         """
-        found = {
+        unknown = {
             name
             for name, _ in headers
-            if name not in KNOWN and not name.startswith(OF_BODY)
+            if name not in KNOWN and not name.startswith(BODY_PREFIX)
         }
-        new = sorted(found - self._told)[: MAX_NAMES - len(self._told)]
+        new = sorted(unknown - self._logged)[: MAX_LOGGED_NAMES - len(self._logged)]
         if not new:
             return
-        self._told.update(new)
-        shown = [name.decode("latin-1") for name in new]
+        self._logged.update(new)
+        decoded = [name.decode("latin-1") for name in new]
         logger.warning(
-            "headers passed over", extra={"request": request, "headers": shown}
+            "unknown headers ignored", extra={"request": request, "headers": decoded}
         )
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: names and formats of the platform, decoded once."""
+"""The platform adapter: names and formats on the wire."""
 
 import ast
 import contextlib
@@ -17,7 +17,7 @@
 from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.configuration import parse_configuration
 from berylshift.platform.entries import parse_replica_entry
-from berylshift.platform.unknown_headers import MAX_NAMES
+from berylshift.platform.unknown_headers import MAX_LOGGED_NAMES
 from berylshift.request.errors import BadRequestError
 from berylshift.store.directory import MalformedEntryError
 from berylshift.tests.support import EXPLORE
@@ -47,7 +47,7 @@
     "models": [],
     "sequence": 4,
 }
-FORGED = [
+FORGED_HEADERS = [
     (names.PHASE, b"prefill"),
     (names.KV_SOURCE, b"10.0.0.1:80/x"),
     (names.KV_RESERVATION, b"x"),
@@ -59,7 +59,7 @@
     (names.EXPECTED_VERSION, b"3"),
     (names.NOT_RUN, b"1"),
 ]
-USUAL = [
+REQUEST_HEADERS = [
     (b"host", b"a.example"),
     (names.ATTEMPT_ID, b"r1"),
     (names.TIME_LEFT_MS, b"6000"),
@@ -103,8 +103,8 @@
         self.assertEqual(table.services["s1"].engine.slots, 64)
         self.assertIsNone(table.services["s2"].engine)
 
-    def test_parts_that_are_not_known_are_named(self):
-        """Guards against a new part of the configuration that nobody notices."""
+    def test_unknown_fields_are_logged(self):
+        """Guards against a new configuration field that nobody notices."""
         data = CONFIGURATION[:-1] + b',"quotas":[{"secret":"x"}]}'
         with self.assertLogs("berylshift.platform.configuration", "WARNING") as logs:
             parse_configuration(data)
@@ -113,16 +113,16 @@
         with self.assertNoLogs("berylshift.platform.configuration", "WARNING"):
             parse_configuration(CONFIGURATION)
 
-    def test_what_can_not_be_read_names_the_place(self):
-        bad = {
+    def test_malformed_configuration_error_names_the_value(self):
+        malformed = {
             b"{": "configuration",
             CONFIGURATION.replace(b"4000", b'"soon"', 1): "timeout_ms",
             CONFIGURATION.replace(b"streaming", b"dancing"): "dancing",
         }
-        for data, word in bad.items():
+        for data, expected in malformed.items():
             with (
-                self.subTest(word=word),
-                self.assertRaisesRegex(MalformedEntryError, word),
+                self.subTest(expected=expected),
+                self.assertRaisesRegex(MalformedEntryError, expected),
             ):
                 parse_configuration(data)
 
@@ -141,28 +141,28 @@
         self.assertTrue(replica.draining)
         self.assertIs(replica.phase, EnginePhase.DECODE)
 
-    def test_bad_entry_names_the_replica(self):
+    def test_malformed_entry_error_names_the_replica(self):
         with self.assertRaisesRegex(MalformedEntryError, "i-9"):
             parse_replica_entry("i-9", b'{"service":3}')
 
-    def test_a_start_is_an_instance_of_its_own(self):
+    def test_each_start_is_a_separate_instance(self):
         first = parse_replica_entry("i-1", entry(born=1_700_000_000_000))
-        again = parse_replica_entry("i-1", entry(born=1_700_000_009_000))
-        self.assertEqual((first.name, again.name), ("i-1", "i-1"))
-        self.assertNotEqual(first.instance, again.instance)
+        second = parse_replica_entry("i-1", entry(born=1_700_000_009_000))
+        self.assertEqual((first.name, second.name), ("i-1", "i-1"))
+        self.assertNotEqual(first.instance, second.instance)
         self.assertEqual(parse_replica_entry("i-1", entry()).instance, "i-1")
 
-    def test_an_entry_of_another_writer_names_no_replica(self):
-        """Someone else writes into the list: fields missing, of other types, unknown.
+    def test_foreign_entry_is_not_a_replica(self):
+        """Another writer adds entries with missing, mistyped or unknown values.
 
-        A caller's request would go to an address that no replica answers at, or a
-        leaving replica would count as one that takes work.
+        Guards against sending a request to an address without a replica, and against
+        treating a draining replica as one that accepts work.
         """
         for field in ENTRY:
             if field not in ("phase", "models"):
                 with self.subTest(missing=field):
-                    self.check_foreign({k: v for k, v in ENTRY.items() if k != field})
-        wrong = (
+                    self.check_malformed({k: v for k, v in ENTRY.items() if k != field})
+        invalid = (
             {"state": "dancing"},
             {"phase": "resting"},
             {"address": "somewhere"},
@@ -177,11 +177,11 @@
             {"born": True},
             {"born": None},
         )
-        for change in wrong:
+        for change in invalid:
             with self.subTest(change=change):
-                self.check_foreign({**ENTRY, **change})
+                self.check_malformed({**ENTRY, **change})
 
-    def check_foreign(self, values: dict):
+    def check_malformed(self, values: dict):
         with self.assertRaises(MalformedEntryError):
             parse_replica_entry("i-1", msgspec.json.encode(values))
 
@@ -197,156 +197,161 @@
 
 
 class AnyBytesTest(unittest.TestCase):
-    """Whatever bytes stand in a row, its reader says so, and nothing else happens.
+    """Malformed rows raise ``MalformedEntryError`` and nothing else.
 
-    An error of another kind would end the task that follows the list, and the host
-    would route by what it knew at that moment for good.
+    Any other error would end the task that watches the list, and the host would route
+    by its last state forever.
     """
 
     @EXPLORE
     @given(st.binary(max_size=200))
     def test_any_bytes(self, data):
-        self.read_both(data)
+        self.parse_both(data)
 
     @EXPLORE
     @given(st.dictionaries(st.sampled_from([*ENTRY, "born"]), JSON_VALUES))
-    def test_a_played_entry_with_some_fields_changed(self, changes):
-        self.read_both(json.dumps({**ENTRY, **changes}).encode())
+    def test_entry_with_some_fields_changed(self, changes):
+        self.parse_both(json.dumps({**ENTRY, **changes}).encode())
 
     @EXPLORE
     @given(st.data())
-    def test_a_played_configuration_with_one_value_changed(self, data):
-        found = json.loads(CONFIGURATION)
-        places = list(places_of(found))
-        where, key = data.draw(st.sampled_from(places))
-        where[key] = data.draw(JSON_VALUES)
-        self.read_both(json.dumps(found).encode())
-
-    def read_both(self, data: bytes) -> None:
-        for read in (
+    def test_configuration_with_one_value_changed(self, data):
+        configuration = json.loads(CONFIGURATION)
+        locations = list(locations_in(configuration))
+        container, key = data.draw(st.sampled_from(locations))
+        container[key] = data.draw(JSON_VALUES)
+        self.parse_both(json.dumps(configuration).encode())
+
+    def parse_both(self, data: bytes) -> None:
+        for parse in (
             lambda: parse_replica_entry("i-1", data),
             lambda: parse_configuration(data),
         ):
             with contextlib.suppress(MalformedEntryError):
-                read()
+                parse()
 
 
-def places_of(value):
-    """Yield each place of a JSON value, as its container and its key there."""
+def locations_in(value):
+    """Yield the container and key of each value within a JSON value."""
     items = value.items() if isinstance(value, dict) else enumerate(value)
     for key, inner in list(items):
         yield value, key
         if isinstance(inner, (dict, list)):
-            yield from places_of(inner)
+            yield from locations_in(inner)
 
 
-class OnwardTest(unittest.TestCase):
-    """What a replica is sent."""
+class ForwardedHeadersTest(unittest.TestCase):
+    """Headers of a request as sent to a replica."""
 
     def setUp(self):
-        self.language = PlatformCodec()
+        self.codec = PlatformCodec()
 
-    def onward(self, headers, **dispatch):
-        req = self.language.parse_request(b"POST", b"/x/", headers, NO_BODY)
+    def forwarded(self, headers, **dispatch):
+        req = self.codec.parse_request(b"POST", b"/x/", headers, NO_BODY)
         values = {"replica": "i-1", "seconds_left": 2.5, "rank": 2, **dispatch}
-        return self.language.forward_headers(req, Dispatch(**values))
+        return self.codec.forward_headers(req, Dispatch(**values))
 
-    def test_forged_orders_do_not_reach_a_replica(self):
-        """Callers send headers that only the system may send.
+    def test_forged_headers_do_not_reach_a_replica(self):
+        """Callers send headers that only this system may send.
 
-        They would read apart, pin memory, or go on from another request's memory, at
-        the cost of others or with a mixed-up answer.
+        Guards against callers that request a disaggregated prefill, pin memory or
+        continue from another request's KV cache: it would cost other callers, or
+        corrupt a response.
         """
-        sent = dict(self.onward(USUAL + FORGED))
+        sent = dict(self.forwarded(REQUEST_HEADERS + FORGED_HEADERS))
         self.assertEqual(sent[names.TARGET_INSTANCE], b"i-1")
         self.assertEqual(sent[names.RANK], b"2")
-        for name, _ in FORGED:
+        for name, _ in FORGED_HEADERS:
             if name not in (names.TARGET_INSTANCE, names.RANK):
                 self.assertNotIn(name, sent)
 
-    def test_what_says_which_request_it_is_goes_on(self):
-        sent = dict(self.onward(USUAL))
-        for name, value in USUAL:
+    def test_headers_that_identify_the_request_are_forwarded(self):
+        sent = dict(self.forwarded(REQUEST_HEADERS))
+        for name, value in REQUEST_HEADERS:
             if name != names.TIME_LEFT_MS:
                 self.assertEqual(sent[name], value)
 
-    def test_connection_header_does_not_strip_the_request(self):
-        """A caller names the attempt id as a header of its connection only.
+    def test_connection_header_does_not_strip_identifying_headers(self):
+        """A caller lists the attempt id in its Connection header.
 
-        Dropped with the connection's own headers, the replica would run a request that
-        nobody can be told of.
+        Guards against dropping it with the hop-by-hop headers: the replica would run a
+        request whose outcome can't be attributed.
         """
-        named = (
+        connection = (
             b"connection",
             b"close, x-one, berylshift-attempt-id, berylshift-model",
         )
-        sent = dict(self.onward([*USUAL, named, (b"x-one", b"1"), (b"x-two", b"2")]))
+        sent = dict(
+            self.forwarded(
+                [*REQUEST_HEADERS, connection, (b"x-one", b"1"), (b"x-two", b"2")]
+            )
+        )
         self.assertEqual(sent[names.ATTEMPT_ID], b"r1")
         self.assertEqual(sent[names.MODEL], b"m")
         self.assertNotIn(b"x-one", sent)
         self.assertNotIn(b"connection", sent)
         self.assertEqual(sent[b"x-two"], b"2")
 
-    def test_time_left_is_what_is_left(self):
-        sent = self.onward(USUAL, seconds_left=1.2345)
-        told = [value for name, value in sent if name == names.TIME_LEFT_MS]
-        self.assertEqual(told, [b"1234"])
+    def test_time_left_is_the_remaining_time(self):
+        sent = self.forwarded(REQUEST_HEADERS, seconds_left=1.2345)
+        values = [value for name, value in sent if name == names.TIME_LEFT_MS]
+        self.assertEqual(values, [b"1234"])
 
-    def test_resuming_replaces_the_callers_place(self):
-        headers = [*USUAL, (names.LAST_EVENT_ID, b"3")]
-        sent = self.onward(headers, resume_after=b"5")
+    def test_resuming_replaces_the_callers_last_event_id(self):
+        headers = [*REQUEST_HEADERS, (names.LAST_EVENT_ID, b"3")]
+        sent = self.forwarded(headers, resume_after=b"5")
         found = [value for name, value in sent if name == names.LAST_EVENT_ID]
         self.assertEqual(found, [b"5"])
 
-    def test_two_ids_are_a_bad_request(self):
+    def test_duplicate_header_is_a_bad_request(self):
         for name in (names.ATTEMPT_ID, names.MODEL, names.TIME_LEFT_MS):
             with self.subTest(name=name), self.assertRaises(BadRequestError):
-                self.onward([*USUAL, (name, b"9")])
+                self.forwarded([*REQUEST_HEADERS, (name, b"9")])
 
-    def test_no_id_is_a_bad_request(self):
+    def test_missing_attempt_id_is_a_bad_request(self):
         with self.assertRaises(BadRequestError):
-            self.onward([(b"host", b"a")])
+            self.forwarded([(b"host", b"a")])
 
     def test_prompt(self):
-        req = self.language.parse_request(b"POST", b"/x/", USUAL, NO_BODY)
+        req = self.codec.parse_request(b"POST", b"/x/", REQUEST_HEADERS, NO_BODY)
         self.assertEqual(req.prompt.tokens, 1460)
         self.assertEqual(req.prompt.prefix_tokens, 1210)
 
-    def test_announced_nonsense_only_costs_the_placement(self):
+    def test_malformed_prompt_announcement_is_ignored(self):
         for value in (b"a", b"a:b", b":,", b"\xff:1"):
-            headers = [h for h in USUAL if h[0] != names.PREFIX_BLOCKS]
+            headers = [h for h in REQUEST_HEADERS if h[0] != names.PREFIX_BLOCKS]
             headers.append((names.PREFIX_BLOCKS, value))
-            req = self.language.parse_request(b"POST", b"/x/", headers, NO_BODY)
+            req = self.codec.parse_request(b"POST", b"/x/", headers, NO_BODY)
             self.assertIsNone(req.prompt)
 
 
-class AnswerTest(unittest.TestCase):
-    """Heads of replicas' answers."""
+class ResponseHeadTest(unittest.TestCase):
+    """Heads of replicas' responses."""
 
-    def read(self, status: int, *headers):
+    def parse(self, status: int, *headers):
         return PlatformCodec().parse_response_head(status, list(headers))
 
-    def test_signed_answer_is_genuine(self):
-        head = self.read(200, (names.SIGNATURE, b"s"), (names.ATTEMPT_ID, b"r1"))
+    def test_signed_response_is_genuine(self):
+        head = self.parse(200, (names.SIGNATURE, b"s"), (names.ATTEMPT_ID, b"r1"))
         self.assertTrue(head.genuine)
         self.assertEqual(head.request, "r1")
         self.assertFalse(head.not_run)
 
-    def test_encoded_or_unsigned_is_not(self):
-        encoded = self.read(
+    def test_encoded_or_unsigned_response_is_not_genuine(self):
+        encoded = self.parse(
             200, (names.SIGNATURE, b"s"), (b"content-encoding", b"gzip")
         )
         self.assertFalse(encoded.genuine)
-        self.assertFalse(self.read(200).genuine)
+        self.assertFalse(self.parse(200).genuine)
 
-    def test_only_its_word_or_421_says_not_run(self):
-        self.assertTrue(self.read(503, (names.NOT_RUN, b"1")).not_run)
-        self.assertTrue(self.read(421).not_run)
-        self.assertFalse(self.read(503).not_run)
-        self.assertFalse(self.read(429).not_run)
+    def test_only_the_header_or_status_421_means_not_run(self):
+        self.assertTrue(self.parse(503, (names.NOT_RUN, b"1")).not_run)
+        self.assertTrue(self.parse(421).not_run)
+        self.assertFalse(self.parse(503).not_run)
+        self.assertFalse(self.parse(429).not_run)
 
     def test_load_and_keep_alive(self):
-        head = self.read(
+        head = self.parse(
             200, (names.LOAD, b"3,1,8"), (b"keep-alive", b"timeout=4, max=9")
         )
         self.assertEqual(
@@ -354,30 +359,30 @@
         )
         self.assertEqual(head.keep_alive_seconds, 4.0)
 
-    def test_nonsense_is_none(self):
-        head = self.read(200, (names.LOAD, b"many"), (b"keep-alive", b"timeout=soon"))
+    def test_malformed_values_are_none(self):
+        head = self.parse(200, (names.LOAD, b"many"), (b"keep-alive", b"timeout=soon"))
         self.assertIsNone(head.load)
         self.assertIsNone(head.keep_alive_seconds)
 
-    def test_headers_that_are_not_known_are_named_once(self):
-        language = PlatformCodec()
+    def test_unknown_headers_are_logged_once(self):
+        codec = PlatformCodec()
         headers = [(b"x-news", b"secret"), (b"content-type", b"text/plain")]
         headers += [(names.ATTEMPT_ID, b"r1"), (names.SIGNATURE, b"s")]
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
-            language.parse_response_head(200, headers)
-            language.parse_response_head(200, headers)
+            codec.parse_response_head(200, headers)
+            codec.parse_response_head(200, headers)
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(logs.records[0].headers, ["x-news"])
         self.assertNotIn("secret", str(vars(logs.records[0])))
 
-    def test_no_more_than_so_many_unknown_headers_are_named(self):
-        language = PlatformCodec()
+    def test_number_of_logged_unknown_headers_is_bounded(self):
+        codec = PlatformCodec()
         with self.assertLogs("berylshift.platform.unknown_headers") as logs:
-            for number in range(2 * MAX_NAMES):
-                language.parse_response_head(200, [(b"x-%d" % number, b"1")])
-        self.assertEqual(len(logs.records), MAX_NAMES)
+            for number in range(2 * MAX_LOGGED_NAMES):
+                codec.parse_response_head(200, [(b"x-%d" % number, b"1")])
+        self.assertEqual(len(logs.records), MAX_LOGGED_NAMES)
 
-    def test_a_limit_is_a_number_of_requests_a_second(self):
+    def test_rate_limit_is_a_number_of_requests_per_second(self):
         def limit(value: bytes) -> float | None:
             return (
                 PlatformCodec()
@@ -391,38 +396,38 @@
             self.assertIsNone(limit(value))
         self.assertIsNone(PlatformCodec().parse_flow_control(200, []).rate_limit)
 
-    def test_a_refusal_may_ask_to_back_off(self):
-        def rest(status: int, value: bytes) -> float:
+    def test_refusal_may_ask_to_back_off(self):
+        def back_off_seconds(status: int, value: bytes) -> float:
             headers = [(b"retry-after", value)]
             return PlatformCodec().parse_flow_control(status, headers).retry_after
 
-        self.assertEqual(rest(503, b"2.5"), 2.5)
-        self.assertEqual(rest(429, b"3"), 3)
+        self.assertEqual(back_off_seconds(503, b"2.5"), 2.5)
+        self.assertEqual(back_off_seconds(429, b"3"), 3)
         for status, value in ((200, b"3"), (503, b"-1"), (503, b"Thu, 03 Dec 2026")):
-            self.assertEqual(rest(status, value), 0)
+            self.assertEqual(back_off_seconds(status, value), 0)
 
-    def test_leaving_is_said_by_one_value(self):
-        def leaving(value: bytes) -> bool:
+    def test_draining_has_one_value(self):
+        def is_draining(value: bytes) -> bool:
             return (
                 PlatformCodec()
                 .parse_flow_control(200, [(names.DRAINING, value)])
                 .draining
             )
 
-        self.assertTrue(leaving(b"1"))
-        self.assertFalse(leaving(b"0"))
+        self.assertTrue(is_draining(b"1"))
+        self.assertFalse(is_draining(b"0"))
 
-    def test_an_answer_of_another_replica_asks_for_nothing(self):
+    def test_response_of_another_replica_has_no_flow_control(self):
         headers = [(names.RATE_LIMIT, b"2.6")]
         self.assertIsNone(PlatformCodec().parse_flow_control(421, headers))
 
-    def test_headers_of_the_connection_are_not_passed_on(self):
-        head = self.read(200, (b"connection", b"close"), (b"x-one", b"1"))
+    def test_hop_by_hop_headers_are_not_forwarded(self):
+        head = self.parse(200, (b"connection", b"close"), (b"x-one", b"1"))
         self.assertEqual(head.headers, ((b"x-one", b"1"),))
 
 
 class ImportsTest(unittest.TestCase):
-    """The adapter decides nothing, and nothing else knows its names."""
+    """The adapter makes no decisions, and no other module uses its names."""
 
     ALLOWED = (
         "berylshift.connection.errors",
@@ -437,7 +442,7 @@
         "berylshift.version.customers",
         "berylshift.version.routes",
     )
-    # The composition root wires the adapter; the demonstration plays callers.
+    # The composition root wires the adapter; the demonstration acts as a caller.
     WIRING = {"serve_entry.py", "demo_entry.py"}
 
     def imports(self, path: Path) -> set[str]:
@@ -449,7 +454,7 @@
                 found |= {alias.name for alias in node.names}
         return {name for name in found if name.startswith("berylshift")}
 
-    def test_adapter_imports_no_decision(self):
+    def test_adapter_imports_no_module_that_decides(self):
         for path in Path("berylshift/platform").glob("*.py"):
             for name in self.imports(path):
                 with self.subTest(path=path.name, name=name):
@@ -461,11 +466,13 @@
                 continue
             if path.name in self.WIRING:
                 continue
-            names_used = {n for n in self.imports(path) if "berylshift.platform" in n}
+            platform_modules = {
+                n for n in self.imports(path) if "berylshift.platform" in n
+            }
             with self.subTest(path=str(path)):
-                self.assertEqual(names_used, set())
+                self.assertEqual(platform_modules, set())
 
-    def test_no_other_module_spells_the_platforms_headers(self):
+    def test_no_other_module_contains_the_platforms_headers(self):
         for path in Path("berylshift").rglob("*.py"):
             if path.parts[1] in ("platform", "tests"):
                 continue
--- a/berylshift/tests/test_platform_leader_calls.py
+++ b/berylshift/tests/test_platform_leader_calls.py
@@ -1,4 +1,4 @@
-"""Duties' calls, and what the platform says of replicas that can be ordered."""
+"""Leader calls to the platform, and scaling in configuration and entries."""
 
 import unittest
 
@@ -30,8 +30,8 @@
 )
 
 
-class Cloud:
-    """Takes calls and answers with ``status``; silent where that is 0."""
+class FakeCloud:
+    """Answers with ``status``; 0: never answers, negative: refuses connections."""
 
     def __init__(self, status: int = 200):
         self.status = status
@@ -44,8 +44,8 @@
         await responder.full_raw(self.status, [], b"")
 
 
-def call(cloud: Cloud, use):
-    """Run ``use(duties)`` against ``cloud``."""
+def call(cloud: FakeCloud, use):
+    """Return ``use(leader_calls)``, run against ``cloud``."""
 
     async def main():
         async with trio.open_nursery() as nursery:
@@ -59,22 +59,22 @@
                 return near
 
             client = HttpClient(dial)
-            duties = PlatformLeaderCalls(client, "10.0.0.1:80", TIMEOUT_SECONDS)
-            found = await use(duties)
+            leader_calls = PlatformLeaderCalls(client, "10.0.0.1:80", TIMEOUT_SECONDS)
+            result = await use(leader_calls)
             nursery.cancel_scope.cancel()
-        return found
+        return result
 
     return run_virtual(main)
 
 
 class CallTest(unittest.TestCase):
-    """What goes out, and what answers come to."""
+    """Request contents, and how response statuses are interpreted."""
 
-    def test_a_report_of_usage(self):
-        cloud = Cloud()
-        answer = call(cloud, lambda duties: duties.report_usage(REPORT, HOLDER))
+    def test_usage_report(self):
+        cloud = FakeCloud()
+        result = call(cloud, lambda calls: calls.report_usage(REPORT, HOLDER))
         sent = cloud.calls[0]
-        self.assertEqual(answer, CallResult.DONE)
+        self.assertEqual(result, CallResult.DONE)
         self.assertEqual((sent.method, sent.path), ("POST", "/usage"))
         self.assertEqual(sent.headers["berylshift-lease-holder"], "host-1")
         self.assertEqual(sent.headers["berylshift-fencing-token"], "12")
@@ -83,22 +83,27 @@
             {"window_id": 353_445_120, "counts": {"c": 412}},
         )
 
-    def test_an_order_of_each_kind(self):
-        for kind, cheap in (
+    def test_scale_order_of_each_kind(self):
+        for kind, interruptible in (
             (ReplicaKind.ON_DEMAND, False),
             (ReplicaKind.INTERRUPTIBLE, True),
         ):
             order = ScaleOrder(ServiceName("s"), DomainName("z"), kind, 6)
-            cloud = Cloud()
-            call(cloud, lambda duties, order=order: duties.scale(order, HOLDER))
+            cloud = FakeCloud()
+            call(cloud, lambda calls, order=order: calls.scale(order, HOLDER))
             self.assertEqual(
                 msgspec.json.decode(cloud.calls[0].body),
-                {"service": "s", "zone": "z", "desired": 6, "spot_enabled": cheap},
+                {
+                    "service": "s",
+                    "zone": "z",
+                    "desired": 6,
+                    "spot_enabled": interruptible,
+                },
             )
 
-    def test_answers(self):
-        """Guards against a call that may be done and is taken for one that is not."""
-        wanted = {
+    def test_results_of_statuses(self):
+        """Guards against treating a call that may have taken effect as not done."""
+        expected = {
             200: CallResult.DONE,
             409: CallResult.UNAVAILABLE,
             429: CallResult.BUSY,
@@ -108,16 +113,16 @@
             0: CallResult.UNKNOWN,
             -1: CallResult.BUSY,
         }
-        for status, answer in wanted.items():
+        for status, result in expected.items():
             with self.subTest(status=status):
                 found = call(
-                    Cloud(status), lambda duties: duties.report_usage(REPORT, HOLDER)
+                    FakeCloud(status), lambda calls: calls.report_usage(REPORT, HOLDER)
                 )
-                self.assertEqual(found, answer)
+                self.assertEqual(found, result)
 
 
 class ScalingTest(unittest.TestCase):
-    """Bounds and prices in the configuration, kinds in replicas' entries."""
+    """Bounds and prices in the configuration, replica kinds in entries."""
 
     def test_bounds_and_prices(self):
         data = CONFIGURATION.replace(b'"engine":', SCALING + b'"engine":', 1)
@@ -126,7 +131,7 @@
         self.assertEqual(services["s1"].scaling, Scaling(1, 15, 4.0, 0.18, prices))
         self.assertIsNone(services["s2"].scaling)
 
-    def test_a_replica_that_may_be_taken_away(self):
+    def test_interruptible_replica(self):
         self.assertTrue(
             parse_replica_entry("i", entry(spot_enabled=True)).interruptible
         )
--- a/berylshift/tests/test_platform_store.py
+++ b/berylshift/tests/test_platform_store.py
@@ -1,4 +1,4 @@
-"""The adapter's store client against the stand-in, over the published protocol."""
+"""The adapter's store clients against the stand-in, over HTTP."""
 
 import base64
 import unittest
@@ -31,7 +31,7 @@
 from berylshift.tests.support import VirtualTestCase
 
 ADDRESS = "10.0.0.1:80"
-BAD = combine_hashes(7, 1)
+FINGERPRINT = combine_hashes(7, 1)
 ENTRY = {
     "service": "s",
     "address": "10.0.0.9:80",
@@ -45,7 +45,7 @@
 
 
 class StoreWorld:
-    """A store stand-in and a client of it."""
+    """A store stand-in and its client; ``status`` and ``silent`` inject faults."""
 
     def __init__(self, nursery: trio.Nursery):
         self.nursery = nursery
@@ -104,12 +104,12 @@
 class ReplicaFeedTest(StoreClientCase):
     """The list of replicas and its changes."""
 
-    def test_an_entry_that_lapsed_and_came_back_is_there(self):
-        """The store is away; all entries lapse, and are written anew on its return.
+    def test_entry_that_expired_and_was_written_again_is_listed(self):
+        """Entries expire while the store is down and are written again afterwards.
 
-        One answer of the feed tells both, in order. Taken apart into what was removed
-        and what was put, the removal would win: a host would drop every replica two
-        seconds later and refuse all work although each one is listed.
+        One response of the feed contains both changes in order. If removals and writes
+        were collected separately, the removals would win: a host would drop every
+        replica two seconds later and refuse all requests although each one is listed.
         """
 
         async def task(world):
@@ -123,7 +123,7 @@
         self.assertEqual([rep.instance for rep in changes.put], ["i-1"])
         self.assertEqual(changes.removed, ())
 
-    def test_an_entry_that_came_and_went_is_gone(self):
+    def test_entry_that_was_written_and_removed_is_not_listed(self):
         async def task(world):
             first = await world.directory.read_replicas()
             world.put(names.REPLICA_TABLE, "i-1", ENTRY)
@@ -141,7 +141,7 @@
 
         self.assertEqual(len(self.run_store(task).put), 1203)
 
-    def test_one_bad_entry_does_not_hide_the_others(self):
+    def test_malformed_entry_does_not_hide_the_others(self):
         async def task(world):
             world.put(names.REPLICA_TABLE, "i-1", b"rubbish")
             world.put(names.REPLICA_TABLE, "i-2", ENTRY)
@@ -153,11 +153,11 @@
         self.assertEqual([rep.instance for rep in changes.put], ["i-2"])
         self.assertIn("i-1", reason)
 
-    def test_rows_of_any_writer_hide_no_replica(self):
-        """Someone writes rows into the list whose value or key can't be read.
+    def test_malformed_rows_do_not_hide_replicas(self):
+        """Another writer adds rows whose value or key can't be decoded.
 
-        Read as one message with the others, each would make the whole list
-        unreadable, and every host would go on with what it knew for good.
+        Guards against decoding all rows at once: one such row would make the whole list
+        undecodable, and every host would keep its last state forever.
         """
 
         async def task(world):
@@ -168,17 +168,17 @@
                 b'{"table":"servers","key":7,"value":"","row_version":1}',
                 b'["not a row"]',
             ]
-            whole = await world.directory.read_replicas()
+            full = await world.directory.read_replicas()
             world.put(names.REPLICA_TABLE, "i-4", ENTRY)
-            fed = await world.directory.await_replicas(whole.revision, 1.0)
-            return whole, fed
+            changes = await world.directory.await_replicas(full.revision, 1.0)
+            return full, changes
 
-        whole, fed = self.run_store(task)
-        self.assertEqual([rep.instance for rep in whole.put], ["i-1"])
-        self.assertEqual([rep.instance for rep in fed.put], ["i-4"])
-        self.assertEqual(fed.removed, ("i-2", "i-3"))
+        full, changes = self.run_store(task)
+        self.assertEqual([rep.instance for rep in full.put], ["i-1"])
+        self.assertEqual([rep.instance for rep in changes.put], ["i-4"])
+        self.assertEqual(changes.removed, ("i-2", "i-3"))
 
-    def test_an_entry_that_another_writer_took_over_names_no_replica(self):
+    def test_entry_overwritten_by_another_writer_is_not_a_replica(self):
         async def task(world):
             world.put(names.REPLICA_TABLE, "i-1", ENTRY)
             first = await world.directory.read_replicas()
@@ -188,7 +188,7 @@
         changes = self.run_store(task)
         self.assertEqual((changes.put, changes.removed), ((), ("i-1",)))
 
-    def test_rows_of_another_part_are_no_entries(self):
+    def test_rows_of_another_part_are_ignored(self):
         async def task(world):
             world.put(names.REPLICA_TABLE, "i-1", ENTRY)
             value = base64.b64encode(msgspec.json.encode(ENTRY)).decode()
@@ -198,7 +198,7 @@
 
         self.assertEqual([rep.instance for rep in self.run_store(task).put], ["i-1"])
 
-    def test_a_quiet_feed_ends_after_its_wait(self):
+    def test_feed_without_changes_ends_after_its_wait(self):
         async def task(world):
             first = await world.directory.read_replicas()
             start = trio.current_time()
@@ -215,7 +215,7 @@
 
     CONFIG = {"version": 3, "routes": [], "services": []}
 
-    def test_only_its_own_row_counts(self):
+    def test_only_the_configuration_row_is_used(self):
         async def task(world):
             world.put(names.OPERATOR_TABLE, "other", {"version": 99})
             before = await world.directory.read_routes()
@@ -227,7 +227,7 @@
         self.assertIsNone(before.table)
         self.assertEqual(after.table.version, 3)
 
-    def test_bad_configuration_is_an_error_that_names_it(self):
+    def test_malformed_configuration_error_names_it(self):
         async def task(world):
             world.put(names.OPERATOR_TABLE, names.CONFIGURATION_KEY, b"{")
             with self.assertRaisesRegex(MalformedEntryError, "configuration"):
@@ -237,9 +237,9 @@
 
 
 class FailureTest(StoreClientCase):
-    """What the store may answer instead."""
+    """Error statuses of the store and dead connections."""
 
-    def read_with(self, status: int):
+    def error_with_status(self, status: int):
         async def task(world):
             world.status = status
             try:
@@ -249,17 +249,17 @@
 
         return self.run_store(task)
 
-    def test_statuses(self):
-        self.assertIs(self.read_with(410), HistoryLostError)
-        self.assertTrue(issubclass(self.read_with(503), StoreUnavailableError))
-        self.assertTrue(issubclass(self.read_with(429), StoreUnavailableError))
-        self.assertIs(self.read_with(500), ResponseLostError)
+    def test_errors_of_statuses(self):
+        self.assertIs(self.error_with_status(410), HistoryLostError)
+        self.assertTrue(issubclass(self.error_with_status(503), StoreUnavailableError))
+        self.assertTrue(issubclass(self.error_with_status(429), StoreUnavailableError))
+        self.assertIs(self.error_with_status(500), ResponseLostError)
         self.assertFalse(issubclass(HistoryLostError, StoreThrottledError))
 
-    def test_a_silent_connection_is_left_for_a_new_one(self):
-        """A kept connection falls silent for good, without an error.
+    def test_dead_connection_is_replaced_by_a_new_one(self):
+        """A pooled connection delivers nothing more, without an error.
 
-        The call ends by its time-out, and the next one does not take a kept one again.
+        The call must time out, and the next one must not use a pooled connection.
         """
 
         async def task(world):
@@ -276,9 +276,9 @@
 
 
 class RowsTest(StoreClientCase):
-    """Leases and hosts."""
+    """Leases, hosts and crashes."""
 
-    def test_lease_is_swapped_under_its_condition(self):
+    def test_lease_is_written_only_at_the_expected_revision(self):
         async def task(world):
             leases = PlatformLeases(world.calls)
             empty = await leases.read("a")
@@ -291,22 +291,22 @@
         self.assertIsNone(second)
         self.assertEqual((row.record, row.revision), (record, first.revision))
 
-    def test_a_position_that_the_store_no_longer_has_is_lost_history(self):
+    def test_revision_newer_than_a_restored_store_is_lost_history(self):
         async def task(world):
             crashes = PlatformCrashes(world.calls)
             for number in range(4):
-                await crashes.change((CrashRow(BAD, number, 900),), ())
+                await crashes.change((CrashRow(FINGERPRINT, number, 900),), ())
                 await trio.sleep(1)
             known = (await world.directory.read_replicas()).revision
             world.store.restore(2.5)
             with self.assertRaises(HistoryLostError):
                 await world.directory.await_replicas(known, 1.0)
-            left = await crashes.read()
-            return len(left.rows), left.era
+            remaining = await crashes.read()
+            return len(remaining.rows), remaining.era
 
         self.assertEqual(self.run_store(task), (2, 1))
 
-    def test_answers_tell_the_era(self):
+    def test_responses_contain_the_era(self):
         async def task(world):
             world.put(names.REPLICA_TABLE, "i-1", msgspec.json.encode(ENTRY))
             first = (await world.directory.read_replicas()).era
@@ -321,7 +321,7 @@
 
         self.assertEqual(self.run_store(task), (0, 3, 3, 3, 3))
 
-    def test_an_era_that_is_no_number_is_no_answer(self):
+    def test_era_that_is_not_a_number_is_an_error(self):
         async def task(world):
             world.store.era = "x"
             with self.assertRaises(ResponseLostError):
@@ -341,11 +341,11 @@
         self.assertEqual(set(keys), {"k0"})
         self.assertEqual([record.host for record in found], ["h1", "h2"])
 
-    def test_replicas_that_ended_under_requests(self):
-        """Rows are written, removed, and read past what another writer left."""
+    def test_crash_rows_are_written_and_removed(self):
+        """Rows of other writers are skipped."""
         first, second = (
             CrashRow(combine_hashes(2**31, 1), 5, 900),
-            CrashRow(BAD, 6, 950),
+            CrashRow(FINGERPRINT, 6, 950),
         )
 
         async def task(world):
@@ -356,15 +356,15 @@
             await crashes.change((), (first,))
             return both, (await crashes.read()).rows
 
-        both, left = self.run_store(task)
+        both, remaining = self.run_store(task)
         self.assertEqual(set(both.rows), {first, second})
-        self.assertEqual(left, (second,))
+        self.assertEqual(remaining, (second,))
 
 
 class CallsTest(StoreClientCase):
-    """Requests of the client itself."""
+    """The wire format of the stand-in."""
 
-    def test_stand_in_speaks_json_with_base64_values(self):
+    def test_stand_in_returns_json_with_base64_values(self):
         async def task(world):
             world.put("t", "k", b"hello")
             path = f"{names.ROWS_GET}?table=t&part="
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -279,16 +279,16 @@
     Proof(
         "forged orders are dropped",
         "platform/codec.py",
-        "HOP_BY_HOP | names.RESERVED | REWRITTEN | named",
-        "HOP_BY_HOP | REWRITTEN | named",
-        "test_platform_adapter.OnwardTest",
+        "HOP_BY_HOP | names.RESERVED | REWRITTEN | listed",
+        "HOP_BY_HOP | REWRITTEN | listed",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "a connection header strips no request",
         "platform/codec.py",
-        " - (KEPT - REWRITTEN)",
+        " - (\n        PROTECTED - REWRITTEN\n    )",
         "",
-        "test_platform_adapter.OnwardTest",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "two lengths are rejected",
@@ -638,7 +638,7 @@
     Proof(
         "an entry of an unknown state names no replica",
         "platform/entries.py",
-        "if found.state not in STATES:",
+        "if decoded.state not in STATES:",
         "if False:",
         "test_platform_adapter.EntryTest",
     ),
--- a/berylshift/version/checks.py
+++ b/berylshift/version/checks.py
@@ -44,9 +44,9 @@
 def _row_faults(row: Row) -> Iterator[Fault]:
     for column in REQUIRED_COLUMNS[row.kind]:
         if not getattr(row, column):
-            yield _fault(row, column, f"a row of kind {row.kind} requires it")
+            yield _fault(row, column, f"a row of kind {row.kind} needs it")
     if not 0 <= row.weight <= MAX_WEIGHT:
-        yield _fault(row, "weight", f"must be between 0 and {MAX_WEIGHT}")
+        yield _fault(row, "weight", f"must be 0 to {MAX_WEIGHT}")
     if row.limit < 0:
         yield _fault(row, "limit", "must be 0 (no limit) or more")
     if row.address and not is_valid_address(row.address):
--- a/berylshift/version/diff.py
+++ b/berylshift/version/diff.py
@@ -34,8 +34,8 @@
         """Return the conflict as shown to operators."""
         names = ", ".join(self.rows)
         return (
-            f"the table moved from version {self.base} to {self.current}, and another"
-            f" edit changed the same rows: {names}; export the table again"
+            f"the table moved from version {self.base} to {self.current}, and these"
+            f" rows were changed by another edit: {names}; export it again"
         )
 
 
