--- a/bench/micro.py
+++ b/bench/micro.py
@@ -107,7 +107,7 @@
 
 def _idle_kb() -> int:
     """Return the resident memory of a process that has all of the daemon loaded."""
-    code = "import berylshift.serve_own;print(open('/proc/self/status').read())"
+    code = "import berylshift.serve_native;print(open('/proc/self/status').read())"
     out = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
--- a/berylshift/daemon.py
+++ b/berylshift/daemon.py
@@ -76,7 +76,7 @@
 # away from its callers.
 def _run_own(cfg: Settings, creds: Credentials) -> None:
     """Serve the own interface until the process is to end."""
-    from berylshift.serve_own import serve
+    from berylshift.serve_native import serve
 
     trio.run(serve, cfg, creds)
 
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -11,8 +11,8 @@
 from berylshift.connection.entry_status import EntryStatus
 from berylshift.connection.http_server import HttpServer, ServerLimits
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_duties import DutyParts, EntryDuties
 from berylshift.entry_gauges import report_gauges
+from berylshift.entry_leader_tasks import DutyParts, EntryDuties
 from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
--- a/berylshift/tests/ledger_play.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -21,7 +21,7 @@
     routes,
     stream_body,
 )
-from berylshift.tests.ledger import (
+from berylshift.tests.socket_world import (
     Caller,
     HostProcess,
     KernelEnd,
--- a/berylshift/tests/test_entry_ledger.py
+++ b/berylshift/tests/test_entry_answered_requests.py
@@ -11,7 +11,8 @@
     route,
     routes,
 )
-from berylshift.tests.ledger import (
+from berylshift.tests.shutdown_scenario import play_ledger
+from berylshift.tests.socket_world import (
     HostProcess,
     KernelEnd,
     kernel_pair,
@@ -20,7 +21,6 @@
     run_ledger,
     start_process,
 )
-from berylshift.tests.ledger_play import play_ledger
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import RouteKind
 
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -11,7 +11,7 @@
     route,
     routes,
 )
-from berylshift.tests.ledger import (
+from berylshift.tests.socket_world import (
     HostProcess,
     LateLook,
     request_bytes,
--- a/berylshift/tests/test_entry_own_end.py
+++ b/berylshift/tests/test_entry_own_end.py
@@ -11,7 +11,7 @@
     prompt_headers,
     run_entry,
 )
-from berylshift.tests.ledger import (
+from berylshift.tests.socket_world import (
     run_ledger,
     start_process,
 )
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -10,7 +10,7 @@
     routes,
     stream_body,
 )
-from berylshift.tests.ledger import (
+from berylshift.tests.socket_world import (
     pass_time,
     run_ledger,
     start_process,
