--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -1,4 +1,4 @@
-"""The application: wires all parts of an entry host, and its life-cycle hooks."""
+"""Application object for the native API: wiring and life-cycle hooks."""
 
 import logging
 import random
@@ -80,22 +80,22 @@
 
 logger = logging.getLogger(__name__)
 
-EMPTY_CHECK_SECONDS = 0.1
-# Calls to the store, one after another, that a loop may need to give its leases up.
-RELEASE_CALLS = 4
-# What is left after the time of a stop to tell the last callers how they ended: an
-# engine is told first, for a second at most, that its answer is given up.
-LAST_ANSWER_SECONDS = 2.0
+DRAIN_POLL_SECONDS = 0.1
+# Sequential store calls that a loop may need to release its leases.
+MAX_LEASE_RELEASE_CALLS = 4
+# Time after the shutdown deadline to send the final responses. The engine is sent the
+# cancellation first, which takes up to one second.
+FINAL_RESPONSE_SECONDS = 2.0
 GAUGE_SECONDS = 5.0
-LONGEST_AGE = 3600.0
-# Of news that a target ended under a call, in datagrams to some of the peers each: some
-# of them may be lost.
-TOLD_TIMES = 3
+MAX_GAUGE_AGE_SECONDS = 3600.0
+# Crash reports are repeated in this many gossip rounds, because each round reaches only
+# some of the peers and datagrams may be lost.
+CRASH_GOSSIP_ROUNDS = 3
 
 
 @dataclass
 class Ports:
-    """The outside as this process meets it; tests hand in fakes."""
+    """External dependencies of the process; tests pass fakes."""
 
     clock: Clock
     rng: random.Random
@@ -112,23 +112,23 @@
 
 @dataclass(frozen=True)
 class Addresses:
-    """Where this process listens, with the ports in use; each ``IP:PORT``."""
+    """Addresses that this process listens on, each ``IP:PORT`` with the bound port."""
 
     peer: str
     admin: str
 
 
-def make_router(cfg: PolicySettings, know: RoutingContext) -> Router:
-    """Return the router that the settings name."""
+def make_router(cfg: PolicySettings, context: RoutingContext) -> Router:
+    """Return the router selected in the settings."""
     if cfg.router == "round-robin":
-        return RoundRobin(know)
+        return RoundRobin(context)
     if cfg.router == "least-reported":
-        return LeastReported(know)
-    return LeastLateness(know, cfg.lateness_slack, cfg.prefill_rate)
+        return LeastReported(context)
+    return LeastLateness(context, cfg.lateness_slack, cfg.prefill_rate)
 
 
 class Application:
-    """One entry host, without its listeners."""
+    """Host that serves the native API, without its listeners."""
 
     def __init__(
         self,
@@ -137,7 +137,7 @@
         addresses: Addresses,
         callers: dict[str, Credential],
     ):
-        """Wire the parts; nothing runs yet."""
+        """Wire the components; ``run`` starts them."""
         self.cfg = cfg
         self.ports = ports
         clock, rng = ports.clock, ports.rng
@@ -154,7 +154,7 @@
         )
         self.plans = Plans()
         self.meter = DemandMeter()
-        self.know = RoutingContext(
+        self.context = RoutingContext(
             self.load,
             Health(),
             CostModel(cfg.policy),
@@ -166,7 +166,7 @@
         self.members = Membership(host, self.incarnation, cfg.peers.silent_after, rng)
         self.readiness = Readiness(host, self.holder, self.fresh, clock)
         self.quarantine = Quarantine(
-            cfg.targets.report_interval, TOLD_TIMES * cfg.peers.interval
+            cfg.targets.report_interval, CRASH_GOSSIP_ROUNDS * cfg.peers.interval
         )
         self.crash_watches = CrashWatchFactory(
             self.quarantine, RequestFingerprinter(), self.load, clock
@@ -175,7 +175,7 @@
         self.last_sends = Shutdown(clock)
         self.gate = self._make_gate()
         self.handler = self._make_handler(callers)
-        self.server = HttpServer(self.handler.handle, _limits(cfg.callers))
+        self.server = HttpServer(self.handler.handle, _server_limits(cfg.callers))
         self._make_loops(addresses)
 
     def _make_gate(self) -> TableGate:
@@ -192,11 +192,11 @@
     def _make_handler(self, callers: dict[str, Credential]) -> NativeHandler:
         cfg, ports = self.cfg, self.ports
         retries = RetryBudget(cfg.policy.retry_share, cfg.policy.retry_floor)
-        router = make_router(cfg.policy, self.know)
+        router = make_router(cfg.policy, self.context)
         completions = CompletionDependencies(
             clock=ports.clock,
             client=ports.engines,
-            context=self.know,
+            context=self.context,
             router=router,
             retries=retries,
             lengths=OutputLengths(),
@@ -212,8 +212,8 @@
         sender = ServiceSender(
             clock=ports.clock,
             client=ports.services,
-            context=self.know,
-            chooser=ReplicaChooser(self.know),
+            context=self.context,
+            chooser=ReplicaChooser(self.context),
             decisions=self.decisions,
             table=self.holder.get,
             may_route=self.readiness.may_route,
@@ -257,7 +257,7 @@
             members=self.members,
             peers=ports.peer_tables,
             clock=ports.clock,
-            on_change=self.on_table,
+            on_change=self.on_table_change,
             poll_interval=cfg.table.poll_interval,
             seeds=[seed.strip() for seed in cfg.host.seeds.split(",") if seed.strip()],
         )
@@ -265,7 +265,7 @@
         poller = PollerDependencies(
             client=ports.engines,
             load=self.load,
-            prefixes=self.know.prefixes,
+            prefixes=self.context.prefixes,
             holder=self.holder,
             clock=ports.clock,
             interval=cfg.targets.report_interval,
@@ -313,8 +313,8 @@
         )
         self.pool_loop = PoolLoop(pools)
 
-    def on_table(self, old: Table, new: Table) -> None:
-        """Take over what a new version of the table says."""
+    def on_table_change(self, old: Table, new: Table) -> None:
+        """Apply a new version of the table."""
         self.limits.set_limits(
             {row.target: row.limit for row in new.customers.values() if row.limit}
         )
@@ -323,11 +323,11 @@
                 self.load.forget(name)
 
     async def _report_gauges(self) -> None:
-        """Send the gauges until cancelled."""
+        """Report the gauges until cancelled."""
         metrics, clock = self.ports.metrics, self.ports.clock
         while True:
             metrics.gauge("table_version", self.holder.table.version)
-            age = min(LONGEST_AGE, self.fresh.store_age(clock.monotonic()))
+            age = min(MAX_GAUGE_AGE_SECONDS, self.fresh.store_age(clock.monotonic()))
             metrics.gauge("store_age_seconds", age)
             metrics.gauge("in_flight", self.handler.in_flight)
             metrics.gauge("pending_records", len(self.pending))
@@ -335,7 +335,7 @@
             await trio.sleep(GAUGE_SECONDS)
 
     def peer_view(self) -> PeerView:
-        """Return what this host tells peers that lag behind or start."""
+        """Return the state that peers fetch when they start or lag behind."""
         table = self.holder.table
         return PeerView(
             version=table.version,
@@ -360,22 +360,22 @@
             nursery.start_soon(self._report_gauges)
 
     def on_start(self) -> None:
-        """Note that the process runs."""
+        """Log that the process has started."""
         logger.info("started", extra={"incarnation": self.incarnation})
 
     async def on_shutdown(self) -> None:
-        """Carry out a planned stop; return once nothing is in flight.
+        """Shut down gracefully; return once nothing is in flight.
 
-        The balancer is told first, and given time to see it: a request that it
-        sends meanwhile is served like any other. What is not done when the time of
-        the stop is over gets its final answer then.
+        The host first reports not ready and gives the load balancer time to notice;
+        requests that arrive meanwhile are served normally. Requests that are
+        unfinished at the shutdown deadline get their final response then.
         """
         cfg = self.cfg.shutdown
-        self._bound_work(cfg.balancer_notice + cfg.longest)
+        self._limit_requests(cfg.balancer_notice + cfg.longest)
         self.server.draining = True
         self.readiness.phase = Phase.LEAVING
         self.peer_loop.leaving = True
-        self.host_loop.entry = _leaving(self.host_loop.entry)
+        self.host_loop.entry = _leaving_entry(self.host_loop.entry)
         logger.info("leaving", extra={"in_flight": self.handler.in_flight})
         await trio.sleep(cfg.balancer_notice)
         self.readiness.phase = Phase.CLOSED
@@ -384,50 +384,50 @@
             await self._release_leases()
             await self._wait_until_done()
         if scope.cancelled_caught:
-            await self._give_last_answers()
+            await self._send_final_responses()
 
-    def _bound_work(self, seconds: float) -> None:
+    def _limit_requests(self, seconds: float) -> None:
         """Have all requests end within ``seconds``.
 
-        A confirmation that is sent must be seen to end and be recorded, so the last
-        one goes out as long before as that may take.
+        The outcome of a confirmation that is sent must be received and recorded, so
+        none is sent later than the time this may take before the deadline.
         """
         self.shutdown.begin(seconds)
-        sent_and_recorded = self.cfg.targets.service_timeout + RECORD_TIMEOUT_SECONDS
-        self.last_sends.begin(seconds - sent_and_recorded)
+        last_send_seconds = self.cfg.targets.service_timeout + RECORD_TIMEOUT_SECONDS
+        self.last_sends.begin(seconds - last_send_seconds)
 
     async def _release_leases(self) -> None:
-        """Give the leases up before the wait for requests, which may be long."""
-        calls = RELEASE_CALLS * self.cfg.platform.timeout
+        """Release the leases before the wait for requests, which may be long."""
+        calls = MAX_LEASE_RELEASE_CALLS * self.cfg.platform.timeout
         with trio.move_on_after(ORDER_TIMEOUT_SECONDS + calls):
             await self.pool_loop.release()
 
     async def _wait_until_done(self) -> None:
-        """Return once nothing is under way, requests still being read included."""
+        """Return once nothing is in flight, including requests still being read."""
         while self.services.open_confirmations or self.pending:
-            await trio.sleep(EMPTY_CHECK_SECONDS)
-        await self._wait_until_answered()
+            await trio.sleep(DRAIN_POLL_SECONDS)
+        await self._wait_until_responses_sent()
 
-    async def _wait_until_answered(self) -> None:
+    async def _wait_until_responses_sent(self) -> None:
         while self.handler.in_flight:
-            await trio.sleep(EMPTY_CHECK_SECONDS)
+            await trio.sleep(DRAIN_POLL_SECONDS)
         await self.server.wait_until_quiet(0)
-        # The last, since nothing may wait between its last look and the end.
+        # Last, since nothing may be awaited between its final check and the exit.
         await self.server.finish()
 
-    async def _give_last_answers(self) -> None:
-        """Let what the end of the stop has answered reach its callers."""
-        with trio.move_on_after(LAST_ANSWER_SECONDS) as scope:
-            await self._wait_until_answered()
+    async def _send_final_responses(self) -> None:
+        """Wait until responses sent at the shutdown deadline reach their callers."""
+        with trio.move_on_after(FINAL_RESPONSE_SECONDS) as scope:
+            await self._wait_until_responses_sent()
         if scope.cancelled_caught:
             logger.error("stopped with work in flight")
 
     def on_stop(self) -> None:
-        """Note that the process ends."""
+        """Log that the process has stopped."""
         logger.info("stopped", extra={"incarnation": self.incarnation})
 
 
-def _limits(cfg: CallerSettings) -> ServerLimits:
+def _server_limits(cfg: CallerSettings) -> ServerLimits:
     return ServerLimits(
         header_bytes=cfg.header_bytes,
         body_bytes=cfg.body_bytes,
@@ -438,7 +438,7 @@
     )
 
 
-def _leaving(entry: HostEntry) -> HostEntry:
+def _leaving_entry(entry: HostEntry) -> HostEntry:
     return HostEntry(
         host=entry.host,
         incarnation=entry.incarnation,
--- a/berylshift/clock.py
+++ b/berylshift/clock.py
@@ -1,4 +1,4 @@
-"""The clock, passed in as an interface so that tests can hand in their own."""
+"""Clock interface, so that tests can control the time."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -8,25 +8,25 @@
 
 
 class Clock(Protocol):
-    """Gives the monotonic and the calendar time of one process."""
+    """Monotonic and calendar time of one process."""
 
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary start; it never goes back."""
+        """Return monotonic seconds from an arbitrary start."""
 
     def now(self) -> datetime:
-        """Return the calendar time, with its zone; it may be stepped."""
+        """Return the time zone aware calendar time; it may be stepped."""
 
 
 def boot_seconds() -> float:
-    """Return seconds since the host's start, those it stood still included."""
+    """Return seconds since the machine booted, including time suspended."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 class LoopClock:
-    """The event loop's clock; virtual wherever the loop's clock is virtual."""
+    """The event loop's clock; virtual if the loop runs on a virtual clock."""
 
     def __init__(self, epoch: datetime | None = None):
-        """Keep the calendar start; ``None`` takes the host's calendar."""
+        """Use ``epoch`` as the calendar start; ``None``: the system's calendar."""
         self._epoch = epoch
 
     def monotonic(self) -> float:
@@ -41,7 +41,7 @@
 
 
 class ManualClock:
-    """A clock that moves only when told to."""
+    """A clock that tests advance explicitly."""
 
     def __init__(self, start: float = 0.0):
         """Start at ``start`` seconds, on the first day of 2026."""
--- a/berylshift/connection/service_client.py
+++ b/berylshift/connection/service_client.py
@@ -4,8 +4,8 @@
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.messages.retry_after import parse_retry_after
 from berylshift.targets import (
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     TargetBrokenError,
     TargetNotReachedError,
     TargetRefusedError,
@@ -38,7 +38,7 @@
         except ConnectFailedError as exc:
             raise TargetNotReachedError(str(exc)) from exc
 
-    async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
+    async def call(self, address: str, call: ServiceCall) -> ServiceResponse:
         """Return the service's answer."""
         headers = {**call.headers, ATTEMPT_HEADER: call.attempt}
         if self._credential:
@@ -63,4 +63,4 @@
             for name, value in resp.headers.items()
             if name not in DROPPED_HEADERS
         }
-        return ServiceAnswer(resp.status, kept, data)
+        return ServiceResponse(resp.status, kept, data)
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -88,7 +88,7 @@
                 prefill_tokens=round(load.prefill_tokens),
                 report_age=round(min(load.report_age, 1e6), 3),
                 open_here=app.load.open_here(row.name),
-                suspended=not app.know.health.is_usable(row.name, now),
+                suspended=not app.context.health.is_usable(row.name, now),
             )
         )
     return found
--- a/berylshift/daemon.py
+++ b/berylshift/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``berylshiftd``: reads settings, then serves one of the interfaces."""
+"""The daemon ``berylshiftd``: reads the settings and serves one of the two APIs."""
 
 import logging
 import sys
@@ -21,7 +21,7 @@
 
 
 class ServeCommand(Command):
-    """The daemon's one command."""
+    """The daemon's only command."""
 
     name = "serve"
     description = "Serve callers' requests until SIGTERM."
@@ -31,14 +31,14 @@
     ]
 
     def handle(self) -> int:
-        """Read the settings, then serve."""
+        """Read the settings and serve; return the exit code."""
         path = self.option("config")
         if not path:
             self.line_error("--config FILE.ini is needed")
             return EXIT_BAD_SETTINGS
         match read_settings(path):
-            case Failure(faults):
-                return self._report(faults)
+            case Failure(errors):
+                return self._report(errors)
             case Success(cfg):
                 return self._serve(cfg, path)
         return EXIT_BAD_SETTINGS
@@ -47,14 +47,14 @@
         if cfg.directory.kind == "platform":
             return self._serve_entry(cfg, path)
         match read_credentials(cfg.host.credentials):
-            case Failure(fault):
-                return self._report([fault])
+            case Failure(error):
+                return self._report([error])
             case Success(creds):
                 if self.option("check"):
                     self.line("settings are right")
                     return EXIT_OK
                 init_logging(cfg.observability.log_level, cfg.host.name)
-                _run_own(cfg, creds)
+                _run_native(cfg, creds)
         return EXIT_OK
 
     def _serve_entry(self, cfg: Settings, path: str) -> int:
@@ -65,24 +65,24 @@
         _run_entry(cfg, path)
         return EXIT_OK
 
-    def _report(self, faults: list) -> int:
-        for fault in faults:
-            sys.stderr.write(f"{fault}\n")
+    def _report(self, errors: list) -> int:
+        for error in errors:
+            sys.stderr.write(f"{error}\n")
         return EXIT_BAD_SETTINGS
 
 
-# A host serves one of the interfaces. Each is loaded when it is known which: the other
-# one's modules are a third of the processor time of a start, which a small host spends
-# away from its callers.
-def _run_own(cfg: Settings, creds: Credentials) -> None:
-    """Serve the own interface until the process is to end."""
+# A host serves only one of the APIs, and each is imported on demand: the modules of the
+# other one take a third of the CPU time of a start, which delays a small host's first
+# responses.
+def _run_native(cfg: Settings, creds: Credentials) -> None:
+    """Serve the native API until the process is stopped."""
     from berylshift.serve_native import serve
 
     trio.run(serve, cfg, creds)
 
 
 def _run_entry(cfg: Settings, path: str) -> None:
-    """Serve the platform's routes until the process is to end."""
+    """Serve the platform's routes until the process is stopped."""
     from berylshift.serve_entry import serve_entry
 
     trio.run(serve_entry, cfg, path)
@@ -94,7 +94,7 @@
     command = ServeCommand()
     cli = CommandLine("berylshiftd", __version__)
     cli.add(command)
-    # The library has no public way to a program of one command.
+    # cleo has no public API for a program with a single command.
     cli._default_command = command.name
     cli._single_command = True
     sys.exit(cli.run())
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -1,4 +1,4 @@
-"""The entry application: wires a host that serves the platform's routes."""
+"""Entry application: wires a host that serves the platform's routes."""
 
 import logging
 import random
@@ -12,7 +12,7 @@
 from berylshift.connection.http_server import HttpServer, ServerLimits
 from berylshift.connection.target_client import TargetClient
 from berylshift.entry_gauges import report_gauges
-from berylshift.entry_leader_tasks import DutyParts, EntryDuties
+from berylshift.entry_leader_tasks import EntryLeaderTasks, LeaderTaskDependencies
 from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
@@ -62,32 +62,33 @@
 
 logger = logging.getLogger(__name__)
 
-# How long a system that starts for the first time may be without callers.
+# Time after start in which a system that starts for the first time may have no callers.
 FIRST_START_SECONDS = 15.0
-# The pause after news of replicas; well within the time that a leaving one is given.
-REST_SECONDS_A_HOST = 0.01
-LONGEST_REST_SECONDS = 0.8
-# The balancer asks every second and takes a host out after two misses.
+# Pause after an update of the replica feed, which grows with the number of hosts. It
+# stays well below the time within which a draining replica must get no new work.
+FEED_PAUSE_SECONDS_PER_HOST = 0.01
+MAX_FEED_PAUSE_SECONDS = 0.8
+# The load balancer probes every second and removes a host after two failed probes.
 BALANCER_NOTICE_SECONDS = 2.5
-# A new connection that was on its way when the balancer took the host out.
+# Covers a connection that was being opened when the load balancer removed the host.
 QUIET_SECONDS = 0.5
-# Of the time that the platform grants a stop, what is left for ending the process.
+# Part of the platform's shutdown grace period that is reserved for process exit.
 STOP_MARGIN_SECONDS = 0.8
-# What the last answers get to reach their callers before the connections close.
-LAST_ANSWER_SECONDS = 0.2
-# Times that callers may need beyond their stated idle bound: their clocks and links.
+# Time for the final responses to reach their callers before the connections close.
+FINAL_RESPONSE_SECONDS = 0.2
+# Added to the idle timeout announced to callers, for their clock rates and latency.
 IDLE_SLACK_SECONDS = 1.0
-WHOLE_REQUEST_SECONDS = 10.0
+REQUEST_READ_TIMEOUT_SECONDS = 10.0
 
 
 @dataclass
 class EntryPorts:
-    """The outside as this process meets it; tests hand in fakes."""
+    """External dependencies of the process; tests pass fakes."""
 
     clock: Clock
     rng: random.Random
     directory: Directory
-    language: WireCodec
+    codec: WireCodec
     client: TargetClient
     leases: LeaseRows
     engines: EngineControl
@@ -102,74 +103,78 @@
 
 
 class EntryApplication:
-    """One entry host, without its listeners."""
+    """Entry host that serves the platform's routes, without its listeners."""
 
     def __init__(self, cfg: Settings, ports: EntryPorts):
-        """Wire the parts; nothing runs yet."""
+        """Wire the components; ``run`` starts them."""
         self.cfg = cfg
         self.ports = ports
         self.telemetry = Telemetry()
         self.routes = RouteHolder(self._on_routes)
         self.phases = ExpectedPhases()
-        self.heartbeat = cfg.directory.heartbeat_ms / 1000
-        self.replicas = ReplicaSet(self.phases, ENTRY_TTL_HEARTBEATS * self.heartbeat)
+        self.heartbeat_seconds = cfg.directory.heartbeat_ms / 1000
+        self.replicas = ReplicaSet(
+            self.phases, ENTRY_TTL_HEARTBEATS * self.heartbeat_seconds
+        )
         self.loads = TargetLoads(lambda: self.load_loop.notify_work())
-        self.leaving = False
+        self.is_stopping = False
         self.shutdown = Shutdown(ports.clock)
-        self.times = RecentDurations(ports.clock)
+        self.recent_durations = RecentDurations(ports.clock)
         self._started = ports.clock.monotonic()
-        self._pools: set[ServiceName] = set()
-        self._budgets: dict[ServiceName, SharedRetryBudget] = {}
+        self._phase_loop_services: set[ServiceName] = set()
+        self._retry_budgets: dict[ServiceName, SharedRetryBudget] = {}
         self._nursery: trio.Nursery | None = None
         self.peers = PeerLoads(cfg.host.name, cfg.host.domain)
-        in_force = min(cfg.directory.in_force_ms, cfg.directory.leaving_ms) / 1000
-        self.watch = StoreWatch(in_force, ports.boot_clock)
-        self.warm = PrefixCacheIndex()
-        self.quarantine = Quarantine(self.heartbeat)
+        max_age_seconds = (
+            min(cfg.directory.in_force_ms, cfg.directory.leaving_ms) / 1000
+        )
+        self.store_watch = StoreWatch(max_age_seconds, ports.boot_clock)
+        self.prefix_cache = PrefixCacheIndex()
+        self.quarantine = Quarantine(self.heartbeat_seconds)
         self.fingerprints = RequestFingerprinter()
         self.speeds = EngineSpeeds(self._engine_facts)
         self.throttle = self._make_throttle()
-        placing = PlacementContext(
+        placement_context = PlacementContext(
             self.loads,
             self.peers,
-            self.warm,
+            self.prefix_cache,
             self.speeds,
             DomainName(cfg.host.domain),
             ports.rng,
         )
-        placer = PLACEMENT_POLICIES[cfg.entry.placing](placing)
-        reads = PrefillClient(
-            ports.language,
+        placer = PLACEMENT_POLICIES[cfg.entry.placing](placement_context)
+        prefill_client = PrefillClient(
+            ports.codec,
             ports.client,
             self.loads,
             ports.clock,
-            self._in_background,
+            self._start_background_task,
         )
-        self.duties = self._make_duties()
+        self.leader_tasks = self._make_leader_tasks()
         self.load_loop = self._make_load_loop()
         self.quarantine_loop = QuarantineLoop(
-            self.quarantine, ports.crashes, self.watch.clock, ports.clock
+            self.quarantine, ports.crashes, self.store_watch.clock, ports.clock
         )
-        self.watch.eras.subscribe(self.quarantine.row_queue.rewrite_all)
+        self.store_watch.eras.subscribe(self.quarantine.row_queue.rewrite_all)
         deps = RelayDependencies(
             clock=ports.clock,
-            codec=ports.language,
+            codec=ports.codec,
             client=ports.client,
             replicas=self.replicas,
             loads=self.loads,
             speeds=self.speeds,
             placer=placer,
-            prefill_client=reads,
+            prefill_client=prefill_client,
             shutdown=self.shutdown,
-            retry_budget_for=self.budget,
+            retry_budget_for=self.retry_budget,
             prefill_scheduler=PrefillScheduler(
-                placer, self.speeds, self._hosts_that_share
+                placer, self.speeds, self._sharing_host_count
             ),
-            recent_durations=self.times,
+            recent_durations=self.recent_durations,
             quarantine=self.quarantine,
             fingerprints=self.fingerprints,
             throttle=self.throttle,
-            on_run_started=self.duties.run_began,
+            on_run_started=self.leader_tasks.on_run_started,
         )
         key_gate = KeyGate(
             self.routes,
@@ -182,20 +187,20 @@
         self.server = HttpServer(self.handler.handle, hands_on_bodies=True)
         status = EntryStatus(cfg.entry.ready_path, self.is_ready, self.telemetry.text)
         self.status_server = HttpServer(status.handle)
-        self.follower = DirectoryLoop(
+        self.directory_loop = DirectoryLoop(
             ports.directory,
             self.routes,
             self.replicas,
             ports.clock,
             ports.rng,
-            self.watch,
-            self._feed_rest,
+            self.store_watch,
+            self._feed_pause_seconds,
             lambda: self.load_loop.known_hosts or 1,
             self._forget_replica,
         )
 
     def _make_throttle(self) -> Throttle:
-        """Return what all calls to replicas go by."""
+        """Return the throttle for all calls to replicas, installed in the client."""
         ports = self.ports
         shares = LimitShares(
             HostName(self.cfg.host.name),
@@ -203,86 +208,86 @@
             DEFAULT_HOST_COUNT,
         )
 
-        def share_of(instance: InstanceId, per_second: float) -> LimitShare:
+        def share_for(instance: InstanceId, requests_per_second: float) -> LimitShare:
             domain = self.replicas.domain_of(instance)
-            return shares.share(instance, domain, per_second)
+            return shares.share(instance, domain, requests_per_second)
 
-        throttle = Throttle(RateLimits(share_of, ports.rng), self.replicas.instance_of)
+        throttle = Throttle(RateLimits(share_for, ports.rng), self.replicas.instance_of)
         ports.client.guard_by(
-            ReplicaGate(ports.language, throttle, self.replicas, ports.clock)
+            ReplicaGate(ports.codec, throttle, self.replicas, ports.clock)
         )
         return throttle
 
     def _make_load_loop(self) -> LoadLoop:
         cfg, ports = self.cfg, self.ports
-        digest = DigestSources(
+        sources = DigestSources(
             host=cfg.host.name,
             domain=cfg.host.domain,
             loads=self.loads,
             peers=self.peers,
-            prefix_cache=self.warm,
+            prefix_cache=self.prefix_cache,
             phases=self.phases,
-            watch=self.watch,
+            watch=self.store_watch,
             quarantine=self.quarantine,
-            usage=self.duties.usage,
+            usage=self.leader_tasks.usage,
             throttle=self.throttle,
         )
-        parts = LoadLoopDependencies(
-            sources=digest,
+        deps = LoadLoopDependencies(
+            sources=sources,
             address=cfg.host.peer_address,
             rows=ports.hosts,
             make_link=ports.make_link,
             clock=ports.clock,
             rng=ports.rng,
             byte_budget=cfg.peers.byte_budget,
-            on_store_change=lambda: self.follower.notify_change(),
-            eras=self.watch.eras,
+            on_store_change=lambda: self.directory_loop.notify_change(),
+            eras=self.store_watch.eras,
             on_joined=self.fingerprints.use_key,
         )
-        return LoadLoop(parts)
+        return LoadLoop(deps)
 
-    def budget(self, service: ServiceName) -> SharedRetryBudget:
-        """Return the retry budget of a service."""
-        found = self._budgets.get(service)
+    def retry_budget(self, service: ServiceName) -> SharedRetryBudget:
+        """Return the retry budget of a service, updated to the current host count."""
+        found = self._retry_budgets.get(service)
         if found is None:
             cfg = self.cfg.entry
             found = SharedRetryBudget(
                 cfg.retry_ratio, cfg.retry_window, cfg.retry_burst
             )
-            self._budgets[service] = found
-        found.host_count = self._hosts_that_share()
+            self._retry_budgets[service] = found
+        found.host_count = self._sharing_host_count()
         return found
 
     def _engine_facts(self, service: ServiceName) -> EngineFacts | None:
-        """Return what the routes in force say of a service's engines."""
+        """Return the engine properties of a service from the routes in force."""
         table = self.routes.table
         found = None if table is None else table.services.get(service)
         return None if found is None else found.engine
 
     def _forget_replica(self, instance: InstanceId) -> None:
-        """Drop what is kept of a replica that is gone."""
+        """Drop the state of a removed replica."""
         self.loads.forget(instance)
-        self.warm.forget(instance)
+        self.prefix_cache.forget(instance)
         self.throttle.forget(instance)
         self.ports.client.forget(instance)
 
-    def _feed_rest(self) -> float:
-        """Return the pause after news of replicas: the more hosts, the longer."""
-        known = self.load_loop.known_hosts or 1
-        return min(LONGEST_REST_SECONDS, REST_SECONDS_A_HOST * known)
+    def _feed_pause_seconds(self) -> float:
+        """Return the pause after a replica feed update, longer with more hosts."""
+        host_count = self.load_loop.known_hosts or 1
+        return min(MAX_FEED_PAUSE_SECONDS, FEED_PAUSE_SECONDS_PER_HOST * host_count)
 
-    def _hosts_that_share(self) -> int:
-        """Return how many hosts share a limit; many, until it is known."""
+    def _sharing_host_count(self) -> int:
+        """Return how many hosts share a limit; a high default until that is known."""
         return self.load_loop.known_hosts or DEFAULT_HOST_COUNT
 
-    def _in_background(self, task, *args) -> None:
-        """Run a task that no request waits for; what breaks in it ends it alone."""
+    def _start_background_task(self, task, *args) -> None:
+        """Run a task that no request waits for; an exception ends only the task."""
 
         async def run() -> None:
             try:
                 await task(*args)
             except Exception:
-                # Passed on, it would end the process and all callers' requests.
+                # Propagated, it would end the process with all callers' requests.
                 logger.exception("background task failed")
 
         if self._nursery is None:
@@ -290,45 +295,48 @@
         try:
             self._nursery.start_soon(run)
         except RuntimeError:
-            # The process ends; raised here, it would end the answer under way.
+            # The nursery is closed; raised, this would break the response in progress.
             logger.info("background task dropped", extra={"reason": "stopping"})
 
     def _on_routes(self, table: RouteTable) -> None:
-        """Take over the bounds on callers that came with the routes."""
+        """Apply the limits on callers that came with the routes."""
         limits = table.limits
         self.server.limits = ServerLimits(
             header_bytes=limits.header_bytes,
             body_bytes=limits.body_bytes,
-            request_seconds=WHOLE_REQUEST_SECONDS,
+            request_seconds=REQUEST_READ_TIMEOUT_SECONDS,
             idle_seconds=limits.idle_seconds + IDLE_SLACK_SECONDS,
             write_seconds=self.cfg.callers.write_seconds,
             connections=self.cfg.callers.connections,
         )
 
-        self.duties.on_routes(table)
+        self.leader_tasks.on_routes(table)
         if self._nursery is not None and self.cfg.entry.reading_share > 0:
             for service in table.services.values():
-                if service.engine is not None and service.name not in self._pools:
-                    self._pools.add(service.name)
-                    self._nursery.start_soon(self._make_pool(service.name).run)
-
-    def _lease(self, duty: str, keeps: bool = False) -> LeaderLease:
+                if (
+                    service.engine is not None
+                    and service.name not in self._phase_loop_services
+                ):
+                    self._phase_loop_services.add(service.name)
+                    self._nursery.start_soon(self._make_phase_loop(service.name).run)
+
+    def _lease(self, task_name: str, can_reacquire: bool = False) -> LeaderLease:
         cfg, ports = self.cfg, self.ports
         return LeaderLease(
             ports.leases,
-            duty,
+            task_name,
             cfg.host.name,
             cfg.entry.orders_apart_ms / 1000,
             ports.rng,
             ports.boot_clock,
-            self.watch.eras,
+            self.store_watch.eras,
             cfg.entry.first_start,
-            keeps,
+            can_reacquire,
         )
 
-    def _make_duties(self) -> EntryDuties:
+    def _make_leader_tasks(self) -> EntryLeaderTasks:
         ports = self.ports
-        parts = DutyParts(
+        deps = LeaderTaskDependencies(
             clock=ports.clock,
             boot_clock=ports.boot_clock,
             usage_rows=ports.usage_rows,
@@ -336,23 +344,23 @@
             scale_ordering=ports.scale_ordering,
             scale_rows=ports.scale_rows,
             replicas=self.replicas,
-            eras=self.watch.eras,
+            eras=self.store_watch.eras,
             services=self._services,
-            lease=lambda duty: self._lease(duty, keeps=True),
-            place=self._duty_place,
-            calm=self.is_calm,
+            lease=lambda task_name: self._lease(task_name, can_reacquire=True),
+            rank_for=self._task_rank,
+            is_idle=self.is_idle,
         )
-        return EntryDuties(self.cfg, parts)
+        return EntryLeaderTasks(self.cfg, deps)
 
     def _services(self) -> tuple[Service, ...]:
         table = self.routes.table
         return () if table is None else tuple(table.services.values())
 
-    def _duty_place(self, duty: str) -> int | None:
-        """Return this host's place in order for a duty; none while it leaves."""
-        return None if self.leaving else self.load_loop.duty_rank(duty)
+    def _task_rank(self, task_name: str) -> int | None:
+        """Return this host's rank for a leader task; ``None`` during shutdown."""
+        return None if self.is_stopping else self.load_loop.duty_rank(task_name)
 
-    def _make_pool(self, service: ServiceName) -> PhaseLoop:
+    def _make_phase_loop(self, service: ServiceName) -> PhaseLoop:
         cfg, ports = self.cfg, self.ports
         lease = self._lease(f"phases/{service}")
         return PhaseLoop(
@@ -364,30 +372,30 @@
             phases=self.phases,
             clock=ports.clock,
             rng=ports.rng,
-            is_idle=self.is_calm,
-            host_count=self._hosts_that_share,
+            is_idle=self.is_idle,
+            host_count=self._sharing_host_count,
             holder=cfg.host.name,
-            is_stopping=lambda: self.leaving,
+            is_stopping=lambda: self.is_stopping,
             is_limited=lambda instance: self.throttle.is_limited(
                 instance, ports.clock.monotonic()
             ),
         )
 
-    def adopt(self, cfg: Settings) -> None:
-        """Take over changed settings; what listeners were made from stays."""
+    def apply_settings(self, cfg: Settings) -> None:
+        """Apply changed settings, except those that the listeners were opened with."""
         self.cfg = cfg
-        for budget in self._budgets.values():
+        for budget in self._retry_budgets.values():
             entry = cfg.entry
             budget.set_limits(entry.retry_ratio, entry.retry_window, entry.retry_burst)
         logging.getLogger().setLevel(cfg.observability.log_level)
         if self.routes.table is not None:
             self._on_routes(self.routes.table)
 
-    def is_calm(self) -> bool:
-        """Return whether the whole system starts and no caller has come yet.
+    def is_idle(self) -> bool:
+        """Return whether the whole system is starting and has had no caller yet.
 
-        Engines may then all change phase at once. A process that alone starts again
-        has seen no caller either, but is told that the system is not starting.
+        All engines may then change phase at once. A single restarted process has had
+        no caller either; the setting ``first_start`` tells the two apart.
         """
         if not self.cfg.entry.first_start or self.handler.handled:
             return False
@@ -395,13 +403,13 @@
         return age < FIRST_START_SECONDS
 
     def is_ready(self) -> bool:
-        """Return what the balancer is told.
+        """Return whether the load balancer may send requests to this host.
 
-        Knowledge that has grown old keeps the host ready: targets check the instance
-        that a request names, so old knowledge costs a try, while all hosts not ready
-        would cost every request.
+        Stale replica data does not make the host unready: targets check the instance
+        that a request names, so stale data costs an attempt, whereas all hosts being
+        unready would fail every request.
         """
-        if self.leaving or self.routes.table is None:
+        if self.is_stopping or self.routes.table is None:
             return False
         return self.replicas.confirmed_at is not None
 
@@ -410,40 +418,42 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self.ports.client.run)
-            nursery.start_soon(self.follower.run)
+            nursery.start_soon(self.directory_loop.run)
             nursery.start_soon(self.load_loop.run)
             nursery.start_soon(self.quarantine_loop.run)
             nursery.start_soon(report_gauges, self)
-            nursery.start_soon(self.duties.run)
+            nursery.start_soon(self.leader_tasks.run)
 
     def on_start(self) -> None:
-        """Note that the process runs."""
+        """Log that the process has started."""
         logger.info("started", extra={"domain": self.cfg.host.domain})
 
     async def on_shutdown(self) -> None:
-        """Carry out a planned stop; return once nothing is in flight.
+        """Shut down gracefully; return once nothing is in flight.
 
-        The balancer needs some seconds to see that the host is not ready: what it
-        sends meanwhile is served if it ends in time, and told to come back otherwise.
+        The load balancer needs some seconds to see that the host is not ready.
+        Requests that arrive meanwhile are served if they can end in time, and refused
+        with a retry delay otherwise.
         """
-        self.leaving = True
+        self.is_stopping = True
         self.server.draining = True
-        grace = self.cfg.entry.grace - STOP_MARGIN_SECONDS
+        grace_seconds = self.cfg.entry.grace - STOP_MARGIN_SECONDS
         logger.info(
-            "leaving", extra={"in_flight": self.handler.in_flight, "ends_in": grace}
+            "leaving",
+            extra={"in_flight": self.handler.in_flight, "ends_in": grace_seconds},
         )
-        requests_end = grace - LAST_ANSWER_SECONDS
-        self.shutdown.begin(requests_end, BALANCER_NOTICE_SECONDS)
-        with trio.move_on_after(requests_end):
+        request_seconds = grace_seconds - FINAL_RESPONSE_SECONDS
+        self.shutdown.begin(request_seconds, BALANCER_NOTICE_SECONDS)
+        with trio.move_on_after(request_seconds):
             await trio.sleep(BALANCER_NOTICE_SECONDS)
             self.server.close_idle()
             await self.server.wait_until_quiet(QUIET_SECONDS)
-        with trio.move_on_after(LAST_ANSWER_SECONDS) as scope:
+        with trio.move_on_after(FINAL_RESPONSE_SECONDS) as scope:
             await self.server.finish()
         if scope.cancelled_caught:
             logger.error("stopped", extra={"in_flight": self.handler.in_flight})
 
     def on_stop(self) -> None:
-        """Note that the process ends."""
+        """Close the client and log that the process has stopped."""
         self.ports.client.close()
         logger.info("stopped", extra={"in_flight": self.handler.in_flight})
--- a/berylshift/entry_leader_tasks.py
+++ b/berylshift/entry_leader_tasks.py
@@ -1,4 +1,4 @@
-"""An entry host's duties towards the platform: usage reported, replicas ordered."""
+"""Leader tasks of an entry host: reporting usage and ordering replicas."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -22,11 +22,11 @@
 
 
 @dataclass
-class DutyParts:
-    """What the duties work with.
+class LeaderTaskDependencies:
+    """Dependencies of the leader tasks.
 
-    ``lease`` makes the lease of a duty, ``place`` gives this host's place in order for
-    one, ``calm`` says whether no traffic needs the replicas.
+    ``lease`` makes the lease of a task, ``rank_for`` returns this host's rank for a
+    task, ``is_idle`` tells whether no traffic needs the replicas.
     """
 
     clock: Clock
@@ -39,17 +39,17 @@
     eras: StoreEraTracker
     services: Callable[[], Iterable[Service]]
     lease: Callable[[str], LeaderLease]
-    place: Callable[[str], int | None]
-    calm: Callable[[], bool]
+    rank_for: Callable[[str], int | None]
+    is_idle: Callable[[], bool]
 
 
-class EntryDuties:
-    """Wires the duties that the platform asks for; others stay idle."""
+class EntryLeaderTasks:
+    """Wires the leader tasks and runs those that the settings enable."""
 
-    def __init__(self, cfg: Settings, parts: DutyParts):
-        """Wire the parts; nothing runs yet."""
+    def __init__(self, cfg: Settings, deps: LeaderTaskDependencies):
+        """Wire the components; ``run`` starts them."""
         self._cfg = cfg.duties
-        self._filtered_clock = FilteredClock(parts.clock, parts.boot_clock)
+        self._filtered_clock = FilteredClock(deps.clock, deps.boot_clock)
         self._windows = UsageWindows(_usage_schedule(cfg))
         started_ms = int(self._filtered_clock.now() * 1000)
         host = cfg.host
@@ -59,37 +59,37 @@
             windows=self._windows,
             usage_counts=self.usage,
             filtered_clock=self._filtered_clock,
-            lease=parts.lease("usage"),
-            rows=parts.usage_rows,
-            reporting=parts.usage_reporting,
-            eras=parts.eras,
-            clock=parts.clock,
-            rank_for=parts.place,
+            lease=deps.lease("usage"),
+            rows=deps.usage_rows,
+            reporting=deps.usage_reporting,
+            eras=deps.eras,
+            clock=deps.clock,
+            rank_for=deps.rank_for,
         )
         self._scale_loop = ScaleLoop(
             host=host.name,
-            services=parts.services,
-            replicas=parts.replicas,
-            lease=parts.lease("scaling"),
-            ordering=parts.scale_ordering,
-            rows=parts.scale_rows,
-            clock=parts.clock,
-            rank=parts.place,
-            is_idle=parts.calm,
+            services=deps.services,
+            replicas=deps.replicas,
+            lease=deps.lease("scaling"),
+            ordering=deps.scale_ordering,
+            rows=deps.scale_rows,
+            clock=deps.clock,
+            rank=deps.rank_for,
+            is_idle=deps.is_idle,
         )
 
-    def run_began(self, customer: CustomerName | None, ago: float) -> None:
-        """Count a request that began to run ``ago`` seconds ago."""
+    def on_run_started(self, customer: CustomerName | None, seconds_ago: float) -> None:
+        """Count a request that started ``seconds_ago`` seconds ago."""
         if customer is not None:
-            self.usage.record_start(customer, self._filtered_clock.now() - ago)
+            self.usage.record_start(customer, self._filtered_clock.now() - seconds_ago)
 
     def on_routes(self, table: RouteTable) -> None:
-        """Learn the names of the customers in force."""
+        """Register the names of the customers in force."""
         if table.customers is not None:
             self.usage.add_names(table.customers.names)
 
     async def run(self) -> None:
-        """Run the loops of the duties until cancelled."""
+        """Run the enabled loops until cancelled."""
         async with trio.open_nursery() as nursery:
             if self._cfg.usage_report:
                 nursery.start_soon(self._usage_loop.run)
@@ -98,17 +98,17 @@
 
     @property
     def windows_reported(self) -> int:
-        """Return how many windows of usage this host has reported."""
+        """Return how many usage windows this host has reported."""
         return self._usage_loop.reported_count
 
     @property
     def windows_given_up(self) -> int:
-        """Return how many windows of usage this host found too late to report."""
+        """Return how many usage windows this host dropped as too late to report."""
         return self._usage_loop.given_up_count
 
 
 def _usage_schedule(cfg: Settings) -> UsageSchedule:
-    """Return when usage is reported, as the settings say."""
+    """Return the usage reporting schedule from the settings."""
     if not cfg.duties.usage_report:
         return UsageSchedule()
     return UsageSchedule(cfg.duties.usage_window_s, cfg.duties.usage_delay_s)
--- a/berylshift/ids.py
+++ b/berylshift/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers of the system; each is a distinct type over ``str`` or ``int``."""
+"""Identifier types, each a distinct type over ``str`` or ``int``."""
 
 from typing import NewType
 
--- a/berylshift/log.py
+++ b/berylshift/log.py
@@ -1,4 +1,4 @@
-"""JSON logs on standard output: bounded in volume, and never waited for."""
+"""JSON logs on standard output: rate-limited and non-blocking."""
 
 import logging
 import os
@@ -9,61 +9,61 @@
 from pythonjsonlogger.json import JsonFormatter
 
 FIELDS = "%(asctime)s %(levelname)s %(name)s %(message)s"
-# Lines a second of one message text. Beyond them lines are counted, not written; at
-# 15,000 requests a second over 370 hosts a host ends 40 requests a second.
+# Rate limit for each message text; lines beyond it are counted, not written. With
+# 15,000 requests a second over 370 hosts, a host finishes 40 requests a second.
 LINES_PER_SECOND = 100
-# Lines that may come at once after a quiet time.
+# Burst that each message text may write after a quiet period.
 BURST_LINES = 200
 
 
 class Sink(Protocol):
-    """Takes bytes without ever waiting."""
+    """Non-blocking byte sink."""
 
     def write(self, data: bytes) -> bool:
-        """Write whole ``data``, or return ``False``."""
+        """Write all of ``data`` or return ``False``."""
 
 
 class DescriptorSink:
-    """A file descriptor whose reader may be slow or gone.
+    """Non-blocking writer to a file descriptor whose reader may be slow or gone.
 
-    A full pipe would stop the event loop, and every request with it.
+    A blocking write to a full pipe would stop the event loop and all requests.
     """
 
     def __init__(self, fd: int):
-        """Write to ``fd``, which is set not to block."""
+        """Write to ``fd``, which is set to non-blocking mode."""
         self._fd = fd
-        self._rest = b""
+        self._unwritten = b""
         os.set_blocking(fd, False)
 
     def write(self, data: bytes) -> bool:
-        """Write ``data`` whole or not at all; the end of a cut line comes later."""
-        if self._rest and not self._flush():
+        """Accept all of ``data`` or nothing; buffer the rest of a partial write."""
+        if self._unwritten and not self._flush():
             return False
         try:
             written = os.write(self._fd, data)
         except OSError:
             return False
-        self._rest = data[written:]
+        self._unwritten = data[written:]
         return True
 
     def _flush(self) -> bool:
         try:
-            written = os.write(self._fd, self._rest)
+            written = os.write(self._fd, self._unwritten)
         except OSError:
             return False
-        self._rest = self._rest[written:]
-        return not self._rest
+        self._unwritten = self._unwritten[written:]
+        return not self._unwritten
 
 
 class _LineQuota:
-    """Lines that one message text may still write."""
+    """Token bucket for the lines of one message text."""
 
     def __init__(self, now: float):
         self.lines = float(BURST_LINES)
         self.filled_at = now
         self.left_out = 0
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         gained = (now - self.filled_at) * LINES_PER_SECOND
         self.lines = min(BURST_LINES, self.lines + gained)
         self.filled_at = now
@@ -75,10 +75,10 @@
 
 
 class BoundedHandler(logging.Handler):
-    """Writes records up to a rate for each message; the next one tells the rest."""
+    """Rate-limits each message text; the next record reports how many were left out."""
 
     def __init__(self, sink: Sink, clock=time.monotonic):
-        """Write to ``sink``; ``clock`` gives seconds that never go back."""
+        """Write to ``sink``; ``clock`` returns monotonic seconds."""
         super().__init__()
         self._sink = sink
         self._clock = clock
@@ -86,10 +86,10 @@
         self.dropped = 0
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record if its message has lines left."""
+        """Write a record if its message text is within its rate limit."""
         now = self._clock()
         quota = self._quotas.setdefault(str(record.msg), _LineQuota(now))
-        if not quota.take(now):
+        if not quota.try_acquire(now):
             return
         if quota.left_out:
             record.left_out = quota.left_out
@@ -108,7 +108,7 @@
 
 
 def init_logging(level: str, host: str) -> None:
-    """Write each record as one JSON object with the host's name."""
+    """Log each record to standard output as one JSON object with the host's name."""
     handler = BoundedHandler(DescriptorSink(sys.stdout.fileno()))
     handler.setFormatter(JsonFormatter(FIELDS, static_fields={"host": host}))
     root = logging.getLogger()
--- a/berylshift/metrics.py
+++ b/berylshift/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics by statsd; a client that sends nothing where none is set."""
+"""Metrics over statsd, with a null client for hosts without a statsd address."""
 
 from typing import Protocol
 
@@ -17,24 +17,24 @@
         """Set a gauge."""
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Note a duration."""
+        """Record a duration."""
 
 
 class NoMetrics:
-    """Drops everything."""
+    """Discards all metrics."""
 
     def incr(self, name: str, count: int = 1) -> None:
-        """Drop a count."""
+        """Discard a count."""
 
     def gauge(self, name: str, value: float) -> None:
-        """Drop a value."""
+        """Discard a value."""
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Drop a duration."""
+        """Discard a duration."""
 
 
 def make_metrics(address: str) -> Metrics:
-    """Return a client for the statsd daemon at ``IP:PORT``; empty: none."""
+    """Return a client for the statsd daemon at ``IP:PORT``; ``""``: a null client."""
     if not address:
         return NoMetrics()
     host, _, port = address.rpartition(":")
--- a/berylshift/process/control/orders.py
+++ b/berylshift/process/control/orders.py
@@ -162,7 +162,7 @@
         """Proceed without waiting: the engine refuses outdated copies by number."""
         journal = view.journal
         is_own = journal.sender == self.incarnation
-        if desired is not None and not desired.same_aim(journal.order):
+        if desired is not None and not desired.has_same_goal(journal.order):
             return OrderAction.ISSUE
         return OrderAction.SEND if is_own else OrderAction.ISSUE
 
--- a/berylshift/reload.py
+++ b/berylshift/reload.py
@@ -1,4 +1,4 @@
-"""Takes changed settings over while the process runs."""
+"""Reloads changed settings while the process runs."""
 
 import logging
 import os
@@ -12,73 +12,73 @@
 
 logger = logging.getLogger(__name__)
 
-# A change without a signal is seen within this time, in seconds.
-LOOK_SECONDS = 1.0
-# What the listeners and clients were made from at the start.
-FIXED_SECTIONS = ("host", "directory", "platform", "peers")
+# Interval at which the file is checked for changes made without a signal.
+POLL_SECONDS = 1.0
+# Used to create listeners and clients at startup; changes need a restart.
+RESTART_SECTIONS = ("host", "directory", "platform", "peers")
 
 
 class FileStamp(msgspec.Struct, frozen=True):
-    """What tells one state of a file from the next."""
+    """Metadata that changes when a file is rewritten or replaced."""
 
-    changed_ns: int
+    modified_ns: int
     size: int
     inode: int
 
 
 class SettingsFile:
-    """The settings file of a running process; a bad one changes nothing."""
+    """Settings file of a running process; an invalid file changes nothing."""
 
-    def __init__(self, path: str, cfg: Settings, adopt: Callable[[Settings], None]):
-        """Give changed settings to ``adopt``; ``cfg`` is in force now."""
+    def __init__(self, path: str, cfg: Settings, apply: Callable[[Settings], None]):
+        """Pass changed settings to ``apply``; ``cfg`` holds the current ones."""
         self._path = path
         self._cfg = cfg
-        self._adopt = adopt
+        self._apply = apply
         self._stamp = _stamp(path)
 
     async def watch(self) -> None:
-        """Look for changes without a signal until cancelled."""
+        """Reload the file whenever it changes, until cancelled."""
         while True:
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(POLL_SECONDS)
             if _stamp(self._path) != self._stamp:
                 self.reload("file changed")
 
     def reload(self, cause: str) -> None:
-        """Read the file anew; what can't be read leaves the last good settings."""
+        """Read the file again; if it is invalid, keep the last valid settings."""
         self._stamp = _stamp(self._path)
         try:
-            found = read_settings(self._path)
+            result = read_settings(self._path)
         except Exception as exc:
-            # A file may be damaged in any way; raised, it would end the process.
+            # The file may be corrupt in any way; raised, it would end the process.
             self._reject(cause, [repr(exc)])
             return
-        match found:
-            case Failure(faults):
-                self._reject(cause, [str(fault) for fault in faults])
+        match result:
+            case Failure(errors):
+                self._reject(cause, [str(error) for error in errors])
             case Success(cfg):
-                self._take(cfg, cause)
+                self._accept(cfg, cause)
 
     def _reject(self, cause: str, reasons: list[str]) -> None:
         logger.error("settings rejected", extra={"cause": cause, "reasons": reasons})
 
-    def _take(self, cfg: Settings, cause: str) -> None:
+    def _accept(self, cfg: Settings, cause: str) -> None:
         changed = [
             name
             for name in cfg.__struct_fields__
             if getattr(cfg, name) != getattr(self._cfg, name)
         ]
-        fixed = [name for name in changed if name in FIXED_SECTIONS]
+        need_restart = [name for name in changed if name in RESTART_SECTIONS]
         logger.info(
             "settings reloaded",
-            extra={"cause": cause, "changed": changed, "need_restart": fixed},
+            extra={"cause": cause, "changed": changed, "need_restart": need_restart},
         )
         self._cfg = cfg
-        self._adopt(cfg)
+        self._apply(cfg)
 
 
 def _stamp(path: str) -> FileStamp | None:
     try:
-        found = os.stat(path)
+        status = os.stat(path)
     except OSError:
         return None
-    return FileStamp(found.st_mtime_ns, found.st_size, found.st_ino)
+    return FileStamp(status.st_mtime_ns, status.st_size, status.st_ino)
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -28,7 +28,7 @@
 from berylshift.request.router import Plan, Refusal, WorkItem
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import EngineCall, KvSource
-from berylshift.utils import token_count
+from berylshift.utils import estimate_token_count
 from berylshift.version.rows import Row
 
 PLACEMENT_RETRY_SECONDS = 0.2
@@ -48,7 +48,7 @@
         self._refusal: Refusal | None = None
         self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
-        self._prompt_tokens = token_count(call.prompt)
+        self._prompt_tokens = estimate_token_count(call.prompt)
         self._crash_watch = deps.crash_watches.for_completion(call)
         self._attempt_count = 0
         self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -20,7 +20,7 @@
     RetryBounds,
     may_retry,
 )
-from berylshift.targets import ServiceAnswer
+from berylshift.targets import ServiceResponse
 
 PREFIX = "confirm/"
 POLL_SECONDS = 0.25
@@ -49,7 +49,7 @@
     state: RowState
     digest: str
     expires: float
-    answer: ServiceAnswer | None = None
+    answer: ServiceResponse | None = None
 
 
 def row_key(customer: CustomerName, key: str) -> str:
@@ -94,7 +94,7 @@
     step: Step = Step.INSERT
     outcome: Outcome = Outcome.NOT_RUN
     reason: Reason = Reason.OK
-    answer: ServiceAnswer | None = None
+    answer: ServiceResponse | None = None
     record: ConfirmRow | None = None
     history: AttemptHistory = field(default_factory=AttemptHistory)
     revision: int = 0
@@ -181,7 +181,7 @@
         self.step = Step.READ
 
     def on_attempt(
-        self, sent: AttemptRecord, answer: ServiceAnswer | None, now: float
+        self, sent: AttemptRecord, answer: ServiceResponse | None, now: float
     ) -> None:
         """Handle a finished attempt."""
         self.history.add(sent)
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -7,7 +7,7 @@
 from berylshift.request.retry_policy import AttemptHistory, AttemptRecord
 from berylshift.request.retry_targets import RETRY_BOUNDS, excluded_targets
 from berylshift.request.service_sender import ServiceSender
-from berylshift.targets import ServiceAnswer
+from berylshift.targets import ServiceResponse
 
 RETRY_AFTER_SECONDS = 1.0
 
@@ -24,7 +24,7 @@
         self._crash_watch = sender.crash_watches.for_service_call(call)
         self._history = AttemptHistory()
         self._refusal: Ending | None = None
-        self._response: ServiceAnswer | None = None
+        self._response: ServiceResponse | None = None
 
     async def run(self) -> PlainEnding:
         """Run the call and return how it ended."""
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -31,7 +31,7 @@
 from berylshift.request.relay_result import RelayOutcome, RelayResult
 from berylshift.request.replica_exchange import FailedResponse
 from berylshift.request.request_timeout import TimeoutSource, request_timeout
-from berylshift.utils import host_of
+from berylshift.utils import host_without_port
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
@@ -114,7 +114,7 @@
             reason = "no routes are known yet"
             await self._reject(req, responder, reason, NO_REPLICA_RETRY_SECONDS)
         else:
-            host = host_of(http.headers.get("host", ""))
+            host = host_without_port(http.headers.get("host", ""))
             await self._serve(req, table.match(host, path), responder, host, path)
 
     async def _serve(
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -17,9 +17,9 @@
 from berylshift.request.router import Plan, ReplicaChooser, RoutingContext, WorkItem
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import (
-    ServiceAnswer,
     ServiceCall,
     ServiceClient,
+    ServiceResponse,
     TargetBrokenError,
     TargetError,
 )
@@ -30,7 +30,7 @@
     """Outcome of one attempt, with the service's answer if it succeeded."""
 
     outcome: AttemptOutcome
-    answer: ServiceAnswer | None = None
+    answer: ServiceResponse | None = None
 
 
 @dataclass
@@ -132,7 +132,7 @@
         finally:
             load.note_ended(name, attempt, self.clock.monotonic())
 
-    async def _bounded(self, address: str, out: ServiceCall) -> ServiceAnswer:
+    async def _bounded(self, address: str, out: ServiceCall) -> ServiceResponse:
         with trio.move_on_after(self.timeout_seconds):
             return await self.client.call(address, out)
         raise TargetBrokenError("no answer in time")
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -1,4 +1,4 @@
-"""Serves the platform's routes: wires the entry application to the real outside."""
+"""Serves the platform's routes: entry application on real sockets and clients."""
 
 import random
 from collections.abc import Callable
@@ -32,17 +32,17 @@
 
 
 def make_entry_ports(
-    cfg: Settings, link_of: Callable[[LoadCodec], UdpPeerLink]
+    cfg: Settings, make_link: Callable[[LoadCodec], UdpPeerLink]
 ) -> EntryPorts:
-    """Return the platform as an entry host meets it."""
+    """Return the real dependencies of an entry host."""
     connect = cfg.targets.connect_timeout
-    calls = StoreCalls(
+    store = StoreCalls(
         HttpClient(connect_seconds=cfg.directory.timeout),
         cfg.directory.address,
         cfg.directory.timeout,
     )
     client = TargetClient(connect)
-    duties = PlatformDuties(
+    leader_calls = PlatformDuties(
         HttpClient(connect_seconds=cfg.duties.timeout),
         cfg.duties.address,
         cfg.duties.timeout,
@@ -50,19 +50,19 @@
     return EntryPorts(
         clock=LoopClock(),
         rng=random.Random(),
-        directory=PlatformDirectory(calls),
-        language=PlatformCodec(),
+        directory=PlatformDirectory(store),
+        codec=PlatformCodec(),
         client=client,
-        leases=PlatformLeases(calls),
+        leases=PlatformLeases(store),
         engines=PlatformEngines(client, cfg.targets.report_timeout),
         boot_clock=boot_seconds,
-        hosts=PlatformHosts(calls),
-        crashes=PlatformCrashes(calls),
-        usage_rows=PlatformUsage(calls),
-        usage_reporting=duties,
-        scale_ordering=duties,
-        scale_rows=PlatformScaling(calls),
-        make_link=lambda key: link_of(LoadCodec(key)),
+        hosts=PlatformHosts(store),
+        crashes=PlatformCrashes(store),
+        usage_rows=PlatformUsage(store),
+        usage_reporting=leader_calls,
+        scale_ordering=leader_calls,
+        scale_rows=PlatformScaling(store),
+        make_link=lambda key: make_link(LoadCodec(key)),
     )
 
 
@@ -76,7 +76,7 @@
         cfg, lambda codec: UdpPeerLink(codec, LARGEST_DATAGRAM, sock)
     )
     app = EntryApplication(cfg, ports)
-    settings_file = SettingsFile(path, cfg, app.adopt)
+    settings_file = SettingsFile(path, cfg, app.apply_settings)
     stop = trio.Event()
     app.on_start()
     async with trio.open_nursery() as nursery:
--- a/berylshift/serve_native.py
+++ b/berylshift/serve_native.py
@@ -1,4 +1,4 @@
-"""Serves the own interface: wires the application to the real outside."""
+"""Serves the native API: application on real sockets and clients."""
 
 import logging
 import random
@@ -31,7 +31,7 @@
 
 
 def make_ports(cfg: Settings, creds: Credentials, link: UdpPeerLink) -> Ports:
-    """Return the real outside, by HTTP and UDP."""
+    """Return the real dependencies, over HTTP and UDP."""
     client = HttpClient(connect_seconds=cfg.targets.connect_timeout)
     store, timeout = cfg.platform, cfg.platform.timeout
     return Ports(
@@ -51,8 +51,10 @@
 
 async def serve(cfg: Settings, creds: Credentials) -> None:
     """Serve until SIGTERM, then shut down gracefully."""
-    most = min(LARGEST_DATAGRAM, cfg.peers.byte_budget // (2 * cfg.peers.fanout))
-    link = UdpPeerLink(PeerCodec(creds.cluster_key), most)
+    max_digest_bytes = min(
+        LARGEST_DATAGRAM, cfg.peers.byte_budget // (2 * cfg.peers.fanout)
+    )
+    link = UdpPeerLink(PeerCodec(creds.cluster_key), max_digest_bytes)
     peer_address = await link.bind(cfg.host.peer_address)
     listener = open_listener(cfg.host.address)
     admin_listener = open_listener(cfg.host.admin_address)
@@ -62,7 +64,7 @@
     stop = trio.Event()
     app.on_start()
     async with trio.open_nursery() as nursery:
-        await nursery.start(watch_signals, _no_reload, stop)
+        await nursery.start(watch_signals, _reject_reload, stop)
         nursery.start_soon(app.run)
         nursery.start_soon(admin.serve, admin_listener)
         nursery.start_soon(app.server.serve, listener)
@@ -73,6 +75,6 @@
     app.on_stop()
 
 
-def _no_reload(cause: str) -> None:
-    """Note a wish that this kind of daemon can't fulfil."""
+def _reject_reload(cause: str) -> None:
+    """Log that a host with the native API can't reload its settings."""
     logger.warning("settings are read at start only", extra={"cause": cause})
--- a/berylshift/settings.py
+++ b/berylshift/settings.py
@@ -1,4 +1,4 @@
-"""Settings in INI: their defaults, how they are read, and how they are checked."""
+"""Settings in INI format: defaults, parsing and validation."""
 
 import configparser
 import difflib
@@ -12,13 +12,13 @@
 from berylshift.version.checks import valid_address
 
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000_000)]
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 
 
 class HostSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """This host: who it is and where it listens."""
+    """Identity and listening addresses of this host."""
 
     name: Name
     domain: Name
@@ -30,7 +30,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where the platform's services are, and how this process spends its rates."""
+    """Addresses of the platform's services and this process's rates to them."""
 
     table: str = "127.0.0.1:9000"
     objects: str = "127.0.0.1:9000"
@@ -44,7 +44,7 @@
 
 
 class CallerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on callers' connections and requests."""
+    """Limits on callers' connections and requests."""
 
     header_bytes: Count = 16384
     body_bytes: Count = 4194304
@@ -57,7 +57,7 @@
 
 
 class TargetSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Bounds on calls to targets."""
+    """Timeouts and credential for calls to targets."""
 
     connect_timeout: Seconds = 1.0
     first_token_timeout: Seconds = 20.0
@@ -69,14 +69,14 @@
 
 
 class TableSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How the operators' table is followed."""
+    """Polling of the operators' table and the age up to which it is used."""
 
     poll_interval: Seconds = 1.0
     freshness_limit: Seconds = 3.0
 
 
 class PeerSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Datagrams between entry hosts."""
+    """Gossip and liveness between hosts."""
 
     interval: Seconds = 1.0
     fanout: Annotated[int, Meta(ge=1, le=64)] = 4
@@ -86,12 +86,12 @@
 
 
 class PolicySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The policy under a shifting mix."""
+    """Routing, retries and planning of engine roles, and the initial cost model."""
 
     router: str = "least-lateness"
     planner: str = "hysteresis"
     lateness_slack: Annotated[float, Meta(ge=0.1, le=10)] = 1.0
-    retry_share: Share = 0.2
+    retry_share: Fraction = 0.2
     retry_floor: Annotated[float, Meta(ge=0, le=1000)] = 5.0
     prefill_rate: Annotated[float, Meta(gt=0)] = 8000.0
     step_base: Seconds = 0.020
@@ -102,11 +102,11 @@
     dwell: Seconds = 120.0
     change_seconds: Seconds = 4.0
     plan_interval: Seconds = 5.0
-    away_share: Share = 0.2
+    away_share: Fraction = 0.2
 
 
 class LeaseSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Leases of the pools; the margin covers clock rates and scheduling."""
+    """Leases of the pools; the margin covers clock drift and scheduling delays."""
 
     term: Seconds = 6.0
     margin: Seconds = 1.0
@@ -114,7 +114,7 @@
 
 
 class ShutdownSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """A graceful shutdown."""
+    """Graceful shutdown."""
 
     balancer_notice: Annotated[float, Meta(ge=0, le=600)] = 5.0
     longest: Seconds = 300.0
@@ -129,13 +129,13 @@
 
 
 class DirectorySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Where routes and replicas are read; ``own`` is this project's own table.
+    """Source of routes and replicas; ``own`` is the operators' table of this system.
 
     ``in_force_ms`` is the time within which accepted routes are in force on all hosts,
-    ``leaving_ms`` that within which a leaving replica gets no new work, both counted
-    from the platform's acknowledgement. How long a feed may stay without news, and how
-    old another host's word of it may be, follow from the shorter one. ``heartbeat_ms``
-    is how often replicas renew their entries there.
+    ``leaving_ms`` that after which a draining replica gets no new work, both counted
+    from the platform's acknowledgement. The shorter one determines how long a feed may
+    go unconfirmed, and how old another host's status of it may be. ``heartbeat_ms`` is
+    the interval at which replicas renew their entries.
     """
 
     kind: str = "own"
@@ -147,32 +147,32 @@
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry host on the platform; times in seconds.
+    """Entry host on the platform; times in seconds.
 
-    ``placing`` is how replicas are chosen; all but ``warm`` are there to compare with.
-    ``keys_expire_ms`` is the age of routes at which customers' keys hold no more at a
-    host that the store does not reach; 0: they hold on.
+    ``placing`` is the placement policy; all but ``warm`` are baselines for comparison.
+    ``keys_expire_ms`` is the age of the routes at which a host that can't reach the
+    store stops accepting customers' keys; 0: they don't expire.
     """
 
     status_address: str = "127.0.0.1:8083"
     ready_path: str = "/ready"
     metrics_address: str = ""
-    retry_ratio: Share = 0.2
+    retry_ratio: Fraction = 0.2
     retry_window: Seconds = 10.0
     retry_burst: Annotated[float, Meta(ge=0, le=100000)] = 10.0
     grace: Annotated[float, Meta(ge=2, le=600)] = 8.0
     orders_apart_ms: Annotated[int, Meta(ge=1, le=86400000)] = 3000
-    reading_share: Share = 0.65
+    reading_share: Fraction = 0.65
     placing: str = "warm"
     first_start: bool = False
     keys_expire_ms: Annotated[int, Meta(ge=0, le=86400000)] = 0
 
 
 class DutySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Duties towards the platform, which one host has at a time.
+    """Leader tasks for the platform, each run by one host at a time.
 
-    ``usage_report``: requests of each customer are reported for windows of
-    ``usage_window_s`` seconds, within ``usage_delay_s`` of a window's end.
+    ``usage_report``: the number of requests of each customer is reported for windows
+    of ``usage_window_s`` seconds, within ``usage_delay_s`` after a window's end.
     """
 
     address: str = "127.0.0.1:9000"
@@ -184,7 +184,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True, kw_only=True):
-    """All settings, a section each."""
+    """All settings, one field for each section."""
 
     host: HostSettings
     platform: PlatformSettings = PlatformSettings()
@@ -233,8 +233,8 @@
 )
 
 
-class SettingFault(msgspec.Struct, frozen=True):
-    """One thing wrong with the settings."""
+class SettingError(msgspec.Struct, frozen=True):
+    """One error in the settings."""
 
     section: str
     key: str
@@ -242,106 +242,106 @@
     allowed: str
 
     def __str__(self) -> str:
-        """Return the fault as operators read it."""
+        """Return the error message shown to operators."""
         return f"[{self.section}] {self.key} = {self.value}: {self.allowed}"
 
 
-def read_settings(path: str) -> Result[Settings, list[SettingFault]]:
-    """Return the settings of an INI file, or everything wrong with them."""
+def read_settings(path: str) -> Result[Settings, list[SettingError]]:
+    """Return the settings of an INI file, or all errors in it."""
     try:
         text = Path(path).read_text(encoding="utf-8")
     except OSError as exc:
-        return Failure([SettingFault("", "", path, f"can't be read: {exc.strerror}")])
+        return Failure([SettingError("", "", path, f"can't be read: {exc.strerror}")])
     except UnicodeDecodeError as exc:
-        return Failure([SettingFault("", "", path, f"is no UTF-8: {exc}")])
+        return Failure([SettingError("", "", path, f"not valid UTF-8: {exc}")])
     return parse_settings(text)
 
 
 def read_platform_settings(
     path: str,
-) -> Result[PlatformSettings, list[SettingFault]]:
-    """Return the ``[platform]`` section of a settings file, for operators' tools."""
+) -> Result[PlatformSettings, list[SettingError]]:
+    """Return the ``[platform]`` section of a settings file, for command-line tools."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(Path(path).read_text(encoding="utf-8"))
     except (OSError, UnicodeDecodeError, configparser.Error) as exc:
-        return Failure([SettingFault("", "", path, f"can't be read: {exc}")])
+        return Failure([SettingError("", "", path, f"can't be read: {exc}")])
     given = dict(parser["platform"]) if "platform" in parser else {}
-    faults = _unknown({"platform": given})
-    values = _read_section("platform", PlatformSettings, given, faults)
-    if faults:
-        return Failure(faults)
+    errors = _find_unknown_keys({"platform": given})
+    values = _read_section("platform", PlatformSettings, given, errors)
+    if errors:
+        return Failure(errors)
     return Success(msgspec.convert(values, PlatformSettings))
 
 
-def parse_settings(text: str) -> Result[Settings, list[SettingFault]]:
-    """Return the settings of an INI text, or everything wrong with them."""
+def parse_settings(text: str) -> Result[Settings, list[SettingError]]:
+    """Return the settings of an INI text, or all errors in it."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(text)
     except configparser.Error as exc:
-        return Failure([SettingFault("", "", "", f"not INI: {exc}")])
+        return Failure([SettingError("", "", "", f"not a valid INI file: {exc}")])
     given = {name: dict(parser[name]) for name in parser.sections()}
-    faults = _unknown(given)
+    errors = _find_unknown_keys(given)
     values: dict[str, dict[str, Any]] = {}
     for name, kind in SECTIONS.items():
-        values[name] = _read_section(name, kind, given.get(name, {}), faults)
-    if faults:
-        return Failure(faults)
+        values[name] = _read_section(name, kind, given.get(name, {}), errors)
+    if errors:
+        return Failure(errors)
     settings = msgspec.convert(values, Settings)
     return check_settings(settings)
 
 
-def check_settings(settings: Settings) -> Result[Settings, list[SettingFault]]:
-    """Return the settings if their values agree with each other."""
-    faults = []
+def check_settings(settings: Settings) -> Result[Settings, list[SettingError]]:
+    """Return the settings if addresses, choices and relations between values hold."""
+    errors = []
     for section, key in ADDRESSES:
         value = getattr(getattr(settings, section), key)
-        # This host may have the kernel choose a port to listen on.
-        least_port = 0 if section == "host" else 1
-        # Digits such as "\u00b2" count as digits, but int() has no number for them.
-        if not (value.isascii() and valid_address(value, least_port)):
-            faults.append(SettingFault(section, key, value, "must be IP:PORT"))
+        # Port 0 lets the kernel choose a port to listen on.
+        min_port = 0 if section == "host" else 1
+        # str.isdigit() accepts digits such as "\u00b2", which int() rejects.
+        if not (value.isascii() and valid_address(value, min_port)):
+            errors.append(SettingError(section, key, value, "must be IP:PORT"))
     for (section, key), allowed in CHOICES.items():
         value = getattr(getattr(settings, section), key)
         if value not in allowed:
             reason = f"must be one of {', '.join(allowed)}"
-            faults.append(SettingFault(section, key, value, reason))
-    faults += _relations(settings)
-    return Failure(faults) if faults else Success(settings)
+            errors.append(SettingError(section, key, value, reason))
+    errors += _check_relations(settings)
+    return Failure(errors) if errors else Success(settings)
 
 
-def _relations(cfg: Settings) -> list[SettingFault]:
-    faults = []
+def _check_relations(cfg: Settings) -> list[SettingError]:
+    errors = []
     if cfg.table.freshness_limit <= cfg.table.poll_interval:
         value = str(cfg.table.freshness_limit)
         reason = f"must be above poll_interval, which is {cfg.table.poll_interval}"
-        faults.append(SettingFault("table", "freshness_limit", value, reason))
-    room = cfg.leases.interval + cfg.leases.margin + cfg.platform.timeout
-    if cfg.leases.term <= room:
+        errors.append(SettingError("table", "freshness_limit", value, reason))
+    min_term = cfg.leases.interval + cfg.leases.margin + cfg.platform.timeout
+    if cfg.leases.term <= min_term:
         value = str(cfg.leases.term)
-        reason = f"must be above interval + margin + the platform's timeout, {room}"
-        faults.append(SettingFault("leases", "term", value, reason))
-    return faults
+        reason = f"must be above interval + margin + the platform's timeout, {min_term}"
+        errors.append(SettingError("leases", "term", value, reason))
+    return errors
 
 
-def _unknown(given: dict[str, dict[str, str]]) -> list[SettingFault]:
-    faults = []
+def _find_unknown_keys(given: dict[str, dict[str, str]]) -> list[SettingError]:
+    errors = []
     for section, keys in given.items():
         if section not in SECTIONS:
-            reason = f"unknown section{_nearest(section, list(SECTIONS))}"
-            faults.append(SettingFault(section, "", "", reason))
+            reason = f"unknown section{_suggest(section, list(SECTIONS))}"
+            errors.append(SettingError(section, "", "", reason))
             continue
         known = SECTIONS[section].__struct_fields__
         for key, value in keys.items():
             if key not in known:
-                reason = f"unknown key{_nearest(key, list(known))}"
-                faults.append(SettingFault(section, key, value, reason))
-    return faults
+                reason = f"unknown key{_suggest(key, list(known))}"
+                errors.append(SettingError(section, key, value, reason))
+    return errors
 
 
-def _nearest(word: str, known: list[str]) -> str:
-    found = difflib.get_close_matches(word, known, n=1, cutoff=0.5)
+def _suggest(name: str, known: list[str]) -> str:
+    found = difflib.get_close_matches(name, known, n=1, cutoff=0.5)
     return f"; the nearest known one is {found[0]}" if found else ""
 
 
@@ -349,39 +349,39 @@
     section: str,
     kind: type[msgspec.Struct],
     given: dict[str, str],
-    faults: list[SettingFault],
+    errors: list[SettingError],
 ) -> dict[str, Any]:
     values = {}
     for field in msgspec.structs.fields(kind):
         if field.name not in given:
             if field.default is msgspec.NODEFAULT:
-                reason = "is needed and has no default"
-                faults.append(SettingFault(section, field.name, "", reason))
+                reason = "is required and has no default"
+                errors.append(SettingError(section, field.name, "", reason))
             continue
         text = given[field.name]
         try:
             values[field.name] = msgspec.convert(text, field.type, strict=False)
         except msgspec.ValidationError as exc:
-            faults.append(SettingFault(section, field.name, text, str(exc)))
+            errors.append(SettingError(section, field.name, text, str(exc)))
     return values
 
 
 class Credential(msgspec.Struct, frozen=True):
-    """Who a caller's token speaks for."""
+    """Customer and fleet that a caller's token authenticates."""
 
     customer: str
     fleet: str
 
 
 class Credentials(msgspec.Struct, frozen=True):
-    """Callers' tokens, and the key that peers' datagrams are tagged with."""
+    """Callers' tokens, and the key that authenticates datagrams between peers."""
 
     callers: dict[str, Credential]
     cluster_key: str
 
 
-def read_credentials(path: str) -> Result[Credentials, SettingFault]:
-    """Return the credentials of a JSON file."""
+def read_credentials(path: str) -> Result[Credentials, SettingError]:
+    """Return the credentials in a JSON file, or the error."""
     try:
         data = Path(path).read_bytes()
         return Success(msgspec.json.decode(data, type=Credentials))
@@ -389,4 +389,4 @@
         reason = f"can't be read: {exc.strerror}"
     except msgspec.DecodeError as exc:
         reason = f"not a credentials file: {exc}"
-    return Failure(SettingFault("host", "credentials", path, reason))
+    return Failure(SettingError("host", "credentials", path, reason))
--- a/berylshift/signals.py
+++ b/berylshift/signals.py
@@ -1,4 +1,4 @@
-"""Signals of the process: SIGTERM ends it gracefully, SIGHUP has settings read anew."""
+"""Signal handling: SIGTERM and SIGINT shut down gracefully, SIGHUP reloads settings."""
 
 import logging
 import signal
@@ -8,14 +8,14 @@
 
 logger = logging.getLogger(__name__)
 
-STOP = (signal.SIGTERM, signal.SIGINT)
+STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 def ignore_early_reloads() -> None:
-    """Let SIGHUP pass until the process can reload.
+    """Ignore SIGHUP until the process can reload.
 
-    Its default action ends the process. One that has not read its settings yet is
-    about to read the new ones.
+    Its default action ends the process. A process that has not read its settings yet
+    will read the new ones anyway.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
@@ -25,17 +25,16 @@
     stop: trio.Event,
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Set ``stop`` at the first signal to end; call ``reload`` at each SIGHUP.
+    """Set ``stop`` on SIGTERM or SIGINT; call ``reload`` on each SIGHUP.
 
-    It runs until the process ends: a signal that came during the graceful shutdown
-    would otherwise take its default action, and cut the requests that the shutdown
-    waits for.
+    It runs until the process exits: a signal during the graceful shutdown would
+    otherwise have its default action and cut the requests that the shutdown waits for.
     """
-    with trio.open_signal_receiver(*STOP, signal.SIGHUP) as signals:
+    with trio.open_signal_receiver(*STOP_SIGNALS, signal.SIGHUP) as signals:
         task_status.started()
         async for number in signals:
             name = signal.Signals(number).name
-            if number in STOP:
+            if number in STOP_SIGNALS:
                 logger.info("signal", extra={"signal": name, "again": stop.is_set()})
                 stop.set()
             else:
--- a/berylshift/stand_ins/fake_engine.py
+++ b/berylshift/stand_ins/fake_engine.py
@@ -201,12 +201,12 @@
         same = order.number == self.order_number and self._last_same(order)
         if same and self.role is not Role.UNKNOWN:
             return
-        if self._held is not None and not self._held.same_aim(order):
+        if self._held is not None and not self._held.has_same_goal(order):
             self.conflicts += 1
         self._begin_change(order, now)
 
     def _last_same(self, order: Order) -> bool:
-        return bool(self.orders_taken) and self.orders_taken[-1].same_aim(order)
+        return bool(self.orders_taken) and self.orders_taken[-1].has_same_goal(order)
 
     def _begin_change(self, order: Order, now: float) -> None:
         self.order_number = OrderNumber(max(self.order_number, order.number))
--- a/berylshift/stand_ins/fake_service.py
+++ b/berylshift/stand_ins/fake_service.py
@@ -6,7 +6,7 @@
 import msgspec
 import xxhash
 
-from berylshift.targets import ServiceAnswer, ServiceCall, TargetRefusedError
+from berylshift.targets import ServiceCall, ServiceResponse, TargetRefusedError
 
 STATUS_OK = 200
 
@@ -44,7 +44,7 @@
     refused: int = 0
     alive: bool = True
 
-    def run(self, call: ServiceCall) -> ServiceAnswer:
+    def run(self, call: ServiceCall) -> ServiceResponse:
         """Run a call and return its answer; raise ``TargetRefusedError``."""
         if self.script.refuse:
             self.refused += 1
@@ -55,7 +55,7 @@
         if call.key:
             self.ran[call.key] += 1
         body = msgspec.json.encode(ServiceBody(self.name, service_echo(call.body)))
-        return ServiceAnswer(STATUS_OK, {"content-type": "application/json"}, body)
+        return ServiceResponse(STATUS_OK, {"content-type": "application/json"}, body)
 
     def loses_answer(self) -> bool:
         """Return whether the answer just made is to be cut off."""
--- a/berylshift/stand_ins/memory_targets.py
+++ b/berylshift/stand_ins/memory_targets.py
@@ -15,8 +15,8 @@
     EngineChunk,
     LoadReport,
     Order,
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     TargetBrokenError,
     TargetNotReachedError,
     TargetRefusedError,
@@ -115,7 +115,7 @@
         if replica is None or not open_link or not replica.alive:
             raise TargetNotReachedError(name)
 
-    async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
+    async def call(self, address: str, call: ServiceCall) -> ServiceResponse:
         """Run a call and return its answer."""
         replica = self._replicas.get(address)
         name = replica.name if replica else address
--- a/berylshift/targets.py
+++ b/berylshift/targets.py
@@ -1,4 +1,4 @@
-"""Engines and plain services as this project meets them: messages and protocols."""
+"""Interfaces to engines and plain services: errors, messages and client protocols."""
 
 from collections.abc import AsyncIterator
 from contextlib import AbstractAsyncContextManager
@@ -11,39 +11,40 @@
 
 
 class TargetError(Exception):
-    """Any failure of a call to a target."""
+    """A call to a target failed."""
 
 
 class TargetNotReachedError(TargetError):
-    """No byte of the call can have reached the target."""
+    """The call failed before any byte could reach the target."""
 
 
 class TargetRefusedError(TargetError):
-    """The target says that it refused the call: it was not run.
+    """The target refused the call and did not run it.
 
-    ``retry_after``: for so long it wants no other one; 0: it does not say so.
+    ``retry_after`` is the time in seconds for which the target wants no further call;
+    0 if it states none.
     """
 
     def __init__(self, reason: str, retry_after: float = 0.0):
-        """Keep the time asked for."""
+        """Store the time that the target asked for."""
         super().__init__(reason)
         self.retry_after = retry_after
 
 
 class TargetBrokenError(TargetError):
-    """The call was sent and its answer broke off: it may have run."""
+    """The call was sent but its response was cut: it may have run."""
 
 
 class TargetBusyError(TargetRefusedError):
-    """An engine refused an order since it is carrying out another."""
+    """An engine refused an order because it is executing another one."""
 
 
 class StaleOrderError(TargetRefusedError):
-    """An engine refused an order for its old fencing number."""
+    """An engine refused an order because of its stale fencing token."""
 
 
 class Role(StrEnum):
-    """What an engine does; an engine in an unknown role takes no work."""
+    """Role of an engine; an engine in an unknown role accepts no work."""
 
     MIXED = "mixed"
     PREFILL = "prefill"
@@ -52,7 +53,7 @@
 
 
 class KvSource(msgspec.Struct, frozen=True):
-    """Where an exported KV cache can be had; its size in tokens."""
+    """Location of an exported KV cache, and its size in tokens."""
 
     address: str
     handle: str
@@ -60,10 +61,10 @@
 
 
 class EngineCall(msgspec.Struct, frozen=True):
-    """One attempt at an engine.
+    """One attempt of a request at an engine.
 
-    A resumed attempt carries what was already emitted, and the engine goes on at
-    token ``resume_from``. A lower ``priority`` number goes first.
+    A resumed attempt carries the text already emitted, and the engine continues at
+    token ``resume_from``. Lower ``priority`` numbers are served first.
     """
 
     attempt: AttemptId
@@ -78,10 +79,10 @@
 
 
 class EngineChunk(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Some tokens of an attempt, the first at ``offset``.
+    """Consecutive tokens of an attempt, starting at index ``offset``.
 
-    The last chunk carries ``end``, the answer's whole count of tokens; that of a
-    prefill-only attempt carries ``kv``.
+    The last chunk carries ``end``, the total number of tokens of the response; the
+    last one of a prefill-only attempt carries ``kv``.
     """
 
     attempt: AttemptId
@@ -92,10 +93,10 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """An engine's load as it was ``age`` seconds before the report was sent.
+    """An engine's load, measured ``age`` seconds before the report was sent.
 
-    ``prefill_tokens`` wait for prefill, ``running`` streams decode, ``waiting``
-    calls have not begun. ``order`` is the last order taken.
+    ``prefill_tokens`` counts tokens waiting for prefill, ``running`` the streams being
+    decoded, ``waiting`` the calls not started. ``order`` is the last order accepted.
     """
 
     incarnation: Incarnation
@@ -112,14 +113,14 @@
 
 
 class OrderKind(StrEnum):
-    """What an order asks of an engine."""
+    """What an order changes at an engine."""
 
     ROLE = "role"
     LOAD = "load"
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order; ``number`` is the fencing number and only rises."""
+    """An order to an engine; ``number`` is its fencing token and increases strictly."""
 
     number: OrderNumber
     kind: OrderKind
@@ -129,14 +130,14 @@
     issuer: Incarnation = Incarnation("")
     epoch: Epoch = Epoch(0)
 
-    def same_aim(self, other: "Order") -> bool:
-        """Return whether both ask for the same thing."""
+    def has_same_goal(self, other: "Order") -> bool:
+        """Return whether both orders ask for the same state."""
         mine = (self.kind, self.role, self.model, self.version)
         return mine == (other.kind, other.role, other.model, other.version)
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """A prefix block came into an engine's cache or left it."""
+    """A prefix block was added to or evicted from an engine's cache."""
 
     sequence: int
     block: int
@@ -144,7 +145,7 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
-    """One call to a plain service, passed on as the caller sent it."""
+    """One call to a plain service, forwarded as the caller sent it."""
 
     attempt: AttemptId
     service: str
@@ -156,8 +157,8 @@
     key: str = ""
 
 
-class ServiceAnswer(msgspec.Struct, frozen=True):
-    """A plain service's answer, whole."""
+class ServiceResponse(msgspec.Struct, frozen=True):
+    """Complete response of a plain service."""
 
     status: int
     headers: dict[str, str]
@@ -165,34 +166,34 @@
 
 
 class EngineClient(Protocol):
-    """Calls engines; every method raises ``TargetError``."""
+    """Client for engines; every method may raise ``TargetError``."""
 
     def generate(
         self, address: str, call: EngineCall
     ) -> AbstractAsyncContextManager[AsyncIterator[list[EngineChunk]]]:
-        """Start an attempt; give what has arrived each time, until its end."""
+        """Start an attempt; iterate over the chunks as they arrive, until its end."""
 
     async def connect(self, address: str) -> None:
-        """Open a connection; raise ``TargetNotReachedError`` if none is taken."""
+        """Open a connection; raise ``TargetNotReachedError`` if it is not accepted."""
 
     async def cancel(self, address: str, attempt: AttemptId) -> None:
-        """Stop an attempt; one that is unknown or over is no error."""
+        """Cancel an attempt; it is no error if it is unknown or has ended."""
 
     async def report(self, address: str) -> LoadReport:
         """Return the engine's load report."""
 
     async def order(self, address: str, order: Order) -> None:
-        """Have an order carried out; returns once the engine has taken it."""
+        """Send an order; return once the engine has accepted it."""
 
     async def cache_events(self, address: str, after: int) -> list[CacheEvent]:
-        """Return the cache events after a sequence number; some may be missing."""
+        """Return cache events after a sequence number, possibly with gaps."""
 
 
 class ServiceClient(Protocol):
-    """Calls plain services."""
+    """Client for plain services."""
 
-    async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
-        """Return the answer; raise ``TargetError``."""
+    async def call(self, address: str, call: ServiceCall) -> ServiceResponse:
+        """Return the response; raise ``TargetError`` on failure."""
 
     async def connect(self, address: str) -> None:
-        """Open a connection; raise ``TargetNotReachedError`` if none is taken."""
+        """Open a connection; raise ``TargetNotReachedError`` if it is not accepted."""
--- a/berylshift/telemetry.py
+++ b/berylshift/telemetry.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms of routed requests, served as text."""
+"""Prometheus metrics of routed requests."""
 
 from prometheus_client import (
     CollectorRegistry,
@@ -10,18 +10,18 @@
 
 from berylshift.request.routed_handler import RequestSummary
 
-# Customers that are counted each by themselves; further ones are counted together.
-MOST_CUSTOMERS = 500
+# Customers with a label of their own; further ones share one label.
+MAX_CUSTOMER_LABELS = 500
 OTHER_CUSTOMERS = "others"
-# Upper bounds in seconds; they span a plain call's work to a long stream.
+# Upper bounds in seconds, from a plain call to a long stream.
 SECONDS_BUCKETS = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4)
 
 
 class Telemetry:
-    """One process's figures."""
+    """Metrics of one process."""
 
     def __init__(self) -> None:
-        """Start at zero."""
+        """Create the registry and its metrics."""
         self.registry = CollectorRegistry()
         self._requests = Counter(
             "berylshift_requests",
@@ -52,7 +52,7 @@
         self._gauges: dict[str, Gauge] = {}
 
     def request_ended(self, ended: RequestSummary) -> None:
-        """Count a request."""
+        """Count a finished request."""
         self._requests.labels(ended.route, ended.outcome).inc()
         self._seconds.labels(ended.route).observe(ended.seconds)
         if ended.timeout_source is not None:
@@ -62,13 +62,13 @@
             self._by_customer.labels(label, ended.outcome).inc()
 
     def _customer_label(self, customer: str) -> str:
-        """Return a customer's label; the number of labels is bounded."""
-        if len(self._customers) < MOST_CUSTOMERS:
+        """Return a customer's label; the number of labels is limited."""
+        if len(self._customers) < MAX_CUSTOMER_LABELS:
             self._customers.add(customer)
         return customer if customer in self._customers else OTHER_CUSTOMERS
 
     def gauge(self, name: str, text: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge; the first call registers it with ``text`` as its help."""
         found = self._gauges.get(name)
         if found is None:
             found = Gauge(f"berylshift_{name}", text, registry=self.registry)
@@ -76,5 +76,5 @@
         found.set(value)
 
     def text(self) -> bytes:
-        """Return all figures in the usual text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -243,7 +243,7 @@
             clock=LoopClock(),
             rng=random.Random(seed),
             directory=self.directory,
-            language=PlatformCodec(),
+            codec=PlatformCodec(),
             client=client,
             leases=self.leases,
             engines=PlatformEngines(client, 0.5),
--- a/berylshift/tests/shutdown_scenario.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -189,7 +189,7 @@
         text += f"retry_ratio = {self.rng.choice([0.1, 0.3])}\n"
         text += "grace = 8\nreading_share = 0\n"
         text += f"[callers]\nconnections = {self.rng.choice([8, 2048])}\n"
-        app.adopt(parse_settings(text).unwrap())
+        app.apply_settings(parse_settings(text).unwrap())
 
     def _work(self) -> None:
         """Have replicas take another time for their work."""
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -30,7 +30,7 @@
     Write,
     as_raw,
 )
-from berylshift.targets import ServiceAnswer, ServiceCall
+from berylshift.targets import ServiceCall, ServiceResponse
 from berylshift.tests.support import EXPLORE
 
 KEYS = ("k1", "k2")
@@ -145,7 +145,7 @@
             self._put(key, revision, row)
         self.pending.remove(key)
 
-    def _run(self, arrival: Arrival) -> ServiceAnswer:
+    def _run(self, arrival: Arrival) -> ServiceResponse:
         call = ServiceCall(
             arrival.state.attempt, "booking", "POST", "/", {}, b"", False, arrival.key
         )
--- a/berylshift/tests/test_confirmations.py
+++ b/berylshift/tests/test_confirmations.py
@@ -20,10 +20,10 @@
 )
 from berylshift.request.messages import Outcome, Reason
 from berylshift.request.retry_policy import AttemptOutcome, AttemptRecord
-from berylshift.targets import ServiceAnswer
+from berylshift.targets import ServiceResponse
 from berylshift.tests.world import call_service, plain_call, run_world
 
-ANSWER = ServiceAnswer(200, {}, b"booked")
+ANSWER = ServiceResponse(200, {}, b"booked")
 
 
 def other(state: RowState, digest="d", answer=None) -> ConfirmRow:
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -30,7 +30,7 @@
             await world.ask("/note/x", headers=prompt_headers())
             former = InstanceId(f"engine-1@{FIRST}")
             now = host.ports.clock.monotonic()
-            kept_before = host.warm.is_cached(PartId("a1"), former, ROOM)
+            kept_before = host.prefix_cache.is_cached(PartId("a1"), former, ROOM)
             host.loads.note_failure(former, SEVERE_FAILURE, now)
             host.phases.record_order(former, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND)
@@ -42,7 +42,9 @@
         now = 0.0
         self.assertTrue(kept_before)
         self.assertEqual(reader.instance, f"engine-1@{SECOND}")
-        self.assertFalse(host.warm.is_cached(PartId("a1"), reader.instance, ROOM))
+        self.assertFalse(
+            host.prefix_cache.is_cached(PartId("a1"), reader.instance, ROOM)
+        )
         self.assertEqual(host.loads.of(reader.instance).failures(now), 0.0)
         self.assertFalse(host.phases.has_pending_order(reader.instance, now))
         self.assertEqual((reply.status, reply.whole), (200, True))
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -381,7 +381,7 @@
     Proof(
         "not ready at once on a planned stop",
         "entry_application.py",
-        "        if self.leaving or self.routes.table is None:\n",
+        "        if self.is_stopping or self.routes.table is None:\n",
         "        if self.routes.table is None:\n",
         "test_entry_shutdown.PlannedStopTest",
     ),
@@ -562,8 +562,8 @@
     Proof(
         "a full pipe of logs blocks nothing",
         "log.py",
-        "except OSError:\n            return False\n        self._rest = data",
-        "except ValueError:\n            return False\n        self._rest = data",
+        "except OSError:\n            return False\n        self._unwritten = data",
+        "except ValueError:\n            return False\n        self._unwritten = data",
         "test_log.DescriptorSinkTest",
     ),
     Proof(
@@ -679,7 +679,7 @@
     Proof(
         "no confirmation is sent whose end the host will not see",
         "application.py",
-        "self.last_sends.begin(seconds - sent_and_recorded)",
+        "self.last_sends.begin(seconds - last_send_seconds)",
         "self.last_sends.begin(seconds)",
         "test_shutdown.ConfirmationTest",
     ),
--- a/berylshift/utils.py
+++ b/berylshift/utils.py
@@ -1,10 +1,10 @@
-"""Small helpers."""
+"""Helper functions for token counts and addresses."""
 
 CHARS_PER_TOKEN = 4
 
 
-def token_count(text: str) -> int:
-    """Return about how many tokens a text has, by the usual rule of thumb."""
+def estimate_token_count(text: str) -> int:
+    """Return the approximate token count of a text, by the usual rule of thumb."""
     return max(1, -(-len(text) // CHARS_PER_TOKEN))
 
 
@@ -14,7 +14,7 @@
     return host, int(port)
 
 
-def host_of(name: str) -> str:
-    """Return a ``Host`` header's host in lower case, without its port."""
+def host_without_port(name: str) -> str:
+    """Return the host of a ``Host`` header in lower case, without its port."""
     host, _, port = name.partition(":")
     return host.strip().lower() if port.isdigit() or not port else name.lower()
