--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -31,7 +31,7 @@
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import EngineCall
 from berylshift.targets import KvSource
-from berylshift.utils import token_count
+from berylshift.utils import estimate_token_count
 from berylshift.version.rows import Row
 from returns.result import Failure
 from returns.result import Result
@@ -55,7 +55,7 @@
         self._refusal: Refusal | None = None
         self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
-        self._prompt_tokens = token_count(call.prompt)
+        self._prompt_tokens = estimate_token_count(call.prompt)
         self._crash_watch = deps.crash_watches.for_completion(call)
         self._attempt_count = 0
         self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -19,9 +19,9 @@
 from berylshift.request.router import RoutingContext
 from berylshift.request.router import WorkItem
 from berylshift.request.target_check import accepts_connections
-from berylshift.targets import ServiceAnswer
 from berylshift.targets import ServiceCall
 from berylshift.targets import ServiceClient
+from berylshift.targets import ServiceResponse
 from berylshift.targets import TargetBrokenError
 from berylshift.targets import TargetError
 from berylshift.version.table import Table
@@ -37,7 +37,7 @@
     """Outcome of one attempt, with the service's answer if it succeeded."""
 
     outcome: AttemptOutcome
-    answer: ServiceAnswer | None = None
+    answer: ServiceResponse | None = None
 
 
 @dataclass
@@ -139,7 +139,7 @@
         finally:
             load.note_ended(name, attempt, self.clock.monotonic())
 
-    async def _bounded(self, address: str, out: ServiceCall) -> ServiceAnswer:
+    async def _bounded(self, address: str, out: ServiceCall) -> ServiceResponse:
         with trio.move_on_after(self.timeout_seconds):
             return await self.client.call(address, out)
         raise TargetBrokenError("no answer in time")
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -1,48 +1,46 @@
-"""Serves the platform's routes: wires the entry application to the real outside."""
+"""Serves the platform's routes: entry application on real sockets and clients."""
 
-import random
-from collections.abc import Callable
-
-import trio
-
-from berylshift.clock import LoopClock, boot_seconds
+from berylshift.clock import LoopClock
+from berylshift.clock import boot_seconds
 from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
 from berylshift.connection.http_client import HttpClient
 from berylshift.connection.listeners import open_listener
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.connection.peer_link import UdpPeerLink
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_application import EntryApplication, EntryPorts
+from berylshift.entry_application import EntryApplication
+from berylshift.entry_application import EntryPorts
 from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
 from berylshift.platform.leader_calls import PlatformLeaderCalls
-from berylshift.platform.own_tables import (
-    PlatformCrashes,
-    PlatformHosts,
-    PlatformLeases,
-    PlatformScaling,
-    PlatformUsage,
-)
+from berylshift.platform.own_tables import PlatformCrashes
+from berylshift.platform.own_tables import PlatformHosts
+from berylshift.platform.own_tables import PlatformLeases
+from berylshift.platform.own_tables import PlatformScaling
+from berylshift.platform.own_tables import PlatformUsage
 from berylshift.platform.store import PlatformDirectory
 from berylshift.reload import SettingsFile
 from berylshift.settings import Settings
 from berylshift.signals import watch_signals
 from berylshift.store.client import StoreClient
 from berylshift.utils import split_address
+from collections.abc import Callable
+import random
+import trio
 
 
 def make_entry_ports(
-    cfg: Settings, link_of: Callable[[LoadCodec], UdpPeerLink]
+    cfg: Settings, make_link: Callable[[LoadCodec], UdpPeerLink]
 ) -> EntryPorts:
-    """Return the platform as an entry host meets it."""
+    """Return the real dependencies of an entry host."""
     connect = cfg.targets.connect_timeout
-    calls = StoreClient(
+    store = StoreClient(
         HttpClient(connect_seconds=cfg.directory.timeout),
         cfg.directory.address,
         cfg.directory.timeout,
     )
     client = TargetClient(connect)
-    duties = PlatformLeaderCalls(
+    leader_calls = PlatformLeaderCalls(
         HttpClient(connect_seconds=cfg.duties.timeout),
         cfg.duties.address,
         cfg.duties.timeout,
@@ -50,19 +48,19 @@
     return EntryPorts(
         clock=LoopClock(),
         rng=random.Random(),
-        directory=PlatformDirectory(calls),
-        language=PlatformCodec(),
+        directory=PlatformDirectory(store),
+        codec=PlatformCodec(),
         client=client,
-        leases=PlatformLeases(calls),
+        leases=PlatformLeases(store),
         engines=PlatformEngines(client, cfg.targets.report_timeout),
         boot_clock=boot_seconds,
-        hosts=PlatformHosts(calls),
-        crashes=PlatformCrashes(calls),
-        usage_rows=PlatformUsage(calls),
-        usage_reporting=duties,
-        scale_ordering=duties,
-        scale_rows=PlatformScaling(calls),
-        make_link=lambda key: link_of(LoadCodec(key)),
+        hosts=PlatformHosts(store),
+        crashes=PlatformCrashes(store),
+        usage_rows=PlatformUsage(store),
+        usage_reporting=leader_calls,
+        scale_ordering=leader_calls,
+        scale_rows=PlatformScaling(store),
+        make_link=lambda key: make_link(LoadCodec(key)),
     )
 
 
@@ -76,7 +74,7 @@
         cfg, lambda codec: UdpPeerLink(codec, LARGEST_DATAGRAM, sock)
     )
     app = EntryApplication(cfg, ports)
-    settings_file = SettingsFile(path, cfg, app.adopt)
+    settings_file = SettingsFile(path, cfg, app.apply_settings)
     stop = trio.Event()
     app.on_start()
     async with trio.open_nursery() as nursery:
