--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -5,23 +5,23 @@
 later request reads the call's outcome from it. See docs/design/confirmations.md.
 """
 
-from berylshift.ids import AttemptId
-from berylshift.ids import CustomerName
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import Reason
-from berylshift.request.retry_policy import AttemptHistory
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import AttemptRecord
-from berylshift.request.retry_policy import RetryBounds
-from berylshift.request.retry_policy import may_retry
-from berylshift.targets import ServiceResponse
-from dataclasses import dataclass
-from dataclasses import field
-from enum import Enum
-from enum import StrEnum
+from dataclasses import dataclass, field
+from enum import Enum, StrEnum
+
 import msgspec
 import xxhash
 
+from berylshift.ids import AttemptId, CustomerName
+from berylshift.request.messages import Outcome, Reason
+from berylshift.request.retry_policy import (
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    RetryBounds,
+    may_retry,
+)
+from berylshift.targets import ServiceResponse
+
 PREFIX = "confirm/"
 POLL_SECONDS = 0.25
 RETRY_AFTER_SECONDS = 2.0
--- a/berylshift/request/crash_watch.py
+++ b/berylshift/request/crash_watch.py
@@ -1,14 +1,12 @@
 """Attributes target crashes to a request."""
 
+import logging
+from collections.abc import Awaitable, Callable
+
 from berylshift.clock import Clock
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
-from berylshift.ids import RequestId
+from berylshift.ids import Fingerprint, InstanceId, RequestId
 from berylshift.messages.fingerprint import fingerprint_hex
 from berylshift.process.quarantine.quarantine import Quarantine
-from collections.abc import Awaitable
-from collections.abc import Callable
-import logging
 
 # How long a target whose connection broke gets to accept a new one: many times the
 # round trip to another region, and short for a caller that waits for the next attempt.
@@ -49,7 +47,9 @@
         if self.fingerprint is None:
             return
         now = self._clock.monotonic()
-        wait = self._quarantine.remaining_seconds(self.fingerprint, now, response_started)
+        wait = self._quarantine.remaining_seconds(
+            self.fingerprint, now, response_started
+        )
         if wait > 0:
             crashes = self._quarantine.crash_count(self.fingerprint)
             raise QuarantinedError(crashes, wait)
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -4,14 +4,14 @@
 repeatable, and "not run" is reported only if no target can have run the request.
 """
 
-from berylshift.request.messages import Outcome
-from berylshift.targets import TargetError
-from berylshift.targets import TargetNotReachedError
-from berylshift.targets import TargetRefusedError
-from berylshift.version.routes import Route
 from enum import StrEnum
+
 import msgspec
 
+from berylshift.request.messages import Outcome
+from berylshift.targets import TargetError, TargetNotReachedError, TargetRefusedError
+from berylshift.version.routes import Route
+
 # Includes rejected attempts: a service at capacity rejects each at once, and telling
 # the caller to retry later is better than trying every replica in turn.
 MAX_ATTEMPTS = 4
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -1,19 +1,23 @@
 """Attributes replica crashes to a routed request."""
 
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
+from collections.abc import Iterable
+
+from berylshift.ids import Fingerprint, InstanceId
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.pools import Pool
-from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.crash_watch import PROBE_TIMEOUT_SECONDS
-from berylshift.request.crash_watch import QuarantinedError
+from berylshift.request.crash_watch import (
+    PROBE_TIMEOUT_SECONDS,
+    CrashWatch,
+    QuarantinedError,
+)
 from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES
-from berylshift.request.isolation import is_last_remaining
-from berylshift.request.isolation import isolation_replicas
-from berylshift.request.isolation import remaining_replicas
+from berylshift.request.isolation import (
+    is_last_remaining,
+    isolation_replicas,
+    remaining_replicas,
+)
 from berylshift.request.relay_dependencies import RelayDependencies
-from collections.abc import Iterable
 
 # Retry-After of a suspect request for which only the last replica is left. Crashed
 # replicas have restarted by then.
--- a/berylshift/tests/shutdown_scenario.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -1,36 +1,36 @@
 """Callers of hosts that change and stop, by a seed, and a ledger of their requests."""
 
+import contextlib
+import random
+from dataclasses import dataclass, field
+
+import h11
+import trio
+
 from berylshift.ids import ServiceName
 from berylshift.platform import names
 from berylshift.request.relay import FINAL_RESPONSE_SECONDS
 from berylshift.settings import parse_settings
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.stand_ins.entry_replica import _Session
-from berylshift.tests.entry_world import PLAIN
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import SETTINGS
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import stream_body
-from berylshift.tests.socket_world import Caller
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import KernelEnd
-from berylshift.tests.socket_world import LateLook
-from berylshift.tests.socket_world import pass_time
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import start_process
-from berylshift.version.routes import CallerLimits
-from berylshift.version.routes import RouteKind
-from berylshift.version.routes import RouteTable
-from berylshift.version.routes import ServiceShare
-from dataclasses import dataclass
-from dataclasses import field
-import contextlib
-import h11
-import random
-import trio
+from berylshift.stand_ins.entry_replica import EntryReplica, Fault, _Session
+from berylshift.tests.entry_world import (
+    PLAIN,
+    SETTINGS,
+    Reply,
+    prompt_headers,
+    route,
+    routes,
+    stream_body,
+)
+from berylshift.tests.socket_world import (
+    Caller,
+    HostProcess,
+    KernelEnd,
+    LateLook,
+    pass_time,
+    request_bytes,
+    start_process,
+)
+from berylshift.version.routes import CallerLimits, RouteKind, RouteTable, ServiceShare
 
 PLAY_SECONDS = 12.0
 CALLERS = 12
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -1,35 +1,37 @@
 """Model-based test of confirmations: races, lost responses, outages, late calls."""
 
+import random
+
+import msgspec
+from hypothesis import settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
+
 from berylshift.clock import ManualClock
 from berylshift.ids import AttemptId
 from berylshift.process.records.pending_records import PendingRecords
-from berylshift.request.confirmation import ConfirmRow
-from berylshift.request.confirmation import Confirmation
-from berylshift.request.confirmation import Event
-from berylshift.request.confirmation import RowState
-from berylshift.request.confirmation import Step
+from berylshift.request.confirmation import (
+    Confirmation,
+    ConfirmRow,
+    Event,
+    RowState,
+    Step,
+)
 from berylshift.request.messages import Outcome
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import AttemptRecord
+from berylshift.request.retry_policy import AttemptOutcome, AttemptRecord
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.stand_ins.fake_service import FakeService
-from berylshift.store.interfaces import ABSENT
-from berylshift.store.interfaces import Condition
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.interfaces import Transaction
-from berylshift.store.interfaces import Write
-from berylshift.store.interfaces import as_raw
-from berylshift.targets import ServiceCall
-from berylshift.targets import ServiceResponse
+from berylshift.store.interfaces import (
+    ABSENT,
+    Condition,
+    ResponseLostError,
+    StoreUnavailableError,
+    Transaction,
+    Write,
+    as_raw,
+)
+from berylshift.targets import ServiceCall, ServiceResponse
 from berylshift.tests.support import EXPLORE
-from hypothesis import settings
-from hypothesis import strategies as st
-from hypothesis.stateful import RuleBasedStateMachine
-from hypothesis.stateful import invariant
-from hypothesis.stateful import rule
-import msgspec
-import random
 
 KEYS = ("k1", "k2")
 DEADLINE = 5.0
--- a/berylshift/tests/test_entry_answered_requests.py
+++ b/berylshift/tests/test_entry_answered_requests.py
@@ -1,22 +1,24 @@
 """Each whole request that a host has read gets one complete answer or refusal."""
 
+import contextlib
+import unittest
+
+import trio
+
 from berylshift.connection.http_server import HttpServer
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
+from berylshift.tests.entry_world import Reply, route, routes
 from berylshift.tests.shutdown_scenario import play_ledger
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import KernelEnd
-from berylshift.tests.socket_world import kernel_pair
-from berylshift.tests.socket_world import pass_time
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import run_ledger
-from berylshift.tests.socket_world import start_process
+from berylshift.tests.socket_world import (
+    HostProcess,
+    KernelEnd,
+    kernel_pair,
+    pass_time,
+    request_bytes,
+    run_ledger,
+    start_process,
+)
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import RouteKind
-import contextlib
-import trio
-import unittest
 
 # Requests that a play's hosts read at least; with fewer it would show little.
 LEAST_READ = 200
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -1,19 +1,21 @@
 """Connections that a host closes while their callers use them."""
 
-from berylshift.connection.server_link import MOST_EARLY_BYTES
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import LateLook
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import run_ledger
-from berylshift.tests.socket_world import start_process
-from berylshift.version.routes import CallerLimits
-from berylshift.version.routes import RouteKind
-from dataclasses import replace
 import contextlib
-import trio
 import unittest
+from dataclasses import replace
+
+import trio
+
+from berylshift.connection.server_link import MOST_EARLY_BYTES
+from berylshift.tests.entry_world import route, routes
+from berylshift.tests.socket_world import (
+    HostProcess,
+    LateLook,
+    request_bytes,
+    run_ledger,
+    start_process,
+)
+from berylshift.version.routes import CallerLimits, RouteKind
 
 # Requests that a play's hosts read at least; with fewer it would show little.
 LEAST_READ = 200
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -1,19 +1,14 @@
 """Tests of writes to callers when a deadline or stop falls between two writes."""
 
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import stream_body
-from berylshift.tests.socket_world import pass_time
-from berylshift.tests.socket_world import run_ledger
-from berylshift.tests.socket_world import start_process
-from berylshift.tests.test_entry_shutdown import FRONT_LOG
-from berylshift.tests.test_entry_shutdown import PROMPTED
-from berylshift.tests.test_entry_shutdown import endings
-from berylshift.version.routes import RouteKind
-import trio
 import unittest
 
+import trio
+
+from berylshift.tests.entry_world import prompt_headers, route, routes, stream_body
+from berylshift.tests.socket_world import pass_time, run_ledger, start_process
+from berylshift.tests.test_entry_shutdown import FRONT_LOG, PROMPTED, endings
+from berylshift.version.routes import RouteKind
+
 # Requests that the hosts of a scenario read at least; fewer would show little.
 MIN_REQUESTS = 200
 
