--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -289,7 +289,7 @@
         nursery: trio.Nursery,
     ) -> None:
         """Write the step's rows if the epoch is unchanged, then send its order."""
-        logger.info("placement", extra={"pool": pool, **step.describe()})
+        logger.info("executing pool step", extra={"pool": pool, **step.describe()})
         writes, conditions = (
             [],
             [Condition(epoch_key(pool), state.lease.epoch_revision)],
