--- a/berylshift/tests/crash_scenario.py
+++ b/berylshift/tests/crash_scenario.py
@@ -55,7 +55,7 @@
 
     async def _other_caller(self, path: str, number: int) -> None:
         host = number % len(self.world.hosts)
-        headers = prompt_headers(part=f"{number:x}")
+        headers = prompt_headers(block=f"{number:x}")
         reply = await self.world.ask(
             f"{path}{number}", f"good-{number}", host=host, headers=headers
         )
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -1,4 +1,4 @@
-"""Entry hosts on a virtual clock: the real application, replicas in memory."""
+"""Entry hosts on a virtual clock: real application, in-memory replicas."""
 
 import itertools
 import random
@@ -77,7 +77,7 @@
 def routes(
     version: int = 1, *more: Route, customers: CustomerKeys | None = None
 ) -> RouteTable:
-    """Return the usual routes: one of each kind."""
+    """Return a route table with routes of each kind, and ``more``."""
     writer = (ServiceShare(ENGINES, 1),)
     found = (
         route("look", RouteKind.IDEMPOTENT, most_attempts=2),
@@ -102,29 +102,29 @@
 
 
 class MemoryLink:
-    """Digests between the hosts of a world."""
+    """In-memory transport of load digests between the hosts of a world."""
 
     def __init__(self, links: list["MemoryLink"]):
-        """Join ``links``."""
+        """Add this link to ``links``, the links of all hosts."""
         self._links = links
-        self._take = None
+        self._on_digest = None
         links.append(self)
 
     async def send_to_all(self, addresses: list[str], message: LoadDigest) -> None:
-        """Give a digest to all others; addresses do not matter here."""
+        """Deliver a digest to all other hosts; addresses are ignored."""
         for link in self._links:
-            if link is not self and link._take is not None:
-                link._take(message)
+            if link is not self and link._on_digest is not None:
+                link._on_digest(message)
 
-    async def receive(self, take) -> None:
-        """Hear until cancelled."""
-        self._take = take
+    async def receive(self, on_digest) -> None:
+        """Deliver digests to ``on_digest`` until cancelled."""
+        self._on_digest = on_digest
         await trio.sleep_forever()
 
 
 @dataclass
 class Reply:
-    """What a caller got; ``whole``: the answer ended as complete."""
+    """Response at a caller; ``whole`` tells whether it is complete."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -132,14 +132,14 @@
     whole: bool
 
     @property
-    def again(self) -> float:
-        """Return the seconds after which the caller may come back."""
+    def retry_after_seconds(self) -> float:
+        """Return the seconds after which the caller may retry."""
         return float(self.headers.get(b"retry-after", b"0"))
 
 
 @dataclass
 class EntryWorld:
-    """Hosts and replicas; all faults are asked for here."""
+    """Hosts, replicas and stores; tests inject faults here."""
 
     nursery: trio.Nursery
     directory: FakeDirectory = field(default_factory=FakeDirectory)
@@ -153,7 +153,7 @@
     hosts: list[EntryApplication] = field(default_factory=list)
     links: list[MemoryLink] = field(default_factory=list)
     kept: Kept = field(default_factory=Kept)
-    dark: set[str] = field(default_factory=set)
+    unresponsive: set[str] = field(default_factory=set)
     dials: int = 0
     dialed: list[str] = field(default_factory=list)
 
@@ -164,7 +164,7 @@
         phase: EnginePhase = EnginePhase.NONE,
         address: str = "",
     ) -> EntryReplica:
-        """Start a replica and list it."""
+        """Start a replica and write its directory entry."""
         address = address or f"10.0.0.{len(self.replicas) + 1}:80"
         replica = EntryReplica(name, address, self.kept, phase)
         self.replicas[address] = replica
@@ -174,7 +174,7 @@
     def list_replica(
         self, replica: EntryReplica, service: ServiceName, draining: bool = False
     ) -> None:
-        """Write a replica's entry as it is."""
+        """Write a replica's directory entry from its current state."""
         name = ReplicaName(replica.instance)
         entry = Replica(
             instance=instance_of(name, replica.started_ms),
@@ -189,40 +189,42 @@
         )
         self.directory.put_replica(entry)
 
-    async def restart_crashed(self, seconds: float, lapse_seconds: float) -> None:
-        """Start replicas that ended again, ``seconds`` later, at their addresses.
+    async def restart_crashed(
+        self, delay_seconds: float, expiry_seconds: float
+    ) -> None:
+        """Restart crashed replicas at their addresses, ``delay_seconds`` after a crash.
 
-        Each start has a new name; the former one's entry lapses ``lapse_seconds``
-        after its end.
+        Each restart has a new name; the old entry expires ``expiry_seconds`` after the
+        crash.
         """
         for number in itertools.count():
             while number >= len(self.kept.crashes):
                 await trio.sleep(0.01)
             crash = self.kept.crashes[number]
-            ended = self.replicas[crash.address]
-            self.nursery.start_soon(self._lapse, ended.instance, lapse_seconds)
-            self.nursery.start_soon(self._start_anew, ended, number, seconds)
+            crashed = self.replicas[crash.address]
+            self.nursery.start_soon(self._expire, crashed.instance, expiry_seconds)
+            self.nursery.start_soon(self._restart, crashed, number, delay_seconds)
 
-    async def _lapse(self, name: str, seconds: float) -> None:
+    async def _expire(self, name: str, seconds: float) -> None:
         await trio.sleep(seconds)
         self.directory.remove_replica(name)
 
-    async def _start_anew(
-        self, ended: EntryReplica, number: int, seconds: float
+    async def _restart(
+        self, crashed: EntryReplica, number: int, seconds: float
     ) -> None:
         await trio.sleep(seconds)
-        name = f"{ended.instance.partition('-again')[0]}-again-{number}"
-        fresh = EntryReplica(name, ended.address, self.kept, ended.phase)
-        self.replicas[ended.address] = fresh
-        plain = ended.phase is EnginePhase.NONE
-        self.list_replica(fresh, PLAIN if plain else ENGINES)
+        name = f"{crashed.instance.partition('-again')[0]}-again-{number}"
+        replacement = EntryReplica(name, crashed.address, self.kept, crashed.phase)
+        self.replicas[crashed.address] = replacement
+        plain = crashed.phase is EnginePhase.NONE
+        self.list_replica(replacement, PLAIN if plain else ENGINES)
 
     async def dial(self, address: str, host: str = "") -> Pipe:
-        """Connect ``host`` to a replica; a dark address never answers."""
+        """Connect ``host`` to a replica; an unresponsive address never accepts."""
         self.dials += 1
         self.dialed.append(address)
         await trio.sleep(0.001)
-        if address in self.dark:
+        if address in self.unresponsive:
             await trio.sleep_forever()
         replica = self.replicas.get(address)
         if replica is None or not replica.alive:
@@ -232,7 +234,7 @@
         return near
 
     async def add_host(self, name: str = "", **entry: object) -> EntryApplication:
-        """Start a host and wait until it is ready or the store is down."""
+        """Start a host and wait until it is ready, for one second at most."""
         name = name or f"host-{len(self.hosts) + 1}"
         values = {"grace": 8, "reading_share": 0, **entry}
         text = SETTINGS.format(name=name)
@@ -271,7 +273,7 @@
         return CallerLink(near)
 
     async def ask(self, path: str, request: str = "r1", host: int = 0, **more) -> Reply:
-        """Ask on a new connection and return the whole reply."""
+        """Send a request on a new connection and return the reply."""
         link = self.connect(host)
         return await link.ask(path, request, **more)
 
@@ -287,7 +289,7 @@
         self.body = b""
 
     async def ask(self, path: str, request: str = "r1", **more) -> Reply:
-        """Send a request and read its answer; ``more`` as ``send`` takes it."""
+        """Send a request and read its response; ``more`` as for ``send``."""
         await self.send(path, request, **more)
         return await self.read()
 
@@ -312,7 +314,7 @@
         await self.stream.send_all(data)
 
     async def read(self) -> Reply:
-        """Return the answer; not whole if the connection broke."""
+        """Return the response; not whole if the connection broke."""
         self.body = b""
         whole = False
         try:
@@ -341,25 +343,29 @@
             self.conn.receive_data(await self.stream.receive_some(65536))
 
     async def close(self) -> None:
-        """Leave."""
+        """Close the connection."""
         await self.stream.aclose()
 
 
 def prompt_headers(
-    pieces: int = 4, tokens: int = 5000, shared: int = 4000, part: str = "a1"
+    pieces: int = 4, tokens: int = 5000, prefix_tokens: int = 4000, block: str = "a1"
 ) -> tuple[tuple[bytes, bytes], ...]:
     """Return the headers of a request with a prompt."""
-    parts = f"{part}:{shared},ffff:{tokens - shared}" if shared else f"ffff:{tokens}"
+    blocks = (
+        f"{block}:{prefix_tokens},ffff:{tokens - prefix_tokens}"
+        if prefix_tokens
+        else f"ffff:{tokens}"
+    )
     return (
         (names.MODEL, b"m"),
         (names.TOKEN_COUNTS, b"%d,80" % tokens),
-        (names.PROMPT_PARTS, parts.encode()),
+        (names.PROMPT_PARTS, blocks.encode()),
         (b"x-pieces", b"%d" % pieces),
     )
 
 
 def stream_body(first: int, last: int) -> bytes:
-    """Return the events that a replica sends from ``first`` to ``last``."""
+    """Return the events ``first`` to ``last`` of a replica's stream."""
     return b"".join(
         b"id: %d\ndata: piece-%d\n\n" % (number, number)
         for number in range(first, last + 1)
@@ -367,9 +373,9 @@
 
 
 def run_entry(task, hosts: int = 1, plain: int = 2, engines: str = "", **entry):
-    """Run ``task(world)``; ``engines`` has a letter each: p reads, d answers.
+    """Run ``task(world)``; ``engines`` has a letter each: p prefill, d decode.
 
-    ``entry`` are settings of the hosts.
+    ``entry`` holds settings of the hosts' ``[entry]`` section.
     """
 
     async def main():
--- a/berylshift/tests/limit_load.py
+++ b/berylshift/tests/limit_load.py
@@ -61,7 +61,7 @@
                 await trio.sleep(rng.expovariate(requests_per_second))
 
     async def _send(self, path: str, number: int, host: int) -> None:
-        headers = prompt_headers(part=f"{number:x}") if path[1] in "nb" else ()
+        headers = prompt_headers(block=f"{number:x}") if path[1] in "nb" else ()
         began = trio.current_time()
         reply = await self.world.ask(path, f"r{number}", host=host, headers=headers)
         self.replies.append(reply)
--- a/berylshift/tests/shutdown_scenario.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -1,4 +1,4 @@
-"""Callers of hosts that change and stop, by a seed, and a ledger of their requests."""
+"""Seeded scenario: hosts change and shut down under load; every request is checked."""
 
 import contextlib
 import random
@@ -23,40 +23,40 @@
 )
 from berylshift.tests.socket_world import (
     Caller,
+    DelayedReadSocket,
     HostProcess,
-    KernelEnd,
-    LateLook,
-    pass_time,
+    SimulatedSocket,
     request_bytes,
+    stall_loop,
     start_process,
 )
 from berylshift.version.routes import CallerLimits, RouteKind, RouteTable, ServiceShare
 
-PLAY_SECONDS = 12.0
-CALLERS = 12
-# What a caller's next connection takes when its last one gave it nothing more; without
-# it, one that is closed at once would be followed by others before any time passes.
+SCENARIO_SECONDS = 12.0
+CALLER_COUNT = 12
+# Delay before a caller reconnects after a failed exchange. Without it, a connection
+# that is closed at once would be followed by others without any time passing.
 CONNECT_SECONDS = 0.01
-# Work that any host may finish before it ends: a stop gives 7 s, 4.5 s of which a
-# request may need that is still taken.
-LONGEST_WORK = 2.2
-OTHER = ServiceName("archive")
+# Work that any host can finish before it exits: a shutdown takes 7 s, and a request
+# accepted during it may need 4.5 s of them.
+MAX_WORK_SECONDS = 2.2
+OTHER_SERVICE = ServiceName("archive")
 KINDS = ("look", "book", "note", "brief")
-# After the word to stop: connections at rest close, a quiet host ends, open requests
-# end, the process ends.
-STOP_MOMENTS = (2.5, 3.0, 3.05, 6.98, 7.0, 7.2)
-# Less than any two times of a play are apart, in seconds.
-MOMENT = 1e-9
-BREAKS = (Fault.CUT, Fault.HALF_EVENT, Fault.RESET)
-FAULTS = (*BREAKS, Fault.REFUSE, Fault.ERROR, Fault.UNSIGNED, Fault.MUTE)
+# Times after the stop signal at which idle connections close, a quiet host exits, open
+# requests end, and the process exits.
+SHUTDOWN_STEP_SECONDS = (2.5, 3.0, 3.05, 6.98, 7.0, 7.2)
+# Smaller than the difference between any two times of a scenario.
+TIME_TOLERANCE_SECONDS = 1e-9
+STREAM_BREAKS = (Fault.CUT, Fault.HALF_EVENT, Fault.RESET)
+FAULTS = (*STREAM_BREAKS, Fault.REFUSE, Fault.ERROR, Fault.UNSIGNED, Fault.MUTE)
 
 
 class PlannedReplica(EntryReplica):
-    """A replica whose faults are planned for requests by their ids."""
+    """A replica with faults planned by request id."""
 
     plan: dict[str, Fault]
 
-    async def serve(self, stream: KernelEnd) -> None:
+    async def serve(self, stream: SimulatedSocket) -> None:
         """Serve one connection until either side ends it."""
         session = _PlannedSession(self, stream)
         try:
@@ -79,97 +79,101 @@
 
 
 @dataclass
-class Entry:
-    """What is noted of one request; ``end`` is its last byte's place on ``stream``."""
+class RequestRecord:
+    """One request; ``end_offset`` is the offset of its end on ``stream``."""
 
     request: str
     kind: str
-    begun: float
-    left: float
-    stream: KernelEnd
-    end: int = 0
+    started_at: float
+    budget_seconds: float
+    stream: SimulatedSocket
+    end_offset: int = 0
     pieces: int = 0
-    whole_at: float | None = None
+    sent_at: float | None = None
     fault: Fault | None = None
     reply: Reply | None = None
-    ended: float = 0.0
-    heard: bool = False
-    left_early: bool = False
+    ended_at: float = 0.0
+    has_response_data: bool = False
+    caller_left: bool = False
 
     @property
-    def read(self) -> bool:
+    def was_read(self) -> bool:
         """Return whether the host has read the whole request."""
-        return self.whole_at is not None and self.stream.peer.taken >= self.end
+        return (
+            self.sent_at is not None and self.stream.peer.bytes_read >= self.end_offset
+        )
 
 
 @dataclass
-class Play:
-    """One play; ``entries`` is its ledger."""
+class ShutdownScenario:
+    """One run of the scenario; ``records`` lists all requests."""
 
     world: object
     rng: random.Random
-    ahead: bool
-    entries: list[Entry] = field(default_factory=list)
+    pipelined: bool
+    records: list[RequestRecord] = field(default_factory=list)
     processes: list[HostProcess] = field(default_factory=list)
-    others: list[str] = field(default_factory=list)
+    other_violations: list[str] = field(default_factory=list)
     tables: list[tuple[float, RouteTable]] = field(default_factory=list)
-    stops: list[float] = field(default_factory=list)
+    shutdown_times: list[float] = field(default_factory=list)
     faults: dict[str, Fault] = field(default_factory=dict)
     version: int = 1
 
     async def run(self) -> None:
-        """Play until all callers have what they wait for."""
+        """Run until all callers have their responses."""
         self._plan_faults()
         for number in range(len(self.world.hosts)):
             self.processes.append(await start_process(self.world, number))
-        over = trio.current_time() + PLAY_SECONDS
+        end_at = trio.current_time() + SCENARIO_SECONDS
         async with trio.open_nursery() as callers:
             async with trio.open_nursery() as changes:
-                changes.start_soon(self._change, over)
-                for _ in range(CALLERS):
-                    callers.start_soon(self._call, over)
-                await trio.sleep_until(over)
+                changes.start_soon(self._run_changes, end_at)
+                for _ in range(CALLER_COUNT):
+                    callers.start_soon(self._run_caller, end_at)
+                await trio.sleep_until(end_at)
                 changes.cancel_scope.cancel()
 
-    # What happens to the hosts
+    # Changes to the hosts
 
     def _plan_faults(self) -> None:
         for replica in self.world.replicas.values():
             replica.__class__ = PlannedReplica
             replica.plan = self.faults
-        other = self.world.add_replica("other-1", OTHER)
+        other = self.world.add_replica("other-1", OTHER_SERVICE)
         other.__class__, other.plan = PlannedReplica, self.faults
 
-    async def _change(self, over: float) -> None:
+    async def _run_changes(self, end_at: float) -> None:
         async with trio.open_nursery() as nursery:
             for process in self.processes:
-                nursery.start_soon(self._stop, process)
-            while trio.current_time() < over:
+                nursery.start_soon(self._restart_host, process)
+            while trio.current_time() < end_at:
                 await trio.sleep(self.rng.choice([0.0, 0.02, 0.2, 0.6]))
-                self.rng.choice([self._routes, self._adopt, self._work])()
+                self.rng.choice(
+                    [self._put_routes, self._apply_settings, self._change_work_times]
+                )()
 
-    def _routes(self) -> None:
-        """Put new routes: times, rests, services; routes come and go."""
+    def _put_routes(self) -> None:
+        """Publish routes with other timeouts, idle timeouts and services."""
         rng = self.rng
         self.version += 1
         table = routes(self.version)
         changed = []
-        for way in table.routes:
-            if way.name == "look" and rng.random() < 0.1:
+        for item in table.routes:
+            if item.name == "look" and rng.random() < 0.1:
                 continue
-            shares = way.shares
-            if way.kind is not RouteKind.STREAM:
-                shares = (ServiceShare(rng.choice([PLAIN, OTHER]), 1),)
+            shares = item.shares
+            if item.kind is not RouteKind.STREAM:
+                shares = (ServiceShare(rng.choice([PLAIN, OTHER_SERVICE]), 1),)
             timeout = rng.choice([0.4, 1.0, 2.5, 4.0, 6.0])
             changed.append(
                 route(
-                    way.name,
-                    way.kind,
+                    item.name,
+                    item.kind,
                     timeout=timeout,
                     shares=shares,
-                    most_attempts=way.most_attempts,
-                    prompted=way.prompted,
-                    resumable=way.resumable,
+                    most_attempts=item.most_attempts,
+                    prompted=item.prompted,
+                    resumable=item.resumable,
                 )
             )
         if rng.random() < 0.3:
@@ -180,8 +184,8 @@
         self.tables.append((trio.current_time(), table))
         self.world.directory.put_routes(table)
 
-    def _adopt(self) -> None:
-        """Have a host take over changed settings."""
+    def _apply_settings(self) -> None:
+        """Apply changed settings at a host."""
         if not self.processes:
             return
         app = self.rng.choice(self.processes).app
@@ -191,30 +195,30 @@
         text += f"[callers]\nconnections = {self.rng.choice([8, 2048])}\n"
         app.apply_settings(parse_settings(text).unwrap())
 
-    def _work(self) -> None:
-        """Have replicas take another time for their work."""
+    def _change_work_times(self) -> None:
+        """Change the time that replicas take for a request."""
         for replica in self.world.replicas.values():
             replica.work_seconds = self.rng.choice([0.005, 0.05, 0.3, 1.0])
             replica.piece_seconds = self.rng.choice([0.005, 0.05, 0.2])
 
-    async def _stop(self, process: HostProcess) -> None:
-        """Stop a host at some time; a new one takes its place."""
+    async def _restart_host(self, process: HostProcess) -> None:
+        """Shut a host down at a random time and start another one in its place."""
         await trio.sleep(self.rng.uniform(0.5, 4.0))
-        self.stops.append(trio.current_time())
+        self.shutdown_times.append(trio.current_time())
         process.stop.set()
         await process.ended.wait()
-        if process.fault is not None:
-            self.others.append(f"host ended by itself: {process.fault!r}")
+        if process.error is not None:
+            self.other_violations.append(f"host process failed: {process.error!r}")
         await trio.sleep(0.3)
         self.processes.remove(process)
         await self.world.add_host()
         number = len(self.world.hosts) - 1
         self.processes.append(await start_process(self.world, number))
 
-    # What callers do
+    # Callers
 
-    async def _call(self, over: float) -> None:
-        while trio.current_time() < over:
+    async def _run_caller(self, end_at: float) -> None:
+        while trio.current_time() < end_at:
             caller = self._connect()
             if caller is None:
                 await trio.sleep(0.1)
@@ -223,92 +227,94 @@
                 if caller.stream.was_reset or not await self._exchange(caller):
                     await trio.sleep(CONNECT_SECONDS)
                     break
-                await trio.sleep(self._rest())
+                await trio.sleep(self._idle_seconds())
             self._close(caller)
 
     def _close(self, caller: Caller) -> None:
-        """Leave; what came without having been asked for is noted."""
-        waits = any(
-            entry.reply is None or not entry.reply.whole
-            for entry in self.entries
-            if entry.stream is caller.stream
+        """Close the connection; unsolicited bytes are a violation."""
+        is_waiting = any(
+            record.reply is None or not record.reply.whole
+            for record in self.records
+            if record.stream is caller.stream
         )
-        if not waits and caller.unasked():
-            self.others.append(f"unasked: {caller.unasked()[:60]!r}")
+        if not is_waiting and caller.unsolicited():
+            self.other_violations.append(f"unsolicited: {caller.unsolicited()[:60]!r}")
         caller.stream.close()
 
     def _connect(self) -> Caller | None:
         if not self.processes:
             return None
         process = self.rng.choice(self.processes)
-        near = self.rng.choice([KernelEnd, LateLook])
+        socket_type = self.rng.choice([SimulatedSocket, DelayedReadSocket])
         try:
-            caller = process.connect(self.rng.choice([64, 65536, 65536]), near)
+            caller = process.connect(self.rng.choice([64, 65536, 65536]), socket_type)
         except OSError:
             return None
-        caller.stream.peer.on_put = self._stall
+        caller.stream.peer.on_send = self._maybe_stall
         return caller
 
-    def _stall(self, data: bytes) -> None:
-        """Leave the host without processor time after some of its writes."""
+    def _maybe_stall(self, data: bytes) -> None:
+        """Stall the host's event loop after some of its writes."""
         if self.rng.random() < 0.02:
-            pass_time(self.rng.choice([0.005, 0.03, 0.1]))
+            stall_loop(self.rng.choice([0.005, 0.03, 0.1]))
 
-    def _rest(self) -> float:
+    def _idle_seconds(self) -> float:
         return self.rng.choice([0.0, 0.0, 0.01, 0.2, 0.9, 1.2, 2.0])
 
     async def _exchange(self, caller: Caller) -> bool:
-        """Send some requests at once, read their answers; return whether to go on."""
-        count = self.rng.choice([1, 1, 1, 1, 2, 3]) if self.ahead else 1
-        found = [self._entry(caller) for _ in range(count)]
+        """Send some requests and read their responses; return whether to continue."""
+        count = self.rng.choice([1, 1, 1, 1, 2, 3]) if self.pipelined else 1
+        requests = [self._make_request(caller) for _ in range(count)]
         with contextlib.suppress(trio.BrokenResourceError):
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._send_all, caller, found)
+                nursery.start_soon(self._send_all, caller, requests)
                 leaves = self.rng.random() < 0.05
                 with trio.move_on_after(0.3 if leaves else 60) as scope:
-                    await self._read_all(caller, found)
+                    await self._read_all(caller, requests)
                 nursery.cancel_scope.cancel()
-        for entry, _ in found:
-            entry.left_early = scope.cancelled_caught and entry.reply is None
+        for record, _ in requests:
+            record.caller_left = scope.cancelled_caught and record.reply is None
         return all(
-            entry.reply is not None
-            and entry.reply.whole
-            and entry.whole_at is not None
-            and entry.reply.headers.get(b"connection") != b"close"
-            for entry, _ in found
+            record.reply is not None
+            and record.reply.whole
+            and record.sent_at is not None
+            and record.reply.headers.get(b"connection") != b"close"
+            for record, _ in requests
         )
 
-    def _entry(self, caller: Caller) -> tuple[Entry, bytes]:
+    def _make_request(self, caller: Caller) -> tuple[RequestRecord, bytes]:
         rng = self.rng
-        request, kind = f"r{len(self.entries)}", rng.choice(KINDS)
-        left = rng.choice([0.05, 0.4, 1.0, 2.5, 6.0, 12.0])
-        entry = Entry(request, kind, trio.current_time(), left, caller.stream)
+        request, kind = f"r{len(self.records)}", rng.choice(KINDS)
+        budget_seconds = rng.choice([0.05, 0.4, 1.0, 2.5, 6.0, 12.0])
+        record = RequestRecord(
+            request, kind, trio.current_time(), budget_seconds, caller.stream
+        )
         headers, body = (), b"hello"
         if kind in ("note", "brief"):
-            entry.pieces = rng.choice([1, 4, 10])
-            headers = prompt_headers(entry.pieces, shared=0)
+            record.pieces = rng.choice([1, 4, 10])
+            headers = prompt_headers(record.pieces, prefix_tokens=0)
         else:
             body = b"x" * rng.choice([0, 5, 5, 5000, 50_000, 150_000])
         if rng.random() < 0.15:
-            entry.fault = self.faults[request] = rng.choice(FAULTS)
-        self.entries.append(entry)
-        left_ms = int(left * 1000)
+            record.fault = self.faults[request] = rng.choice(FAULTS)
+        self.records.append(record)
+        left_ms = int(budget_seconds * 1000)
         data = request_bytes(f"/{kind}/x", request, body, headers, left_ms)
-        return entry, data
+        return record, data
 
-    async def _send_all(self, caller: Caller, found) -> None:
-        """Send in pieces, the last byte at times at a moment that matters."""
+    async def _send_all(self, caller: Caller, requests) -> None:
+        """Send the requests; sometimes time the last byte to a step of a shutdown."""
         with contextlib.suppress(trio.BrokenResourceError):
-            for entry, data in found:
+            for record, data in requests:
                 if self.rng.random() < 0.3:
                     await self._send_slowly(caller, data[:-1])
                 else:
                     await caller.stream.send_all(data[:-1])
                 if self.rng.random() < 0.2:
-                    await trio.sleep_until(self._moment())
+                    await trio.sleep_until(self._next_shutdown_step())
                 await caller.stream.send_all(data[-1:])
-                entry.end = caller.stream.put
-                entry.whole_at = trio.current_time()
+                record.end_offset = caller.stream.bytes_sent
+                record.sent_at = trio.current_time()
         await trio.sleep_forever()
 
     async def _send_slowly(self, caller: Caller, data: bytes) -> None:
@@ -318,50 +324,57 @@
             await caller.stream.send_all(data[start : start + size])
             await trio.sleep(pause)
 
-    def _moment(self) -> float:
-        """Return the next moment of a stop's."""
+    def _next_shutdown_step(self) -> float:
+        """Return the time of the next shutdown step within 2 s, or the present."""
         now = trio.current_time()
-        moments = [at + after for at in self.stops for after in STOP_MOMENTS]
-        return min((at for at in moments if now <= at < now + 2), default=now)
-
-    async def _read_all(self, caller: Caller, found) -> None:
-        for entry, _ in found:
-            entry.reply = await caller.read()
-            entry.heard = caller.heard
-            entry.ended = trio.current_time()
-            if not entry.reply.whole:
+        steps = [
+            at + after for at in self.shutdown_times for after in SHUTDOWN_STEP_SECONDS
+        ]
+        return min((at for at in steps if now <= at < now + 2), default=now)
+
+    async def _read_all(self, caller: Caller, requests) -> None:
+        for record, _ in requests:
+            record.reply = await caller.read()
+            record.has_response_data = caller.has_response_data
+            record.ended_at = trio.current_time()
+            if not record.reply.whole:
                 return
 
-    # What came of it
+    # Checks
 
-    def lost(self) -> list[str]:
-        """Return what breaks the promise, a line each."""
-        found = list(self.others)
-        for entry in self.entries:
-            fault = self._judge(entry)
-            if fault:
-                found.append(f"{fault}: {self._tell(entry)}")
+    def violations(self) -> list[str]:
+        """Return the violations found, one line each."""
+        found = list(self.other_violations)
+        for record in self.records:
+            problem = self._violation(record)
+            if problem:
+                found.append(f"{problem}: {self._describe(record)}")
         return found
 
-    def _judge(self, entry: Entry) -> str:
-        """Return what is wrong with a request that its host has read, if anything."""
-        if entry.left_early or not entry.read or self._came_behind_the_last(entry):
+    def _violation(self, record: RequestRecord) -> str:
+        """Return what is wrong with a request that a host has read, or ``""``."""
+        if (
+            record.caller_left
+            or not record.was_read
+            or self._follows_final_response(record)
+        ):
             return ""
-        if entry.reply is None or not entry.heard:
-            return "neither answer nor refusal"
-        if not entry.reply.whole:
-            return "" if self._may_be_cut(entry) else "no whole answer"
-        return "" if self._is_right(entry) else "another's answer"
+        if record.reply is None or not record.has_response_data:
+            return "neither response nor refusal"
+        if not record.reply.whole:
+            return "" if self._may_be_cut(record) else "incomplete response"
+        return "" if self._is_valid(record) else "response of another request"
 
-    def _came_behind_the_last(self, entry: Entry) -> bool:
-        """Return whether the answer before it said that its connection ends.
+    def _follows_final_response(self, record: RequestRecord) -> bool:
+        """Return whether the previous response on the connection was its last one.
 
-        Or that answer itself was cut: then it is the one to be judged.
+        This is so if it announced the close, or was cut; a cut response is checked for
+        its own request.
         """
         before = [
             other.reply
-            for other in self.entries[: self.entries.index(entry)]
-            if other.stream is entry.stream
+            for other in self.records[: self.records.index(record)]
+            if other.stream is record.stream
         ]
         if not before:
             return False
@@ -370,51 +383,56 @@
             return True
         return last.headers.get(b"connection") == b"close"
 
-    def _may_be_cut(self, entry: Entry) -> bool:
-        """Return whether its replica broke off or its own time was over."""
-        stream = entry.pieces > 0
-        if stream and entry.fault in BREAKS:
+    def _may_be_cut(self, record: RequestRecord) -> bool:
+        """Return whether the replica cut its stream or the deadline had passed."""
+        stream = record.pieces > 0
+        if stream and record.fault in STREAM_BREAKS:
             return True
         slack = FINAL_RESPONSE_SECONDS if stream else 0.0
-        return entry.ended >= self._time_over(entry) - slack - MOMENT
+        return (
+            record.ended_at >= self._deadline(record) - slack - TIME_TOLERANCE_SECONDS
+        )
 
-    def _time_over(self, entry: Entry) -> float:
-        """Return when a caller's time is over, or its route's by any version."""
-        times = [way.timeout for way in routes().routes if way.name == entry.kind]
+    def _deadline(self, record: RequestRecord) -> float:
+        """Return the caller's deadline or the earliest one by any route version."""
+        times = [item.timeout for item in routes().routes if item.name == record.kind]
         for at, table in self.tables:
-            if at <= entry.ended:
-                times += [w.timeout for w in table.routes if w.name == entry.kind]
-        return entry.begun + min(entry.left, *times)
-
-    def _is_right(self, entry: Entry) -> bool:
-        if entry.reply.status != 200:
-            return entry.reply.status in (404, 408, 500, 502, 503, 504)
-        if entry.pieces:
-            return entry.reply.body == stream_body(1, entry.pieces)
-        return entry.reply.body == b"body of " + entry.request.encode()
-
-    def _tell(self, entry: Entry) -> str:
+            if at <= record.ended_at:
+                times += [
+                    item.timeout for item in table.routes if item.name == record.kind
+                ]
+        return record.started_at + min(record.budget_seconds, *times)
+
+    def _is_valid(self, record: RequestRecord) -> bool:
+        if record.reply.status != 200:
+            return record.reply.status in (404, 408, 500, 502, 503, 504)
+        if record.pieces:
+            return record.reply.body == stream_body(1, record.pieces)
+        return record.reply.body == b"body of " + record.request.encode()
+
+    def _describe(self, record: RequestRecord) -> str:
         replicas = self.world.replicas.values()
-        sends = [rep.instance for rep in replicas if entry.request in rep.arrivals]
-        stops = [round(entry.ended - at, 3) for at in self.stops]
-        whole = entry.whole_at and round(entry.whole_at, 3)
-        status = entry.reply.status if entry.reply else None
+        attempts = [rep.instance for rep in replicas if record.request in rep.arrivals]
+        after_shutdowns = [round(record.ended_at - at, 3) for at in self.shutdown_times]
+        sent_at = record.sent_at and round(record.sent_at, 3)
+        status = record.reply.status if record.reply else None
         return (
-            f"{entry.request} {entry.kind} begun={entry.begun:.3f} whole_at={whole}"
-            f" left={entry.left} ended={entry.ended:.3f} after_stops={stops}"
-            f" status={status} sends={sends} fault={entry.fault}"
+            f"{record.request} {record.kind} started_at={record.started_at:.3f}"
+            f" sent_at={sent_at} budget={record.budget_seconds}"
+            f" ended={record.ended_at:.3f} after_shutdowns={after_shutdowns}"
+            f" status={status} attempts={attempts} fault={record.fault}"
         )
 
 
-def play_ledger(seed: int, ahead: bool):
-    """Return a task for ``run_ledger`` that plays ``seed`` and returns its ledger.
+def scenario_task(seed: int, pipelined: bool):
+    """Return a task for ``run_socket_world`` that runs and returns a scenario.
 
-    With ``ahead`` callers send further requests before their answers have come.
+    If ``pipelined``, callers send further requests before the first response.
     """
 
-    async def task(world) -> Play:
-        play = Play(world, random.Random(seed), ahead)
-        await play.run()
-        return play
+    async def task(world) -> ShutdownScenario:
+        scenario = ShutdownScenario(world, random.Random(seed), pipelined)
+        await scenario.run()
+        return scenario
 
     return task
--- a/berylshift/tests/support.py
+++ b/berylshift/tests/support.py
@@ -1,4 +1,4 @@
-"""Shared by the tests: rows, tables, virtual time."""
+"""Shared by the tests: table rows, tables, virtual time."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 from berylshift.version.rows import OrderCheck, Row, RowKind
 from berylshift.version.table import Table
 
-# The same exploration each time, on any computer.
+# Explores the same examples in each run, on any machine.
 EXPLORE = settings(
     derandomize=True,
     max_examples=200,
@@ -57,7 +57,7 @@
 
 
 def route_row(name: str, fleet: str = FLEET, **changes) -> Row:
-    """Return the row that lets a fleet's work go to a target."""
+    """Return the row that routes a fleet's work to a target."""
     return Row(RowKind.ROUTE, name, fleet=fleet, **changes)
 
 
@@ -70,20 +70,20 @@
 
 
 def no_limits(replicas: ReplicaSet | None = None) -> Throttle:
-    """Return what a host that is alone with all limits knows of them: nothing yet."""
+    """Return the throttle of a single host that has received no limits yet."""
     limits = RateLimits(lambda name, rate: LimitShare(1.0, True), random.Random(SEED))
     listed = ReplicaSet() if replicas is None else replicas
     return Throttle(limits, listed.instance_of)
 
 
 def run_virtual(task: Callable[..., Awaitable], *args):
-    """Run a task on a virtual clock that jumps over waits; always in one order."""
+    """Run a task on a virtual clock that skips waits, with a deterministic schedule."""
     fix_schedule(SEED)
     return trio.run(task, *args, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 class VirtualTestCase(unittest.TestCase):
-    """A test case whose asynchronous parts run on a virtual clock."""
+    """Test case with asynchronous code on a virtual clock."""
 
     def run_virtual(self, task: Callable[..., Awaitable], *args):
         """Run a task on a virtual clock and return its result."""
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -10,7 +10,13 @@
 from berylshift.request.assembly import ChunkStatus, ResponseAssembler
 from berylshift.request.messages import Outcome, Reason
 from berylshift.targets import EngineChunk, Role
-from berylshift.tests.world import complete, model_call, run_world, small_rows, wanted
+from berylshift.tests.world import (
+    complete,
+    expected_text,
+    model_call,
+    run_world,
+    small_rows,
+)
 
 
 def chunk(attempt: str, offset: int, *texts: str, end=None) -> EngineChunk:
@@ -72,7 +78,7 @@
                 app = world.hosts["host-1"].app
                 name = next(n for n in world.engines if app.load.open_here(n))
                 await fail(world, world.engines[name])
-            return results[0], wanted(request)
+            return results[0], expected_text(request)
 
         return run_world(task, rows)
 
@@ -157,7 +163,7 @@
                 host = world.hosts[f"host-{number % 2 + 1}"]
                 ending, text = await complete(host, call)
                 found.append(
-                    ending.outcome is Outcome.COMPLETE and text == wanted(call)
+                    ending.outcome is Outcome.COMPLETE and text == expected_text(call)
                 )
 
             async with trio.open_nursery() as nursery:
@@ -175,7 +181,7 @@
             with trio.move_on_after(1.0):
                 await complete(world.hosts["host-1"], call)
             world.hosts["host-1"].kill()
-            return (await complete(world.hosts["host-2"], call)), wanted(call)
+            return (await complete(world.hosts["host-2"], call)), expected_text(call)
 
         self.assert_whole(run_world(task))
 
@@ -189,7 +195,7 @@
             async def ask(number):
                 call = model_call(number, output=300)
                 ending, text = await complete(host, call)
-                found.append(text == wanted(call))
+                found.append(text == expected_text(call))
 
             async with trio.open_nursery() as nursery:
                 for number in range(10):
@@ -240,7 +246,7 @@
             for number in range(4):
                 call = model_call(number)
                 ending, text = await complete(world.hosts["host-1"], call)
-                found.append(text == wanted(call))
+                found.append(text == expected_text(call))
             return found
 
         self.assertEqual(run_world(task), [True] * 4)
--- a/berylshift/tests/test_crashing_calls.py
+++ b/berylshift/tests/test_crashing_calls.py
@@ -10,11 +10,11 @@
 from berylshift.tests.world import (
     call_service,
     complete,
+    expected_text,
     model_call,
     plain_call,
     run_world,
     small_rows,
-    wanted,
 )
 
 MAX_CRASHES = 3
@@ -75,7 +75,7 @@
                 other = model_call(2)
                 answer = await complete(world.hosts["host-1"], other)
                 nursery.cancel_scope.cancel()
-            return crashes, endings, answer, wanted(other)
+            return crashes, endings, answer, expected_text(other)
 
         return run_world(task, small_rows(engines=4))
 
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -14,11 +14,11 @@
 from berylshift.tests.world import (
     call_service,
     complete,
+    expected_text,
     model_call,
     plain_call,
     run_world,
     small_rows,
-    wanted,
 )
 from berylshift.version.diff import Edit
 
@@ -60,7 +60,7 @@
         call = model_call(number, output=80)
         ending, text = await complete(host, call)
         if ending.outcome is not Outcome.NOT_RUN:
-            self.whole.append(text == wanted(call))
+            self.whole.append(text == expected_text(call))
 
     def last_to(self, target: str, since: float) -> float:
         """Return how long after ``since`` new work still went to a target."""
--- a/berylshift/tests/test_entry_answered_requests.py
+++ b/berylshift/tests/test_entry_answered_requests.py
@@ -1,4 +1,4 @@
-"""Each whole request that a host has read gets one complete answer or refusal."""
+"""Tests that each complete request a host has read gets one complete response."""
 
 import contextlib
 import unittest
@@ -11,43 +11,44 @@
     route,
     routes,
 )
-from berylshift.tests.shutdown_scenario import play_ledger
+from berylshift.tests.shutdown_scenario import scenario_task
 from berylshift.tests.socket_world import (
     HostProcess,
-    KernelEnd,
-    kernel_pair,
-    pass_time,
+    SimulatedSocket,
     request_bytes,
-    run_ledger,
+    run_socket_world,
+    socket_pair,
+    stall_loop,
     start_process,
 )
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import RouteKind
 
-# Requests that a play's hosts read at least; with fewer it would show little.
-LEAST_READ = 200
-NOTHING = Reply(0, {}, b"", False)
+# Requests that the hosts of a scenario read at least; fewer would show little.
+MIN_REQUESTS = 200
+NO_REPLY = Reply(0, {}, b"", False)
 
 
 async def ask(process: HostProcess, path: str, **more) -> tuple[Reply, bool]:
-    """Ask on a new connection; return the reply and whether the host has read all."""
+    """Send a request; return the reply and whether the host has read it all."""
     try:
         link = process.connect()
     except OSError:
-        return NOTHING, False
+        return NO_REPLY, False
     reply = await link.ask(path, **more)
-    return reply, link.stream.peer.taken == link.stream.put
+    return reply, link.stream.peer.bytes_read == link.stream.bytes_sent
 
 
-class QuietEndTest(unittest.TestCase):
-    """A planned stop ends when nothing is in flight for half a second."""
+class QuietExitTest(unittest.TestCase):
+    """A graceful shutdown ends when nothing is in flight for half a second."""
 
-    def ask_after_the_word(
+    def ask_after_stop_signal(
         self, seconds: float, busy: bool = False
     ) -> tuple[int, bool, bool]:
-        """Ask a host that was told to stop; return status, wholeness, all was read.
+        """Send a request ``seconds`` after the stop signal.
 
-        A ``busy`` one has a request under way that lasts longer than the stop.
+        Return its status, and whether the response is whole and the request was all
+        read. A ``busy`` host has a request in flight that outlasts the shutdown.
         """
 
         async def task(world):
@@ -68,25 +69,29 @@
             reply, read = await ask(process, "/short/x")
             return reply.status, reply.whole, read
 
-        return run_ledger(task)
+        return run_socket_world(task)
 
-    def test_a_request_that_comes_as_the_host_falls_quiet_is_answered(self):
-        """Most hosts leave, so callers still reach one that has been told to stop.
+    def test_request_arriving_during_quiet_exit_is_answered(self):
+        """Guards against a host that exits with a request in flight.
 
-        It has had nothing to do for half a second and looks every 50 ms. A booking
-        comes after the last look and goes to its desk; the host ends without having
-        looked again. The caller's connection closes; the booking may have been made.
+        Most hosts shut down, so callers still reach one that got the stop signal. It
+        has been quiet for half a second and checks every 50 ms. A booking arrives after
+        the last check and is sent to its service, and the host exits without another
+        check. The caller's connection closes although the booking may have run.
         """
         lost = []
         for number in range(25):
             seconds = 2.9 + number * 0.01
-            status, whole, read = self.ask_after_the_word(seconds)
+            status, whole, read = self.ask_after_stop_signal(seconds)
             if read and not (status == 200 and whole):
                 lost.append((round(seconds, 2), status, whole))
         self.assertEqual(lost, [])
 
-    def ask_in_a_held_turn(self, connect_at: float, seconds: float):
-        """Send a request as the loop is held for 30 ms; return what came of it."""
+    def ask_during_stall(self, connect_at: float, seconds: float):
+        """Send a request that the loop sees after a stall of 30 ms.
+
+        Return whether it was all read, its status, and whether the response is whole.
+        """
 
         async def task(world):
             short = route("short", RouteKind.AT_MOST_ONCE, timeout=2.0)
@@ -97,51 +102,53 @@
             await trio.sleep(connect_at)
             link = process.connect()
             await trio.sleep(seconds - connect_at)
-            link.stream.on_put = lambda data: pass_time(0.03)
+            link.stream.on_send = lambda data: stall_loop(0.03)
             with contextlib.suppress(trio.BrokenResourceError):
                 await link.send("/short/x")
             reply = await link.read()
-            read = link.stream.peer.taken == link.stream.put
+            read = link.stream.peer.bytes_read == link.stream.bytes_sent
             return read, reply.status, reply.whole
 
-        return run_ledger(task)
+        return run_socket_world(task)
 
-    def test_a_request_that_is_read_in_the_last_turn_is_answered(self):
-        """A host that is short of processor time falls quiet as a booking comes.
+    def test_request_read_in_last_loop_turn_is_answered(self):
+        """Guards against an exit in the loop turn that reads a request.
 
-        The wait for quiet ends in the turn of the loop in which the booking's bytes are
-        taken. They count as a request one turn later: the last look sees nothing, and
-        the host ends with a booking that it has read whole.
+        A host short of CPU time becomes quiet as a booking arrives. The wait for quiet
+        ends in the loop turn in which the booking's bytes are read. They count as a
+        request one turn later, so the last check sees nothing, and the host exits with
+        a booking that it has read completely.
         """
         lost = []
         for connect_at in (2.8, 2.99):
             for number in range(10):
                 seconds = 2.99 + number * 0.001
-                read, status, whole = self.ask_in_a_held_turn(connect_at, seconds)
+                read, status, whole = self.ask_during_stall(connect_at, seconds)
                 if read and not whole:
                     lost.append((connect_at, round(seconds, 3), status))
         self.assertEqual(lost, [])
 
-    def test_a_request_that_comes_at_the_hard_end_is_refused_or_unread(self):
-        """A host that never falls quiet ends all the same, 7.2 s after the word.
+    def test_request_at_shutdown_deadline_is_refused_or_unread(self):
+        """Guards against a request that is read but not answered at the deadline.
 
-        Callers come around that moment. Each is refused, or finds its connection closed
-        before the host has read of its request: then it may come back with a booking
-        too. None is read and left without a word.
+        A host that never becomes quiet exits 7.2 s after the stop signal. Requests that
+        arrive around that time are refused, or the connection closes before the host
+        has read them: then the caller may safely repeat even a booking.
         """
         lost = []
         for number in range(36):
             seconds = 6.9 + number * 0.01
-            status, whole, read = self.ask_after_the_word(seconds, busy=True)
+            status, whole, read = self.ask_after_stop_signal(seconds, busy=True)
             if read and not (status == 503 and whole):
                 lost.append((round(seconds, 2), status, whole))
         self.assertEqual(lost, [])
 
-    def test_requests_that_come_in_the_turn_in_which_the_host_ends(self):
-        """Eight callers send bookings on new connections 5 ms before a quiet host ends.
+    def test_requests_arriving_in_exit_turn_are_answered_or_unread(self):
+        """Guards against connections that read a request in the turn of the exit.
 
-        The host has no processor time for 10 ms. Then its loop sees the bookings and
-        the end at once: connections that it has woken read, and are cut unanswered.
+        Eight callers send bookings on new connections 5 ms before a quiet host exits,
+        and the host gets no CPU time for 10 ms. Its loop then sees the bookings and the
+        end of the wait at once: connections already woken read, and are cut unanswered.
         """
 
         async def task(world):
@@ -154,26 +161,26 @@
             links = [process.connect() for _ in range(8)]
             await trio.sleep(0.095)
             for number, link in enumerate(links):
-                link.stream.put_now(request_bytes("/short/x", f"r{number}"))
-            pass_time(0.01)
+                link.stream.send_nowait(request_bytes("/short/x", f"r{number}"))
+            stall_loop(0.01)
             found = []
             for link in links:
                 reply = await link.read()
-                read = link.stream.peer.taken == link.stream.put
+                read = link.stream.peer.bytes_read == link.stream.bytes_sent
                 found.append((read, reply.status, reply.whole))
             return found
 
-        for read, status, whole in run_ledger(task):
+        for read, status, whole in run_socket_world(task):
             self.assertEqual((status, whole), (200, True) if read else (0, False))
 
 
 class FinishTest(unittest.TestCase):
-    """A server that finishes as requests arrive on connections at rest."""
+    """A server that finishes as requests arrive on idle connections."""
 
     def finish_after(self, turns: int) -> list[tuple[bool, bool]]:
-        """Finish so many turns of the loop after requests were sent.
+        """Finish the server ``turns`` loop turns after requests were sent.
 
-        Return of each whether it was read, and whether it has its whole answer.
+        Return for each whether it was read, and whether it got a whole response.
         """
 
         async def handle(http, responder) -> None:
@@ -185,53 +192,56 @@
             async with trio.open_nursery() as nursery:
                 server = HttpServer(handle)
                 for _ in range(3):
-                    near, far = kernel_pair()
+                    near, far = socket_pair()
                     nursery.start_soon(server.serve_stream, far)
                     callers.append(near)
                 await trio.sleep(0.1)
                 for near in callers:
-                    near.put_now(request_bytes("/x", "r1"))
+                    near.send_nowait(request_bytes("/x", "r1"))
                 for _ in range(turns):
                     await trio.lowlevel.checkpoint()
                 await server.finish()
                 nursery.cancel_scope.cancel()
             return [
-                (near.peer.taken == near.put, near.received.endswith(b"done"))
+                (
+                    near.peer.bytes_read == near.bytes_sent,
+                    near.received.endswith(b"done"),
+                )
                 for near in callers
             ]
 
         return run_virtual(main)
 
-    def test_what_was_read_as_a_server_finishes_is_answered(self):
-        """Guards against an end in the turn in which a request's bytes were taken."""
+    def test_requests_read_during_finish_are_answered(self):
+        """Guards against finishing in the loop turn that reads a request's bytes."""
         for turns in range(6):
             with self.subTest(turns=turns):
                 found = self.finish_after(turns)
                 self.assertEqual([read for read, _ in found], [ok for _, ok in found])
 
-    def test_some_are_read_and_some_are_not(self):
+    def test_some_requests_are_read_and_some_are_not(self):
         found = {read for turns in range(6) for read, _ in self.finish_after(turns)}
         self.assertEqual(found, {False, True})
 
 
-class LastAnswersTest(unittest.TestCase):
-    """All that is open at the end of a stop is answered within 0.2 s."""
+class FinalResponsesTest(unittest.TestCase):
+    """All requests open at the shutdown deadline are answered within 0.2 s."""
 
-    def slow_down(self, end: KernelEnd) -> None:
-        """Have each head that the host writes take some time of its processor."""
+    def slow_down(self, end: SimulatedSocket) -> None:
+        """Stall the host for 2.5 ms after each response head that it writes."""
 
-        def on_put(data: bytes) -> None:
+        def on_send(data: bytes) -> None:
             if data.startswith(b"HTTP/1.1"):
-                pass_time(0.0025)
+                stall_loop(0.0025)
 
-        end.on_put = on_put
+        end.on_send = on_send
 
-    def test_all_of_many_open_requests_are_told(self):
-        """A hundred callers wait for desks that stay silent when their host leaves.
+    def test_many_open_requests_all_get_final_responses(self):
+        """Guards against final responses that are cut between head and body.
 
-        All are to be told at once, 7 s after the word. Each takes the host 2.5 ms of
-        its processor; the time for all of them does not depend on how many they are,
-        and when it is over they are cut between head and body.
+        A hundred callers wait for unresponsive replicas when their host shuts down. All
+        get their final response at once, 7 s after the stop signal, at 2.5 ms of CPU
+        time each; the time limit for all of them does not depend on their number.
         """
 
         async def task(world):
@@ -256,36 +266,39 @@
                 process.stop.set()
             return sum(reply.whole for reply in replies)
 
-        self.assertEqual(run_ledger(task), 100)
+        self.assertEqual(run_socket_world(task), 100)
 
 
-class LedgerTest(unittest.TestCase):
-    """Hosts are told to stop one after the other while all else goes on.
+class ShutdownScenarioTest(unittest.TestCase):
+    """Hosts shut down one after the other under load and changes.
 
-    Routes and rests are lowered and raised, services move, settings are adopted, hosts
-    now and then get no processor time. Callers send slowly, read through small windows,
-    have little time, or send their last byte just as a host's time ends.
+    Route and idle timeouts are lowered and raised, services move, settings are
+    reloaded, and hosts sometimes get no CPU time. Callers send slowly, read through
+    small windows, have short deadlines, or send the last byte at a shutdown step.
     """
 
-    def check(self, seeds: tuple[int, ...], ahead: bool):
+    def check(self, seeds: tuple[int, ...], pipelined: bool):
         for seed in seeds:
             with self.subTest(seed=seed):
-                play = run_ledger(play_ledger(seed, ahead), "dd", hosts=2)
-                read = sum(entry.read for entry in play.entries)
-                self.assertGreater(read, LEAST_READ)
-                self.assertEqual(play.lost(), [])
-
-    def test_each_request_that_was_read_gets_one_answer(self):
-        """Each caller waits for its answer before it sends its next request."""
-        self.check((0, 1, 2, 15, 30), ahead=False)
-
-    def test_callers_that_send_ahead_get_all_their_answers(self):
-        """Callers send up to three requests before the first answer has come.
-
-        A leaving host says with an answer that it is the last, and closes with the
-        next request unread. That resets the connection and takes the answer along.
+                scenario = run_socket_world(
+                    scenario_task(seed, pipelined), "dd", hosts=2
+                )
+                read_count = sum(record.was_read for record in scenario.records)
+                self.assertGreater(read_count, MIN_REQUESTS)
+                self.assertEqual(scenario.violations(), [])
+
+    def test_each_read_request_gets_one_response(self):
+        """Each caller waits for its response before it sends its next request."""
+        self.check((0, 1, 2, 15, 30), pipelined=False)
+
+    def test_pipelined_requests_get_all_responses(self):
+        """Guards against a response lost to a reset by the next, unread request.
+
+        Callers send up to three requests before the first response. A host shutting
+        down announces the close with a response, and closes with the next request
+        unread. That resets the connection, which discards the response.
         """
-        self.check((0, 4), ahead=True)
+        self.check((0, 4), pipelined=True)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -83,7 +83,9 @@
 
         async def task(world):
             link = world.connect()
-            await link.send("/note/x", headers=prompt_headers(pieces=8, shared=0))
+            await link.send(
+                "/note/x", headers=prompt_headers(pieces=8, prefix_tokens=0)
+            )
             await trio.sleep(0.2)
             table = routes(2)
             left = RouteTable(table.version, table.routes[:2], (), table.limits)
@@ -198,7 +200,7 @@
 
         reply = run_entry(task)
         self.assertEqual(reply.status, 503)
-        self.assertGreaterEqual(reply.again, 0.8)
+        self.assertGreaterEqual(reply.retry_after_seconds, 0.8)
 
 
 class GoneReplicaTest(unittest.TestCase):
--- a/berylshift/tests/test_entry_backoff.py
+++ b/berylshift/tests/test_entry_backoff.py
@@ -59,7 +59,7 @@
             self.assertLessEqual(max_calls(replica), MAX_CALLS)
         refused = [reply for reply in callers.replies if reply.status == 503]
         self.assertGreater(
-            max(reply.again for reply in refused), RETRY_AFTER_SECONDS - 1
+            max(reply.retry_after_seconds for reply in refused), RETRY_AFTER_SECONDS - 1
         )
         self.assertLess(callers.longest_refusal_seconds, 0.05)
 
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -12,16 +12,16 @@
     routes,
 )
 from berylshift.tests.socket_world import (
+    DelayedReadSocket,
     HostProcess,
-    LateLook,
     request_bytes,
-    run_ledger,
+    run_socket_world,
     start_process,
 )
 from berylshift.version.routes import CallerLimits, RouteKind
 
 # Requests that a play's hosts read at least; with fewer it would show little.
-LEAST_READ = 200
+MIN_REQUESTS = 200
 
 
 class ClosedUnreadTest(unittest.TestCase):
@@ -50,7 +50,7 @@
             close_idle = process.app.server.close_idle
 
             def close_late():
-                link.stream.put_now(request_bytes("/short/x", "r2"))
+                link.stream.send_nowait(request_bytes("/short/x", "r2"))
                 close_idle()
 
             process.app.server.close_idle = close_late
@@ -58,7 +58,7 @@
             reply = await link.read()
             return reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (200, True))
+        self.assertEqual(run_socket_world(task), (200, True))
 
     def ask_after_newer(self, idle: float, rest: float) -> tuple[int, bool]:
         """Have the bound change at rest, and ask once more after ``rest`` seconds."""
@@ -73,7 +73,7 @@
             reply = await link.ask("/book/x", "r2")
             return reply.status, reply.whole
 
-        return run_ledger(task)
+        return run_socket_world(task)
 
     def test_a_longer_rest_holds_for_connections_at_rest(self):
         """The operator raises the bound on connections at rest from 15 to 60 s.
@@ -95,10 +95,12 @@
             app = process.app
             app.server.limits = replace(app.server.limits, connections=1)
             await self.rest(process)
-            reply = await process.connect(near=LateLook).ask("/book/x", "r2")
+            reply = await process.connect(near_type=DelayedReadSocket).ask(
+                "/book/x", "r2"
+            )
             return reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (503, True))
+        self.assertEqual(run_socket_world(task), (503, True))
 
     def test_a_refusal_of_a_long_body_reaches_its_caller(self):
         """A caller announces a body over the bound and sends it.
@@ -114,7 +116,7 @@
             reply = await link.ask("/book/x", body=body)
             return reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (413, True))
+        self.assertEqual(run_socket_world(task), (413, True))
 
     def test_the_last_answer_reaches_a_caller_that_has_sent_more(self):
         """A caller sends a second request before its first answer has come.
@@ -128,14 +130,14 @@
             for replica in world.replicas.values():
                 replica.work_seconds = 0.5
             process.stop.set()
-            link = process.connect(near=LateLook)
+            link = process.connect(near_type=DelayedReadSocket)
             await link.send("/book/x", "r1")
             await trio.sleep(0.3)
             await link.send("/book/x", "r2", body=b"x" * 2 * MOST_EARLY_BYTES)
             reply = await link.read()
             return reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (200, True))
+        self.assertEqual(run_socket_world(task), (200, True))
 
     def test_a_lower_bound_ends_no_rest_early(self):
         """The operator lowers the bound on connections at rest from 15 to 1 s.
@@ -163,7 +165,7 @@
             reply = await link.read()
             return reply.status, reply.whole, trio.current_time() - start < 3.1
 
-        self.assertEqual(run_ledger(task), (400, True, True))
+        self.assertEqual(run_socket_world(task), (400, True, True))
 
     def test_the_last_answer_survives_the_end_of_the_process(self):
         """A stopping host ends at 7.2 s; its last answers went out at 7.0 s.
@@ -191,7 +193,7 @@
             reply = await link.read()
             return reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (504, True))
+        self.assertEqual(run_socket_world(task), (504, True))
 
     def test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused(self):
         """A caller has sent half of a booking when all requests of its host end.
@@ -217,7 +219,7 @@
             outcome = reply.headers.get(b"berylshift-outcome")
             return reply.status, reply.whole, outcome
 
-        self.assertEqual(run_ledger(task), (503, True, b"not-run"))
+        self.assertEqual(run_socket_world(task), (503, True, b"not-run"))
 
     def test_a_request_that_is_being_sent_is_waited_for(self):
         """A caller has sent the head of a booking, its body follows within a second.
@@ -242,7 +244,7 @@
             reply = await link.read()
             return reply.whole, reply.status
 
-        whole, status = run_ledger(task)
+        whole, status = run_socket_world(task)
         self.assertTrue(whole)
         self.assertIn(status, (200, 503))
 
--- a/berylshift/tests/test_entry_crashing_requests.py
+++ b/berylshift/tests/test_entry_crashing_requests.py
@@ -19,7 +19,7 @@
 
 async def run_stream(world, path: str, pause: float = 0.5) -> CrashScenario:
     """Run a stream that crashes engines, among other streams."""
-    scenario = CrashScenario(world, path, headers=prompt_headers(part="bad"))
+    scenario = CrashScenario(world, path, headers=prompt_headers(block="bad"))
     world.kept.crashing.add(path)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(scenario.watch_sends)
--- a/berylshift/tests/test_entry_keys.py
+++ b/berylshift/tests/test_entry_keys.py
@@ -213,7 +213,7 @@
             second = ((b"authorization", f"Bearer {SECOND_KEY}".encode()),)
             new = await world.ask("/look/x", "r1", headers=second)
             known = await world.ask("/look/x", "r2", headers=KEY_HEADERS)
-            return new.status, new.again > 0, known.status
+            return new.status, new.retry_after_seconds > 0, known.status
 
         self.assertEqual(run_keyed(task), (503, True, 200))
 
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -74,7 +74,7 @@
             self.assertLessEqual(max_from_informed(replica), max_allowed(2.6))
         refused = [reply for reply in load.replies if reply.status != 200]
         self.assertEqual({reply.status for reply in refused}, {503})
-        self.assertTrue(all(0 < reply.again < 1.0 for reply in refused))
+        self.assertTrue(all(0 < reply.retry_after_seconds < 1.0 for reply in refused))
         self.assertLess(load.longest_refusal_seconds, 0.05)
 
     def test_requests_within_the_limits_are_served(self):
--- a/berylshift/tests/test_entry_own_end.py
+++ b/berylshift/tests/test_entry_own_end.py
@@ -12,7 +12,7 @@
     run_entry,
 )
 from berylshift.tests.socket_world import (
-    run_ledger,
+    run_socket_world,
     start_process,
 )
 
@@ -35,9 +35,9 @@
             await trio.sleep(0.1)
             await disturb(process)
             reply = await link.read()
-            return process.fault, reply.status, reply.whole
+            return process.error, reply.status, reply.whole
 
-        self.assertEqual(run_ledger(task), (None, 200, True))
+        self.assertEqual(run_socket_world(task), (None, 200, True))
 
     def test_invalid_request_target_affects_only_its_caller(self):
         """Guards against a malformed request target that stops the process.
@@ -127,12 +127,12 @@
             async def fail():
                 raise ValueError("a fault of the host's own")
 
-            app._in_background(fail)
+            app._start_background_task(fail)
             await trio.sleep(0.1)
             on = await world.ask("/book/x")
             async with trio.open_nursery() as app._nursery:
                 pass
-            app._in_background(trio.sleep, 1)
+            app._start_background_task(trio.sleep, 1)
             return on.status
 
         with self.assertLogs("berylshift.entry_application", "INFO") as logs:
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -16,10 +16,10 @@
 from berylshift.version.routes import RouteKind, ServiceShare
 
 PROMPTED = {"shares": (ServiceShare(ENGINES, 1),), "prompted": True}
-FRONT_LOG = "berylshift.request.routed_handler"
+HANDLER_LOG = "berylshift.request.routed_handler"
 
 
-def endings(logs):
+def request_endings(logs):
     """Return outcome, whose time was up, and the stop's seconds of each request."""
     return [
         (rec.outcome, rec.bound, rec.stopping_for)
@@ -66,7 +66,7 @@
     def test_a_stream_under_way_ends_whole(self):
         async def before(world):
             link = world.connect()
-            headers = prompt_headers(70, shared=0)
+            headers = prompt_headers(70, prefix_tokens=0)
             await link.send("/note/x", headers=headers, left_ms=6000)
             await trio.sleep(0.2)
             return link
@@ -108,7 +108,7 @@
 
         _, (late, early, arrived), seconds, _ = self.stop(before, after)
         self.assertEqual((late.status, late.whole), (503, True))
-        self.assertGreater(late.again, 0)
+        self.assertGreater(late.retry_after_seconds, 0)
         self.assertEqual(arrived, {"r1"})
         self.assertEqual((early.status, early.whole), (504, True))
         self.assertLess(seconds, 8)
@@ -128,14 +128,14 @@
             await trio.sleep(0.1)
             # A host that is kept busy does not fall quiet before the stop's end.
             link = world.connect()
-            headers = prompt_headers(400, shared=0)
+            headers = prompt_headers(400, prefix_tokens=0)
             await link.send("/busy/x", "r0", headers=headers, left_ms=30_000)
             await trio.sleep(0.1)
             return link
 
         async def after(world, _):
             await trio.sleep(3.7)
-            headers = prompt_headers(70, shared=0)
+            headers = prompt_headers(70, prefix_tokens=0)
             note = await world.ask("/note/x", "r1", headers=headers, left_ms=6000)
             look = await world.ask("/quick/x", "r2")
             return (note.status, note.whole), look.status
@@ -160,7 +160,11 @@
         for timeout in (1.0, 2.0, 4.0, 6.0, 8.0):
             for come in (0.0, 0.5, 1.5, 2.4, 2.6, 3.7, 5.0, 6.5):
                 reply, seconds = self.ask_while_stopping(timeout, come)
-                refused = reply.status == 503 and seconds < 0.1 and reply.again > 0
+                refused = (
+                    reply.status == 503
+                    and seconds < 0.1
+                    and reply.retry_after_seconds > 0
+                )
                 if not (refused or (reply.status == 200 and reply.whole)):
                     broken.append((timeout, come, reply.status, round(seconds, 1)))
         self.assertEqual(broken, [])
@@ -176,7 +180,7 @@
                 replica.piece_seconds = 0.9 * timeout / 10
             # A host that is kept busy does not fall quiet before the stop's end.
             link = world.connect()
-            headers = prompt_headers(400, shared=0)
+            headers = prompt_headers(400, prefix_tokens=0)
             await link.send("/long/x", headers=headers, left_ms=30_000)
             await trio.sleep(0.1)
             return link
@@ -184,7 +188,7 @@
         async def after(world, _):
             await trio.sleep(come)
             start = trio.current_time()
-            headers = prompt_headers(10, shared=0)
+            headers = prompt_headers(10, prefix_tokens=0)
             reply = await world.ask("/asked/x", "r2", headers=headers, left_ms=20_000)
             return reply, trio.current_time() - start
 
@@ -219,7 +223,7 @@
                 replica.piece_seconds = lasting / 10
             links = [world.connect() for _ in range(10)]
             for number, link in enumerate(links):
-                headers = prompt_headers(10, shared=0)
+                headers = prompt_headers(10, prefix_tokens=0)
                 await link.send(
                     "/asked/x", f"b{number}", headers=headers, left_ms=20_000
                 )
@@ -237,7 +241,7 @@
         async def after(world, _):
             statuses = []
             for number in range(5):
-                headers = prompt_headers(10, shared=0)
+                headers = prompt_headers(10, prefix_tokens=0)
                 start = trio.current_time()
                 reply = await world.ask(
                     "/asked/x", f"r{number}", headers=headers, left_ms=20_000
@@ -303,9 +307,9 @@
             return await link.read()
 
         long = route("long", RouteKind.STREAM, timeout=20.0, **PROMPTED)
-        with self.assertLogs(FRONT_LOG, "INFO") as logs:
+        with self.assertLogs(HANDLER_LOG, "INFO") as logs:
             self.stop(before, after, long)
-        self.assertEqual(endings(logs), [("cut", "stop", 7.0)])
+        self.assertEqual(request_endings(logs), [("cut", "stop", 7.0)])
 
     def test_logs_tell_that_the_routes_time_ended_a_request(self):
         """The same cut, but the route's time was up: no stop is to blame."""
@@ -318,9 +322,9 @@
             await self.send_long_stream(link)
             await link.read()
 
-        with self.assertLogs(FRONT_LOG, "INFO") as logs:
+        with self.assertLogs(HANDLER_LOG, "INFO") as logs:
             run_entry(task, engines="d")
-        self.assertEqual(endings(logs), [("cut", "route", None)])
+        self.assertEqual(request_endings(logs), [("cut", "route", None)])
 
     def test_logs_tell_a_caller_that_left_from_a_process_that_ended(self):
         """Both cancel the request; only the second is the host's doing."""
@@ -336,18 +340,18 @@
 
             async def task(world, how=how):
                 link = world.connect()
-                headers = prompt_headers(70, shared=0)
+                headers = prompt_headers(70, prefix_tokens=0)
                 await link.send("/note/x", headers=headers)
                 await trio.sleep(0.2)
                 await how(world, link)
 
-            with self.subTest(outcome), self.assertLogs(FRONT_LOG, "INFO") as logs:
+            with self.subTest(outcome), self.assertLogs(HANDLER_LOG, "INFO") as logs:
                 run_entry(task, engines="d")
-            self.assertEqual(endings(logs), [(outcome, None, None)])
+            self.assertEqual(request_endings(logs), [(outcome, None, None)])
 
     async def send_long_stream(self, link):
         """Ask for a stream of 10 s with 20 s left."""
-        headers = prompt_headers(200, shared=0)
+        headers = prompt_headers(200, prefix_tokens=0)
         await link.send("/long/x", headers=headers, left_ms=20_000)
 
 
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -34,7 +34,7 @@
             host.loads.note_failure(former, SEVERE_FAILURE, now)
             host.phases.record_order(former, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND)
-            reply = await world.ask("/note/x", "r2", headers=prompt_headers(part="b2"))
+            reply = await world.ask("/note/x", "r2", headers=prompt_headers(block="b2"))
             return kept_before, host, reply
 
         kept_before, host, reply = run_entry(task, plain=0, engines="pd")
@@ -53,10 +53,10 @@
         async def task(world):
             engine = world.replicas["10.0.0.1:80"]
             await self.start(world, engine, FIRST)
-            await world.ask("/note/x", headers=prompt_headers(shared=0))
+            await world.ask("/note/x", headers=prompt_headers(prefix_tokens=0))
             before = world.dials
             await self.start(world, engine, SECOND)
-            await world.ask("/note/x", "r2", headers=prompt_headers(shared=0))
+            await world.ask("/note/x", "r2", headers=prompt_headers(prefix_tokens=0))
             return world.dials - before, world.hosts[0].ports.client.kept_targets
 
         self.assertEqual(run_entry(task, plain=0, engines="d"), (1, 1))
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -11,11 +11,11 @@
     stream_body,
 )
 from berylshift.tests.socket_world import (
-    pass_time,
-    run_ledger,
+    run_socket_world,
+    stall_loop,
     start_process,
 )
-from berylshift.tests.test_entry_shutdown import FRONT_LOG, PROMPTED, endings
+from berylshift.tests.test_entry_shutdown import HANDLER_LOG, PROMPTED, request_endings
 from berylshift.version.routes import RouteKind
 
 # Requests that the hosts of a scenario read at least; fewer would show little.
@@ -28,12 +28,12 @@
     def stall_after(self, link, mark: bytes, seconds: float) -> None:
         """Stall the host for ``seconds`` once it has written ``mark``."""
 
-        def on_put(data: bytes) -> None:
+        def on_send(data: bytes) -> None:
             if mark in data:
-                link.stream.peer.on_put = None
-                pass_time(seconds)
+                link.stream.peer.on_send = None
+                stall_loop(seconds)
 
-        link.stream.peer.on_put = on_put
+        link.stream.peer.on_send = on_send
 
     def answer(self, work: float, left_ms: int, stop_at: float | None = None):
         """Call a service that takes ``work`` seconds; stall for 30 ms after the head.
@@ -58,7 +58,7 @@
             reply = await link.read()
             return reply.status, reply.whole, trio.current_time() - start
 
-        return run_ledger(task)
+        return run_socket_world(task)
 
     def test_body_is_written_when_the_deadline_passes_after_the_head(self):
         """Guards against a response head without its body.
@@ -90,7 +90,7 @@
         async def task(world):
             process = await start_process(world)
             link = process.connect()
-            headers = prompt_headers(4, shared=0)
+            headers = prompt_headers(4, prefix_tokens=0)
             for replica in world.replicas.values():
                 replica.piece_seconds = 0.24
             start = trio.current_time()
@@ -99,7 +99,7 @@
             reply = await link.read()
             return reply.body, reply.whole, trio.current_time() - start
 
-        body, whole, seconds = run_ledger(task, engines="d")
+        body, whole, seconds = run_socket_world(task, engines="d")
         self.assertLess(seconds, 1.0)
         self.assertEqual((body, whole), (stream_body(1, 4), True))
 
@@ -121,7 +121,7 @@
             await link.stream.send_all(lines % path)
             return bytes(await link.stream.receive_some())
 
-        return run_ledger(task)
+        return run_socket_world(task)
 
     def test_a_refusal_reaches_its_caller(self):
         """Guards against a connection that is closed without a response.
@@ -146,16 +146,16 @@
             await trio.sleep(0.1)
             process = await start_process(world)
             link = process.connect(window=400)
-            headers = prompt_headers(200, shared=0)
+            headers = prompt_headers(200, prefix_tokens=0)
             await link.send("/long/x", headers=headers, left_ms=20_000)
             await trio.sleep(0.2)
             if stopping:
                 process.stop.set()
             await trio.sleep(9.0)
 
-        with self.assertLogs(FRONT_LOG, "INFO") as logs:
-            run_ledger(task, engines="d")
-        return endings(logs)
+        with self.assertLogs(HANDLER_LOG, "INFO") as logs:
+            run_socket_world(task, engines="d")
+        return request_endings(logs)
 
     def test_stop_is_logged_as_the_timeout_source(self):
         """A write to a slow caller that the stop ends is not a caller's disconnect."""
@@ -178,14 +178,14 @@
             await trio.sleep(0.1)
             process = await start_process(world)
             link = process.connect(window=400)
-            headers = prompt_headers(200, shared=0)
+            headers = prompt_headers(200, prefix_tokens=0)
             await link.send("/long/x", headers=headers, left_ms=20_000)
             await trio.sleep(1.0)
             await link.stream.send_eof()
             await trio.sleep(0.4)
             return process.app.handler.in_flight
 
-        self.assertEqual(run_ledger(task, engines="d"), 0)
+        self.assertEqual(run_socket_world(task, engines="d"), 0)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -21,10 +21,10 @@
 from berylshift.tests.world import (
     call_service,
     complete,
+    expected_text,
     model_call,
     plain_call,
     run_world,
-    wanted,
 )
 
 CALL = ServiceCall(AttemptId("a1"), "booking", "POST", "/book", {}, b"x", False, "k")
@@ -205,6 +205,6 @@
                             )
                             await VirtualFleet(world).act(event)
                     ending, text = found[0]
-                    return ending.outcome, text == wanted(call)
+                    return ending.outcome, text == expected_text(call)
 
                 self.assertEqual(run_world(task), (Outcome.COMPLETE, True))
--- a/berylshift/tests/test_process_pools.py
+++ b/berylshift/tests/test_process_pools.py
@@ -32,7 +32,13 @@
 from berylshift.settings import HostSettings, PolicySettings, Settings
 from berylshift.targets import LoadReport, Role
 from berylshift.tests.support import engine_row
-from berylshift.tests.world import complete, model_call, run_world, small_rows, wanted
+from berylshift.tests.world import (
+    complete,
+    expected_text,
+    model_call,
+    run_world,
+    small_rows,
+)
 from berylshift.version.rows import RowState
 
 ME = Incarnation("host-1/1/1")
@@ -256,7 +262,7 @@
                 call = model_call(number, output=150)
                 host = world.hosts[f"host-{number % 2 + 1}"]
                 _, text = await complete(host, call)
-                found.append(text == wanted(call))
+                found.append(text == expected_text(call))
 
             async with trio.open_nursery() as nursery:
                 for number in range(120):
@@ -285,7 +291,7 @@
             for number in range(5):
                 call = model_call(number, prompt=2000)
                 _, text = await complete(world.hosts["host-1"], call)
-                found.append(text == wanted(call))
+                found.append(text == expected_text(call))
             made = world.engines["engine-2"].tokens_made
             return found, made, world.engines["engine-1"].tokens_prefilled
 
--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -52,7 +52,7 @@
             make_request(target=b"/note/y"),
             make_request(target=b"/note/x?page=2"),
             make_request(host=b"other.example"),
-            make_request(headers=prompt_headers(part="b2")),
+            make_request(headers=prompt_headers(block="b2")),
             make_request(headers=(*prompt_headers(), (b"authorization", b"Bearer b"))),
         )
         fingerprints = {self.fingerprinter.hash_request(req) for req in variants}
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -95,7 +95,7 @@
         links = []
         for number in range(count):
             link = world.connect()
-            headers = prompt_headers(pieces=60, part=f"a{number}", shared=0)
+            headers = prompt_headers(pieces=60, block=f"a{number}", prefix_tokens=0)
             path = f"/brief/{number}"
             await link.send(path, f"r{number}", headers=headers, left_ms=3900)
             links.append(link)
@@ -132,7 +132,7 @@
             await trio.sleep(0.3)
             world.dialed.clear()
             for number in range(6):
-                headers = prompt_headers(pieces=2, shared=0)
+                headers = prompt_headers(pieces=2, prefix_tokens=0)
                 path = f"/note/{number}"
                 await world.ask(path, f"n{number}", host=1, headers=headers)
             return crashed.address in world.dialed
@@ -156,7 +156,9 @@
         new_runs, reply = run_entry(task, engines="dd")
         self.assertEqual(new_runs, 0)
         if reply.status == 503:
-            self.assertGreaterEqual(reply.again, LAST_REPLICA_RETRY_SECONDS)
+            self.assertGreaterEqual(
+                reply.retry_after_seconds, LAST_REPLICA_RETRY_SECONDS
+            )
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -41,7 +41,7 @@
         missing, early = run_entry(task)
         self.assertEqual(missing, 404)
         self.assertEqual(early.status, 503)
-        self.assertGreater(early.again, 0)
+        self.assertGreater(early.retry_after_seconds, 0)
 
     def test_own_responses_are_logged_with_request_id(self):
         async def task(world):
@@ -139,7 +139,7 @@
             await link.send("/book/x", left_ms=60)
             while not any(replica.runs for replica in world.replicas.values()):
                 await trio.sleep(0.0001)
-            world.dark.update(world.replicas)
+            world.unresponsive.update(world.replicas)
             return (await link.read()).status
 
         self.assertNotIn(run_entry(task), (0, 503))
@@ -152,13 +152,13 @@
     def test_refusal_by_replica_is_not_run_with_retry_after(self):
         reply, runs = self.ask(Fault.REFUSE)
         self.assertEqual((reply.status, runs), (503, 0))
-        self.assertGreater(reply.again, 0)
+        self.assertGreater(reply.retry_after_seconds, 0)
 
     def test_unreachable_replica_is_not_run(self):
         """The connection can't be established, so no byte can have arrived."""
 
         async def task(world):
-            world.dark.add("10.0.0.1:80")
+            world.unresponsive.add("10.0.0.1:80")
             return await world.ask("/book/x")
 
         self.assertEqual(run_entry(task, plain=1).status, 503)
@@ -305,7 +305,7 @@
             engines[0].loses_caches = True
             statuses = []
             for number in range(40):
-                headers = prompt_headers(part=f"a{number % 7}")
+                headers = prompt_headers(block=f"a{number % 7}")
                 reply = await world.ask("/note/x", f"r{number}", headers=headers)
                 statuses.append(reply.status)
             return statuses.count(200), len(engines[0].reads)
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -81,7 +81,7 @@
         """
 
         async def task(world):
-            world.dark.add("10.0.0.2:80")
+            world.unresponsive.add("10.0.0.2:80")
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers())
             await trio.sleep(0.15)
@@ -108,7 +108,7 @@
         reply, seconds = run_entry(task, plain=0, engines="pd")
         self.assertEqual(reply.status, 503)
         self.assertLess(seconds, 0.05)
-        self.assertGreater(reply.again, 1)
+        self.assertGreater(reply.retry_after_seconds, 1)
 
     def test_late_retry_is_not_reported_as_not_run(self):
         """Guards against "not run" for a request that the first engine may have run.
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -1,4 +1,4 @@
-"""A small virtual fleet for whole-path tests: real hosts, fakes around them."""
+"""Virtual fleet for end-to-end tests: real hosts with fake dependencies."""
 
 import trio
 
@@ -27,14 +27,14 @@
 
 
 def small_rows(engines: int = 2, replicas: int = 2, **engine) -> list[Row]:
-    """Return a table of a few engines and replicas."""
+    """Return the rows and routes of a few engines and service replicas."""
     rows = [engine_row(f"engine-{i}", **engine) for i in range(1, engines + 1)]
     rows += [service_row(f"{SERVICE}-{i}") for i in range(1, replicas + 1)]
     return [*rows, *(route_row(row.target) for row in rows)]
 
 
-class Sink:
-    """Takes an answer's text."""
+class TextSink:
+    """Collects the text of a response."""
 
     def __init__(self) -> None:
         self.parts: list[str] = []
@@ -47,7 +47,7 @@
 
 
 def run_world(task, rows: list[Row] | None = None, **spec):
-    """Run ``task(world)`` against a started fleet on a virtual clock."""
+    """Run ``task(world)`` on a virtual clock, 2 s after a fleet was started."""
     values = {"hosts": 2, **spec}
 
     async def main():
@@ -63,28 +63,28 @@
 
 
 def model_call(number: int, prompt=400, output=100, seconds=30.0) -> ModelCall:
-    """Return a model call; each has a prefix of its own, so all engines get some."""
+    """Return a model call with a unique prefix, so that calls reach all engines."""
     text = make_prompt(f"family-{number}", str(number), prompt, output)
     deadline = trio.current_time() + seconds
     request = RequestId(f"r{number}")
     return ModelCall(request, CALLER, WorkName(MODEL), text, output, deadline)
 
 
-def wanted(call: ModelCall) -> str:
-    """Return the answer that a call must get."""
+def expected_text(call: ModelCall) -> str:
+    """Return the text that a call must get."""
     return answer_text(call.prompt, call.max_tokens)
 
 
 async def complete(host: VirtualHost, call: ModelCall) -> tuple[Ending, str]:
     """Make a model call at a host."""
-    sink = Sink()
+    sink = TextSink()
     with host.call() as app:
         ending = await app.handler.complete(call, sink)
     return ending, sink.joined()
 
 
 def plain_call(key: str = "", body: bytes = b"x", seconds: float = 5.0) -> PlainCall:
-    """Return a confirmation, or without a key a lookup."""
+    """Return a confirmation (run at most once) if ``key`` is set, else a lookup."""
     return PlainCall(
         request=RequestId(f"p{key}"),
         caller=CALLER,
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -421,7 +421,7 @@
         "            await trio.lowlevel.checkpoint()\n"
         "        await self.wait_until_quiet(0)\n",
         "",
-        "test_entry_answered_requests.FinishTest.test_what_was_read_as_a_server_finishes_is_answered",
+        "test_entry_answered_requests.FinishTest.test_requests_read_during_finish_are_answered",
     ),
     Proof(
         "a request that has come is read before its connection closes",
