--- a/berylshift/tests/test_daemon.py
+++ b/berylshift/tests/test_daemon.py
@@ -1,18 +1,18 @@
-"""What a starting daemon loads."""
+"""Tests of the modules that a starting daemon imports."""
 
 import subprocess
 import sys
 import unittest
 
-# The applications of the two interfaces and what only one of them needs.
-OWN_INTERFACE = ("berylshift.application", "berylshift.process.control.pool_loop")
-PRINT_LOADED = "import sys, {module}; print(*sorted(sys.modules))"
+# Modules that only the native API needs.
+NATIVE_MODULES = ("berylshift.application", "berylshift.process.control.pool_loop")
+PRINT_MODULES = "import sys, {module}; print(*sorted(sys.modules))"
 
 
-def loaded_with(module: str) -> set[str]:
-    """Return the modules of a fresh process that imports ``module``."""
+def modules_loaded_by(module: str) -> set[str]:
+    """Return the modules loaded in a new process that imports ``module``."""
     out = subprocess.run(
-        [sys.executable, "-c", PRINT_LOADED.format(module=module)],
+        [sys.executable, "-c", PRINT_MODULES.format(module=module)],
         capture_output=True,
         text=True,
         check=True,
@@ -21,20 +21,20 @@
 
 
 class StartTest(unittest.TestCase):
-    """Power comes back for all hosts at once; each has a tenth of a core.
+    """Guards against a start delayed by imports that the host never uses.
 
-    Callers find no host that answers until the interpreter has loaded the daemon.
-    What a host on the platform never runs must not be loaded before it serves: it was
-    0.2 s of 0.8 s of processor time.
+    When power returns, all hosts start at once with a tenth of a core each, and no host
+    responds until the interpreter has imported the daemon. Importing the other API as
+    well took 0.2 s of 0.8 s of CPU time.
     """
 
-    def test_a_host_on_the_platform_loads_nothing_of_the_own_interface(self):
-        loaded = loaded_with("berylshift.daemon, berylshift.serve_entry")
+    def test_platform_host_imports_nothing_of_the_native_api(self):
+        loaded = modules_loaded_by("berylshift.daemon, berylshift.serve_entry")
         self.assertIn("berylshift.entry_application", loaded)
-        self.assertEqual([name for name in OWN_INTERFACE if name in loaded], [])
+        self.assertEqual([name for name in NATIVE_MODULES if name in loaded], [])
 
-    def test_the_command_line_loads_neither_interface(self):
-        loaded = loaded_with("berylshift.daemon")
+    def test_command_line_imports_neither_api(self):
+        loaded = modules_loaded_by("berylshift.daemon")
         self.assertNotIn("berylshift.entry_application", loaded)
         self.assertNotIn("berylshift.application", loaded)
 
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -1,4 +1,4 @@
-"""Whole-path tests: leaving targets and hosts, the table, the store's outages."""
+"""End-to-end tests: draining targets and hosts, table changes, store outages."""
 
 import unittest
 
@@ -22,13 +22,13 @@
 )
 from berylshift.version.diff import Edit
 
-# A leaving target gets no new work once every host has read the table again, or
-# has found that it can't: the poll interval, or the freshness limit.
-BOUND = TableSettings().freshness_limit + 0.5
+# A draining target gets no new work once each host has read the table again, after the
+# poll interval, or has found its own too old, after the freshness limit.
+MAX_DRAIN_SECONDS = TableSettings().freshness_limit + 0.5
 
 
 class Traffic:
-    """Calls at a steady rate, with where and when each went."""
+    """Calls at a steady rate; records when and where each one is sent."""
 
     def __init__(self, world, hosts):
         self.world = world
@@ -49,7 +49,7 @@
         load.note_sent = sent
 
     async def run(self, seconds: float) -> None:
-        """Send calls at all hosts in turn and wait for their answers."""
+        """Send calls to all hosts in turn and wait for their responses."""
         async with trio.open_nursery() as nursery:
             for number in range(int(seconds * 5)):
                 host = self.world.hosts[self.hosts[number % len(self.hosts)]]
@@ -62,23 +62,26 @@
         if ending.outcome is not Outcome.NOT_RUN:
             self.whole.append(text == expected_text(call))
 
-    def last_to(self, target: str, since: float) -> float:
-        """Return how long after ``since`` new work still went to a target."""
+    def last_sent_seconds(self, target: str, since: float) -> float:
+        """Return the seconds from ``since`` to the last new work for a target."""
         times = [at - since for at, _, name in self.sent if name == target]
         return max(times, default=0.0)
 
 
 async def mark(world, event: EventKind, who: str) -> float:
-    """Mark a target or host; return when that was accepted."""
+    """Apply a drain or withdrawal; return the time when it was accepted."""
     await VirtualFleet(world).act(TraceEvent(0, event, who))
     return trio.current_time()
 
 
-class LeavingTargetTest(unittest.TestCase):
-    """A target that is leaving receives no new work after a few seconds."""
+class DrainingTargetTest(unittest.TestCase):
+    """A draining target receives no new work after a few seconds."""
 
-    def drain_under(self, trouble) -> tuple[float, list[bool]]:
-        """Drain engine-1 in the middle of traffic and ``trouble``."""
+    def drain_during(self, fault) -> tuple[float, list[bool]]:
+        """Drain engine-1 under traffic, right after ``fault``.
+
+        Return the seconds until its last new work, and whether each response was whole.
+        """
 
         async def task(world):
             traffic = Traffic(world, ["host-1", "host-2", "host-3"])
@@ -86,45 +89,45 @@
 
             async def drain():
                 await trio.sleep(5)
-                await trouble(world)
+                await fault(world)
                 marked.append(await mark(world, EventKind.DRAIN, "engine-1"))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(traffic.run, 15)
                 nursery.start_soon(drain)
-            return traffic.last_to("engine-1", marked[0]), traffic.whole
+            return traffic.last_sent_seconds("engine-1", marked[0]), traffic.whole
 
         return run_world(task, small_rows(engines=3), hosts=3)
 
-    def assert_left(self, found):
-        last, whole = found
-        self.assertLessEqual(last, BOUND)
+    def assert_drained(self, found):
+        last_seconds, whole = found
+        self.assertLessEqual(last_seconds, MAX_DRAIN_SECONDS)
         self.assertEqual(whole, [True] * len(whole))
         self.assertGreater(len(whole), 40)
 
-    def test_plain_drain(self):
-        async def trouble(world):
+    def test_drain_without_faults(self):
+        async def fault(world):
             pass
 
-        self.assert_left(self.drain_under(trouble))
+        self.assert_drained(self.drain_during(fault))
 
-    def test_host_cut_off_from_the_store_hears_of_it_from_peers(self):
-        async def trouble(world):
+    def test_host_without_store_learns_of_drain_from_peers(self):
+        async def fault(world):
             world.store_links["host-2"].cut = True
 
-        self.assert_left(self.drain_under(trouble))
+        self.assert_drained(self.drain_during(fault))
 
-    def test_host_cut_off_from_store_and_peers_stops_by_itself(self):
-        # Host-2 can't know that the engine is leaving. It must not go on for ever
-        # by the table that it holds.
-        async def trouble(world):
+    def test_host_without_store_and_peers_stops_routing(self):
+        # Host-2 can't know that the engine is draining, so it must stop using its table
+        # after the freshness limit.
+        async def fault(world):
             world.store_links["host-2"].cut = True
             world.network.cut("host-2", "host-1")
             world.network.cut("host-2", "host-3")
 
-        self.assert_left(self.drain_under(trouble))
+        self.assert_drained(self.drain_during(fault))
 
-    def test_store_down_right_after_the_drain(self):
+    def test_store_outage_right_after_drain(self):
         async def task(world):
             traffic = Traffic(world, ["host-1", "host-2", "host-3"])
             marked = []
@@ -138,14 +141,14 @@
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(traffic.run, 15)
                 nursery.start_soon(drain)
-            return traffic.last_to("engine-1", marked[0]), traffic.whole
+            return traffic.last_sent_seconds("engine-1", marked[0]), traffic.whole
 
-        self.assert_left(run_world(task, small_rows(engines=3), hosts=3))
+        self.assert_drained(run_world(task, small_rows(engines=3), hosts=3))
 
     def test_draining_replica_gets_no_new_confirmation(self):
         async def task(world):
             await mark(world, EventKind.DRAIN, "booking-1")
-            await trio.sleep(BOUND)
+            await trio.sleep(MAX_DRAIN_SECONDS)
             before = world.services["booking-1"].calls
             for number in range(20):
                 call = plain_call(f"k{number}")
@@ -155,10 +158,10 @@
         self.assertEqual(run_world(task), (0, 20))
 
 
-class LeavingHostTest(unittest.TestCase):
-    """Hosts that operators mark."""
+class DrainingHostTest(unittest.TestCase):
+    """Hosts that operators drain or withdraw."""
 
-    def test_draining_host_turns_unready_and_serves_through_its_notice(self):
+    def test_draining_host_is_unready_and_serves_during_notice(self):
         async def task(world):
             host = world.hosts["host-1"]
             await mark(world, EventKind.DRAIN, "host-1")
@@ -174,7 +177,7 @@
         self.assertIs(during.outcome, Outcome.COMPLETE)
         self.assertIs(after.reason, Reason.DRAINING)
 
-    def test_withdrawn_host_takes_nothing(self):
+    def test_withdrawn_host_refuses_requests(self):
         async def task(world):
             await mark(world, EventKind.WITHDRAW, "host-1")
             await trio.sleep(2)
@@ -195,7 +198,7 @@
     def versions(self, world) -> list[int]:
         return [host.app.holder.table.version for host in world.hosts.values()]
 
-    def test_in_force_on_nine_hosts_within_two_polls(self):
+    def test_in_force_on_nine_hosts_within_two_poll_intervals(self):
         async def task(world):
             await self.edit(world, 1, 7)
             await trio.sleep(2)
@@ -203,7 +206,7 @@
 
         self.assertEqual(run_world(task, hosts=9), [2] * 9)
 
-    def test_one_host_that_read_it_spreads_it_while_the_store_is_down(self):
+    def test_peers_propagate_change_during_store_outage(self):
         async def task(world):
             await self.edit(world, 1, 7)
             await world.hosts["host-5"].app.follower._read_store()
@@ -213,7 +216,7 @@
 
         self.assertEqual(run_world(task, hosts=9), [2] * 9)
 
-    def test_process_that_starts_while_the_store_is_down_gets_it_from_peers(self):
+    def test_process_started_during_outage_gets_table_from_peers(self):
         async def task(world):
             world.platform.script.down = True
             host = world.hosts["host-2"]
@@ -225,7 +228,7 @@
 
         self.assertEqual(run_world(task, hosts=3), (1, Outcome.COMPLETE))
 
-    def test_process_that_finds_neither_store_nor_peers_is_not_ready(self):
+    def test_process_without_store_and_peers_is_not_ready(self):
         async def task(world):
             world.platform.script.down = True
             host = world.hosts["host-2"]
@@ -239,7 +242,7 @@
 
         self.assertEqual(run_world(task, hosts=3), (False, Reason.STALE_TABLE))
 
-    def test_lookups_and_models_go_on_through_a_long_outage(self):
+    def test_lookups_and_model_calls_survive_long_outage(self):
         async def task(world):
             world.platform.script.down = True
             await trio.sleep(120)
@@ -252,25 +255,25 @@
 
 
 class StoreReturnTest(unittest.TestCase):
-    """The store comes back after an outage."""
+    """The store recovers from an outage."""
 
-    def test_hosts_do_not_run_it_down(self):
-        # Nine hosts lost it at one moment. Their reads must not come back at one.
+    def test_hosts_do_not_overload_it(self):
+        # Nine hosts lost the store at once; their reads must not resume all at once.
         async def task(world):
             world.platform.script.down = True
             await trio.sleep(30)
             world.platform.script.down = False
             before = world.platform.reads + world.platform.transactions
             await trio.sleep(0.25)
-            soon = world.platform.reads + world.platform.transactions - before
+            early_calls = world.platform.reads + world.platform.transactions - before
             await trio.sleep(6)
             ages = [
                 host.app.fresh.store_age(trio.current_time())
                 for host in world.hosts.values()
             ]
-            return soon, max(ages), world.platform.throttled
+            return early_calls, max(ages), world.platform.throttled
 
-        soon, age, throttled = run_world(task, hosts=9)
-        self.assertLess(soon, 30)
+        early_calls, age, throttled = run_world(task, hosts=9)
+        self.assertLess(early_calls, 30)
         self.assertLess(age, 3.0)
         self.assertEqual(throttled, 0)
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -1,4 +1,4 @@
-"""Whole entry hosts: changes of routes and replicas, outages, phases of engines."""
+"""End-to-end tests of entry hosts: routes, replicas, store outages, engine phases."""
 
 import unittest
 
@@ -18,13 +18,14 @@
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import RouteKind, RouteTable
 
-# The platform's bounds: a change in force, and a leaving replica without new work.
+# The platform's time limits for a change to be in force, and for a draining replica to
+# get no more new work.
 IN_FORCE_SECONDS = 2.0
 DRAIN_SECONDS = 2.0
 
 
 def with_route(version: int, name: str = "new"):
-    """Return routes with one more."""
+    """Return the default routes with an additional one."""
     return routes(version, route(name, RouteKind.IDEMPOTENT))
 
 
@@ -39,11 +40,12 @@
 
         self.assertEqual(run_entry(task, hosts=3), [200] * 3)
 
-    def test_in_force_although_the_feed_is_silent_for_good(self):
-        """The feed's connection falls silent without an error, and a change comes.
+    def test_in_force_although_feed_connection_hangs(self):
+        """Guards against a feed connection that hangs without an error.
 
-        Only the wait's own end shows it. The next wait must bring the change, within
-        the bound that counts from the return of the connection.
+        A change is made while the connection hangs; only the timeout of the long poll
+        reveals it. The next poll must return the change, within the time limit counted
+        from the recovery of the connection.
         """
 
         async def task(world):
@@ -57,7 +59,7 @@
 
         self.assertEqual(run_entry(task), 200)
 
-    def test_in_force_although_the_history_was_dropped(self):
+    def test_in_force_although_feed_history_was_dropped(self):
         async def task(world):
             world.directory.put_routes(with_route(2))
             world.add_replica("late")
@@ -68,7 +70,7 @@
 
         self.assertEqual(run_entry(task), (200, 3))
 
-    def test_an_older_version_changes_nothing(self):
+    def test_older_version_is_ignored(self):
         async def task(world):
             world.directory.put_routes(with_route(5))
             await trio.sleep(0.2)
@@ -78,8 +80,8 @@
 
         self.assertEqual(run_entry(task), 200)
 
-    def test_requests_under_way_are_not_cut_by_a_change(self):
-        """A stream runs while its route is taken away."""
+    def test_route_change_does_not_cut_open_requests(self):
+        """A stream is open while its route is removed."""
 
         async def task(world):
             link = world.connect()
@@ -88,18 +90,18 @@
             )
             await trio.sleep(0.2)
             table = routes(2)
-            left = RouteTable(table.version, table.routes[:2], (), table.limits)
-            world.directory.put_routes(left)
+            remaining = RouteTable(table.version, table.routes[:2], (), table.limits)
+            world.directory.put_routes(remaining)
             return await link.read()
 
         reply = run_entry(task, engines="d")
         self.assertEqual((reply.body, reply.whole), (stream_body(1, 8), True))
 
 
-class LeavingReplicaTest(unittest.TestCase):
-    """Replicas that drain or are removed."""
+class DrainingReplicaTest(unittest.TestCase):
+    """Replicas that are draining or removed."""
 
-    def test_no_new_work_after_the_bound(self):
+    def test_no_new_work_after_the_time_limit(self):
         async def task(world):
             replica = world.replicas["10.0.0.1:80"]
             world.list_replica(replica, PLAIN, draining=True)
@@ -111,16 +113,16 @@
 
         self.assertEqual(run_entry(task), 0)
 
-    def test_the_answering_engine_is_chosen_after_the_prompt_is_read(self):
-        """The prompt's reading takes two seconds; meanwhile an engine begins to leave.
+    def test_decode_engine_is_chosen_after_prefill(self):
+        """Guards against a decode engine that was chosen before a long prefill.
 
-        Chosen before the reading, it would get the request long after it said that it
-        leaves. The engine that stays answers.
+        The prefill takes two seconds; meanwhile an engine starts draining. Chosen
+        before the prefill, it would get the request long after it announced the drain.
         """
 
         async def task(world):
-            reader, first, second = list(world.replicas.values())
-            reader.read_seconds = 1.5
+            prefill_engine, first, second = list(world.replicas.values())
+            prefill_engine.read_seconds = 1.5
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers())
             await trio.sleep(0.3)
@@ -144,7 +146,7 @@
 class StoreOutageTest(unittest.TestCase):
     """The platform's store does not answer."""
 
-    def test_a_running_host_serves_on(self):
+    def test_running_host_continues_to_serve(self):
         async def task(world):
             world.directory.down = True
             await trio.sleep(20)
@@ -153,7 +155,7 @@
 
         self.assertEqual(run_entry(task), (200, True))
 
-    def test_a_host_that_starts_without_it_is_not_ready_and_says_come_back(self):
+    def test_host_started_without_store_is_not_ready_and_refuses(self):
         async def task(world):
             world.directory.down = True
             app = await world.add_host("late")
@@ -166,7 +168,7 @@
 
         self.assertEqual(run_entry(task), (503, False, 200, True))
 
-    def test_replicas_that_lapsed_meanwhile_are_used_until_they_are_back(self):
+    def test_replicas_expired_during_outage_are_used_until_relisted(self):
         async def task(world):
             world.directory.down = True
             await trio.sleep(5)
@@ -185,11 +187,12 @@
 
         self.assertEqual(run_entry(task), [200] * 12)
 
-    def test_a_caller_that_finds_no_replica_comes_back_when_they_are_there(self):
-        """All hosts and the store went down together; the list fills up again.
+    def test_refusal_without_replicas_asks_to_retry_later(self):
+        """Guards against a retry that comes before the replicas are listed again.
 
-        A host that has just started reads it a second too early. The caller comes back
-        once: told to do so at once, it would be refused again.
+        All hosts and the store were down together, and the list of replicas is being
+        filled again. A host that has just started reads it a second too early. The
+        caller retries once, so an immediate retry would be refused again.
         """
 
         async def task(world):
@@ -203,11 +206,11 @@
         self.assertGreaterEqual(reply.retry_after_seconds, 0.8)
 
 
-class GoneReplicaTest(unittest.TestCase):
-    """What a process keeps of replicas that come and go."""
+class RemovedReplicaTest(unittest.TestCase):
+    """State that a process keeps for replicas."""
 
-    def test_replicas_that_are_gone_are_forgotten(self):
-        """Each start of a replica has a new name; a busy fleet has thousands a day."""
+    def test_state_of_removed_replicas_is_dropped(self):
+        """Replicas have a new name at each start; a busy fleet has thousands a day."""
 
         async def task(world):
             for number in range(20):
@@ -222,7 +225,7 @@
 
         self.assertEqual(run_entry(task), (2, 2))
 
-    def test_one_that_still_works_is_kept_until_its_request_ends(self):
+    def test_state_is_kept_until_the_last_request_ends(self):
         async def task(world):
             only = next(iter(world.replicas.values()))
             only.work_seconds = 1.0
@@ -240,7 +243,7 @@
 
 
 class PhaseTest(unittest.TestCase):
-    """The split of engines into reading and answering ones."""
+    """The split of engines into prefill and decode engines."""
 
     def run_world(self, task, letters: str, hosts: int = 3, **entry):
         async def main():
@@ -258,8 +261,8 @@
 
         return run_virtual(main)
 
-    async def relist(self, world, seconds: float) -> None:
-        """Let time pass; engines' entries follow their phases."""
+    async def advance_and_relist(self, world, seconds: float) -> None:
+        """Let time pass, updating the entries of engines that change phase."""
         listed = {}
         for _ in range(int(seconds / 0.5)):
             await trio.sleep(0.5)
@@ -268,9 +271,9 @@
                     listed[replica.instance] = replica.phase
                     world.list_replica(replica, ENGINES)
 
-    def test_one_host_orders_at_the_first_start(self):
+    def test_one_host_sends_orders_at_first_start(self):
         async def task(world):
-            await self.relist(world, 12)
+            await self.advance_and_relist(world, 12)
             orders = [len(rep.orders) for rep in world.replicas.values()]
             phases = [rep.phase for rep in world.replicas.values()]
             fences = {
@@ -281,18 +284,19 @@
         result = self.run_world(task, "ppppddddd", first_start="true")
         self.assertEqual(result, (2, 6, 1))
 
-    def test_a_split_that_is_nearly_right_is_left_alone(self):
+    def test_nearly_right_split_is_not_changed(self):
         async def task(world):
-            await self.relist(world, 20)
+            await self.advance_and_relist(world, 20)
             return sum(len(rep.orders) for rep in world.replicas.values())
 
         self.assertEqual(self.run_world(task, "pppppdddd"), 0)
 
-    def test_too_few_answering_engines_are_mended_at_once(self):
-        """Two of three answering engines leave; all streams would go to the last.
+    def test_lack_of_decode_engines_is_corrected_at_once(self):
+        """Guards against a slow reaction to draining decode engines.
 
-        Its batch grows until events come too late for everybody. A reading engine is
-        ordered to answer as soon as the leaving ones are seen, not seconds later.
+        Two of three decode engines drain, and all streams would go to the last one,
+        whose batch would grow until all events are late. A prefill engine is ordered
+        to decode as soon as the drain is seen, not seconds later.
         """
 
         async def task(world):
@@ -307,11 +311,12 @@
 
         self.assertLess(self.run_world(task, "ppppppddd"), 3)
 
-    def test_an_ordered_engine_is_used_although_the_store_is_down(self):
-        """An engine is ordered to answer; its entry can't follow, the store is down.
+    def test_engine_with_ordered_phase_is_used_during_store_outage(self):
+        """Guards against hosts that know an engine's phase only from its entry.
 
-        The last answering engine then dies. Hosts that only go by entries would refuse
-        every prompt until the store is back; the host that ordered has told them.
+        An engine is ordered to decode, but its entry can't be updated because the store
+        is down. Then the last decode engine crashes. Hosts that only read entries would
+        refuse all prompts until the store recovers; gossip must tell them the phase.
         """
 
         async def task(world):
@@ -323,13 +328,13 @@
             world.directory.down = True
             await trio.sleep(4)
             engines[4].alive = False
-            asked = [
+            replies = [
                 await world.ask(
                     "/note/x", f"r{n}", host=n % 3, headers=prompt_headers()
                 )
                 for n in range(6)
             ]
-            return [reply.status for reply in asked]
+            return [reply.status for reply in replies]
 
         self.assertEqual(self.run_world(task, "ppddd"), [200] * 6)
 
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -1,4 +1,4 @@
-"""Connections that a host closes while their callers use them."""
+"""Tests of connections that a host closes while callers use them."""
 
 import contextlib
 import unittest
@@ -20,25 +20,26 @@
 )
 from berylshift.version.routes import CallerLimits, RouteKind
 
-# Requests that a play's hosts read at least; with fewer it would show little.
+# Requests that the hosts of a scenario read at least; fewer would show little.
 MIN_REQUESTS = 200
 
 
 class ClosedUnreadTest(unittest.TestCase):
-    """A connection that the host closes although its caller has something on it."""
+    """A host closes a connection on which the caller has sent or awaits data."""
 
-    async def rest(self, process: HostProcess):
-        """Return a connection at rest after one answer."""
+    async def idle_connection(self, process: HostProcess):
+        """Return an idle connection after one response."""
         link = process.connect()
         await link.ask("/book/x", "r1")
         await trio.sleep(0.1)
         return link
 
-    def test_a_request_that_has_come_is_read_before_a_stop_closes(self):
-        """A host that leaves closes its connections at rest 2.5 s after the word.
+    def test_arrived_request_is_read_before_shutdown_closes_connection(self):
+        """Guards against a reset of an idle connection with an unread request.
 
-        A caller's next request lies in the kernel by then; the loop has not looked
-        yet. The connection is reset under it, though the host has 4.5 s left.
+        A host closes its idle connections 2.5 s after the stop signal. A caller's next
+        request is in the kernel by then, but the event loop has not polled yet. The
+        close would reset the connection, though the host has 4.5 s left.
         """
 
         async def task(world):
@@ -46,7 +47,7 @@
             world.directory.put_routes(routes(2, short))
             await trio.sleep(0.1)
             process = await start_process(world)
-            link = await self.rest(process)
+            link = await self.idle_connection(process)
             close_idle = process.app.server.close_idle
 
             def close_late():
@@ -60,41 +61,48 @@
 
         self.assertEqual(run_socket_world(task), (200, True))
 
-    def ask_after_newer(self, idle: float, rest: float) -> tuple[int, bool]:
-        """Have the bound change at rest, and ask once more after ``rest`` seconds."""
+    def ask_after_change(
+        self, timeout_seconds: float, idle_seconds: float
+    ) -> tuple[int, bool]:
+        """Change the idle timeout of an idle connection, then send a request on it.
+
+        The request is sent ``idle_seconds`` after the change.
+        """
 
         async def task(world):
             process = await start_process(world)
-            link = await self.rest(process)
-            newer = routes(2)
-            newer.limits = CallerLimits(idle_seconds=idle)
-            world.directory.put_routes(newer)
-            await trio.sleep(rest)
+            link = await self.idle_connection(process)
+            changed = routes(2)
+            changed.limits = CallerLimits(idle_seconds=timeout_seconds)
+            world.directory.put_routes(changed)
+            await trio.sleep(idle_seconds)
             reply = await link.ask("/book/x", "r2")
             return reply.status, reply.whole
 
         return run_socket_world(task)
 
-    def test_a_longer_rest_holds_for_connections_at_rest(self):
-        """The operator raises the bound on connections at rest from 15 to 60 s.
+    def test_raised_idle_timeout_applies_to_idle_connections(self):
+        """Guards against an idle connection that is closed by an outdated timeout.
 
-        Callers use connections again within four fifths of the last bound, 48 s. One
-        that was at rest when the bound changed is closed by the old one.
+        The operator raises the idle timeout from 15 to 60 s. Callers reuse connections
+        for up to four fifths of the latest timeout, 48 s. A connection that was idle
+        during the change would still be closed after 15 s.
         """
-        self.assertEqual(self.ask_after_newer(60.0, rest=40.0), (200, True))
+        self.assertEqual(self.ask_after_change(60.0, idle_seconds=40.0), (200, True))
 
-    def test_a_refusal_for_lack_of_room_reaches_its_caller(self):
-        """A caller connects to a host that holds as many connections as it may.
+    def test_refusal_at_connection_limit_reaches_caller(self):
+        """Guards against a refusal that is lost to a connection reset.
 
-        It is refused before its request is read, and the connection is closed with
-        the request unread: that resets it, and the reset takes the refusal along.
+        A caller connects to a host at its connection limit. It is refused before its
+        request is read; closing with the request unread resets the connection, and the
+        reset discards the refusal.
         """
 
         async def task(world):
             process = await start_process(world)
             app = process.app
             app.server.limits = replace(app.server.limits, connections=1)
-            await self.rest(process)
+            await self.idle_connection(process)
             reply = await process.connect(near_type=DelayedReadSocket).ask(
                 "/book/x", "r2"
             )
@@ -102,11 +110,12 @@
 
         self.assertEqual(run_socket_world(task), (503, True))
 
-    def test_a_refusal_of_a_long_body_reaches_its_caller(self):
-        """A caller announces a body over the bound and sends it.
+    def test_refusal_of_oversized_body_reaches_caller(self):
+        """Guards against a refusal that is lost to a connection reset.
 
-        It is refused by its head, and the connection is closed with the body unread.
-        The reset takes the refusal along, and the caller comes back with the same.
+        A caller announces and sends a body over the limit. It is refused by its
+        headers, and the connection is closed with the body unread. The reset discards
+        the refusal, and the caller repeats the same request.
         """
 
         async def task(world):
@@ -118,11 +127,12 @@
 
         self.assertEqual(run_socket_world(task), (413, True))
 
-    def test_the_last_answer_reaches_a_caller_that_has_sent_more(self):
-        """A caller sends a second request before its first answer has come.
+    def test_final_response_reaches_caller_that_pipelines(self):
+        """Guards against a response lost to a reset by the next, unread request.
 
-        A leaving host says with that answer that it is the last one, and closes with
-        the second request unread: the reset takes the answer along.
+        A caller sends a second request before the first response. A host shutting down
+        announces the close with that response, and closes with the second request
+        unread: the reset discards the response.
         """
 
         async def task(world):
@@ -139,19 +149,21 @@
 
         self.assertEqual(run_socket_world(task), (200, True))
 
-    def test_a_lower_bound_ends_no_rest_early(self):
-        """The operator lowers the bound on connections at rest from 15 to 1 s.
+    def test_lowered_idle_timeout_closes_no_idle_connection_early(self):
+        """Guards against closing a connection that its caller still expects open.
 
-        A caller that still goes by the older bound sends its next request after 10 s
-        on a connection that was at rest when the bound changed.
+        The operator lowers the idle timeout from 15 to 1 s. A caller that knows only
+        the old timeout sends its next request after 10 s, on a connection that was
+        idle during the change.
         """
-        self.assertEqual(self.ask_after_newer(1.0, rest=10.0), (200, True))
+        self.assertEqual(self.ask_after_change(1.0, idle_seconds=10.0), (200, True))
 
-    def test_a_refused_caller_that_stays_does_not_hold_a_stop_up(self):
-        """A caller was refused and neither reads on nor closes its connection.
+    def test_refused_caller_that_stays_does_not_delay_shutdown(self):
+        """Guards against a refused caller's connection that keeps a host running.
 
-        Its host reads on for a second, but that is no request: told to stop, it falls
-        quiet as if that caller were not there, and ends 3 s after the word.
+        A refused caller neither reads nor closes its connection. The host reads on for
+        a second, which is no request: it still becomes quiet, and exits 3 s after the
+        stop signal.
         """
 
         async def task(world):
@@ -167,11 +179,12 @@
 
         self.assertEqual(run_socket_world(task), (400, True, True))
 
-    def test_the_last_answer_survives_the_end_of_the_process(self):
-        """A stopping host ends at 7.2 s; its last answers went out at 7.0 s.
+    def test_final_response_survives_process_exit(self):
+        """Guards against final responses that the exit of the process discards.
 
-        Their callers have sent next requests, which the host does not read. The end of
-        the process would reset the connections, and erase what is not read yet.
+        A host sends its final responses 7.0 s after the stop signal and exits at 7.2 s.
+        Callers have sent further requests, which the host does not read. The exit would
+        reset the connections, and discard what the callers have not read yet.
         """
 
         async def task(world):
@@ -195,11 +208,12 @@
 
         self.assertEqual(run_socket_world(task), (504, True))
 
-    def test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused(self):
-        """A caller has sent half of a booking when all requests of its host end.
+    def test_partial_request_at_shutdown_deadline_is_refused(self):
+        """Guards against a partial request that is closed without a response.
 
-        Another caller's long request has kept the host until then. The half was sent
-        nowhere; closed without a word, the caller could not tell, and may not repeat.
+        A caller has sent part of a booking at the host's shutdown deadline; another
+        caller's long request kept the host running until then. The booking was not
+        forwarded, but without a response the caller can't know, and may not repeat it.
         """
 
         async def task(world):
@@ -221,11 +235,12 @@
 
         self.assertEqual(run_socket_world(task), (503, True, b"not-run"))
 
-    def test_a_request_that_is_being_sent_is_waited_for(self):
-        """A caller has sent the head of a booking, its body follows within a second.
+    def test_shutdown_waits_for_partial_request(self):
+        """Guards against an early exit while a request is being received.
 
-        The host that it reached is leaving and ends meanwhile, 4 s before it must.
-        The caller may not repeat the booking: the host has read some of it.
+        A caller has sent the headers of a booking, and the body follows within a
+        second. The host is shutting down and exits meanwhile, 4 s before its deadline.
+        The caller may not repeat the booking, since the host has read a part of it.
         """
 
         async def task(world):
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -1,4 +1,4 @@
-"""Planned stops of whole entry hosts."""
+"""End-to-end tests of the graceful shutdown of entry hosts."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 def request_endings(logs):
-    """Return outcome, whose time was up, and the stop's seconds of each request."""
+    """Return outcome, timeout source and shutdown seconds logged for each request."""
     return [
         (rec.outcome, rec.bound, rec.stopping_for)
         for rec in logs.records
@@ -28,15 +28,15 @@
     ]
 
 
-class PlannedStopTest(unittest.TestCase):
-    """SIGTERM: not ready at once, no request cut, the end within the grace."""
+class GracefulShutdownTest(unittest.TestCase):
+    """After SIGTERM: unready at once, no request cut, exit within the grace period."""
 
-    def stop(self, before, after, *more):
-        """Run ``before``, begin a stop, run ``after``; then wait for the stop's end.
+    def shut_down(self, before, after, *more):
+        """Run ``before``, begin a shutdown, run ``after``, and wait for its end.
 
-        ``more`` are routes beside the usual ones.
-        Return whether the host was ready once the stop began, what ``after`` returned,
-        the stop's seconds, and whether it had ended before ``after``.
+        ``more`` are additional routes. Return whether the host was ready after the
+        shutdown began, the result of ``after``, the duration of the shutdown in
+        seconds, and whether it had ended before ``after`` returned.
         """
 
         async def task(world):
@@ -44,7 +44,7 @@
             if more:
                 world.directory.put_routes(routes(2, *more))
                 await trio.sleep(0.1)
-            first = await before(world)
+            state = await before(world)
             start = trio.current_time()
             ended = trio.Event()
 
@@ -55,15 +55,15 @@
             world.nursery.start_soon(shutdown)
             await trio.sleep(0.01)
             ready = app.is_ready()
-            second = await after(world, first)
-            # A caller can't reach a host whose stop is over: such a test shows nothing.
-            too_soon = ended.is_set()
+            result = await after(world, state)
+            # Callers can't reach a host after its shutdown, so the test would be void.
+            ended_early = ended.is_set()
             await ended.wait()
-            return ready, second, trio.current_time() - start, too_soon
+            return ready, result, trio.current_time() - start, ended_early
 
         return run_entry(task, engines="d")
 
-    def test_a_stream_under_way_ends_whole(self):
+    def test_open_stream_completes(self):
         async def before(world):
             link = world.connect()
             headers = prompt_headers(70, prefix_tokens=0)
@@ -74,18 +74,19 @@
         async def after(world, link):
             return await link.read()
 
-        ready, reply, seconds, too_soon = self.stop(before, after)
+        ready, reply, seconds, ended_early = self.shut_down(before, after)
         self.assertFalse(ready)
-        self.assertFalse(too_soon)
+        self.assertFalse(ended_early)
         self.assertEqual((reply.body, reply.whole), (stream_body(1, 70), True))
         self.assertLess(seconds, 8)
 
-    def test_what_comes_too_late_is_refused_and_the_rest_gets_an_answer(self):
-        """Most hosts leave at once, and the balancer still sends callers to each.
+    def test_late_request_is_refused_and_open_one_is_answered(self):
+        """Guards against requests that are cut at the shutdown deadline.
 
-        One that comes with 3 s left or more is served, and is told at once when its
-        booking's desk stays silent to the end. One that comes later is refused at
-        once, which is true: its booking was not run. Neither is cut.
+        Most hosts shut down at once, and the load balancer still sends requests to
+        each. One that arrives 3 s or more before the deadline is forwarded, and gets a
+        response at the deadline if its replica stays unresponsive. A later one is
+        refused at once, correctly as not run. Neither is cut.
         """
 
         async def before(world):
@@ -106,19 +107,19 @@
             early = await waiting.read()
             return late, early, arrived
 
-        _, (late, early, arrived), seconds, _ = self.stop(before, after)
+        _, (late, early, arrived), seconds, _ = self.shut_down(before, after)
         self.assertEqual((late.status, late.whole), (503, True))
         self.assertGreater(late.retry_after_seconds, 0)
         self.assertEqual(arrived, {"r1"})
         self.assertEqual((early.status, early.whole), (504, True))
         self.assertLess(seconds, 8)
 
-    def test_a_stream_that_may_last_too_long_is_refused(self):
-        """Most hosts leave at once; a caller's stream comes 3.7 s after the word.
+    def test_stream_that_may_exceed_deadline_is_refused(self):
+        """Guards against accepting a stream that the shutdown deadline cuts.
 
-        It would last 3.5 s and be cut 3.3 s later: its caller would hold half of it.
-        Refused at once, it has time for another host. A look-up that lasts a second at
-        most is still served.
+        Most hosts shut down at once; a stream arrives 3.7 s after the stop signal. It
+        would last 3.5 s and be cut after 3.3 s. Refused at once, its caller has time to
+        try another host. A lookup that takes at most a second is still served.
         """
 
         async def before(world):
@@ -126,7 +127,7 @@
             busy = route("busy", RouteKind.STREAM, timeout=30.0, **PROMPTED)
             world.directory.put_routes(routes(2, look, busy))
             await trio.sleep(0.1)
-            # A host that is kept busy does not fall quiet before the stop's end.
+            # An open request keeps the host from exiting before the deadline.
             link = world.connect()
             headers = prompt_headers(400, prefix_tokens=0)
             await link.send("/busy/x", "r0", headers=headers, left_ms=30_000)
@@ -140,45 +141,46 @@
             look = await world.ask("/quick/x", "r2")
             return (note.status, note.whole), look.status
 
-        _, found, _, too_soon = self.stop(before, after)
-        self.assertFalse(too_soon)
+        _, found, _, ended_early = self.shut_down(before, after)
+        self.assertFalse(ended_early)
         self.assertEqual(found, ((503, True), 200))
 
-    def test_what_was_taken_is_never_given_up(self):
-        """A caller's stream breaks off in the middle although its host had a choice.
+    def test_accepted_request_is_never_cut(self):
+        """Guards against accepting a stream that the shutdown deadline may cut.
 
-        Most hosts of a domain stop at once, so the balancer still uses each of them. A
-        long prompt comes seconds after SIGTERM and is taken; its stream is well within
-        the time of route and caller when the host ends and cuts it.
+        Most hosts of a failure domain shut down at once, so the load balancer still
+        uses each of them. A long prompt arrives seconds after SIGTERM and is accepted;
+        its stream is well within the timeouts of route and caller when the host exits.
 
-        Evidence: wherever the request begins, it is cut at the end of the stop (`bound`
-        stop in its line), never at its own; the same request to a host that does not
-        stop is whole. The host took it by how long most requests last, which nothing
-        ties to its own end. It must refuse at once what it may not have time for.
+        Whenever the request arrives, it is cut at the shutdown deadline (`bound` stop
+        in its log line), never at its own; another host completes the same request.
+        Accepting requests by their usual duration alone is not tied to the deadline:
+        the host must refuse at once whatever may not end in time.
         """
         broken = []
         for timeout in (1.0, 2.0, 4.0, 6.0, 8.0):
-            for come in (0.0, 0.5, 1.5, 2.4, 2.6, 3.7, 5.0, 6.5):
-                reply, seconds = self.ask_while_stopping(timeout, come)
+            for delay in (0.0, 0.5, 1.5, 2.4, 2.6, 3.7, 5.0, 6.5):
+                reply, seconds = self.ask_while_stopping(timeout, delay)
                 refused = (
                     reply.status == 503
                     and seconds < 0.1
                     and reply.retry_after_seconds > 0
                 )
                 if not (refused or (reply.status == 200 and reply.whole)):
-                    broken.append((timeout, come, reply.status, round(seconds, 1)))
+                    broken.append((timeout, delay, reply.status, round(seconds, 1)))
         self.assertEqual(broken, [])
 
-    def ask_while_stopping(self, timeout, come):
-        """Ask a stopping host for a stream that lasts nearly its whole time.
+    def ask_while_stopping(self, timeout, delay):
+        """Request a stream that nearly reaches its timeout from a stopping host.
 
-        Return the reply and the seconds that it took.
+        ``delay`` is the time in seconds since the stop signal. Return the reply and
+        its duration in seconds.
         """
 
         async def before(world):
             for replica in world.replicas.values():
                 replica.piece_seconds = 0.9 * timeout / 10
-            # A host that is kept busy does not fall quiet before the stop's end.
+            # An open request keeps the host from exiting before the deadline.
             link = world.connect()
             headers = prompt_headers(400, prefix_tokens=0)
             await link.send("/long/x", headers=headers, left_ms=30_000)
@@ -186,7 +188,7 @@
             return link
 
         async def after(world, _):
-            await trio.sleep(come)
+            await trio.sleep(delay)
             start = trio.current_time()
             headers = prompt_headers(10, prefix_tokens=0)
             reply = await world.ask("/asked/x", "r2", headers=headers, left_ms=20_000)
@@ -194,33 +196,36 @@
 
         long = route("long", RouteKind.STREAM, timeout=30.0, **PROMPTED)
         asked = route("asked", RouteKind.STREAM, timeout=timeout, **PROMPTED)
-        _, found, _, too_soon = self.stop(before, after, long, asked)
-        self.assertFalse(too_soon)
+        _, found, _, ended_early = self.shut_down(before, after, long, asked)
+        self.assertFalse(ended_early)
         return found
 
-    def test_short_requests_are_taken_while_the_balancer_can_not_know(self):
-        """Most hosts stop at once; a caller that is refused meets the next one of them.
+    def test_short_requests_are_accepted_until_load_balancer_reacts(self):
+        """Guards against needless refusals while the load balancer still sends callers.
 
-        Streams have half a second each and may take 8 s. For 2.5 s after SIGTERM they
-        are served, as those of just now tell that they end in time. Then only what may
-        not outlast the stop is: the balancer has had the time to choose another host.
+        Most hosts shut down at once; a refused caller reaches the next one of them.
+        Streams last half a second and have a timeout of 8 s. For 2.5 s after SIGTERM
+        they are accepted, since the durations of recent streams show that they end in
+        time. After that the load balancer has had time to choose another host, and
+        only requests that can't exceed the deadline are accepted.
         """
-        statuses = self.ask_after_others(lasting=0.5)
+        statuses = self.ask_after_streams(stream_seconds=0.5)
         self.assertEqual(statuses, [200, 200, 200, 503, 503])
 
-    def test_requests_that_have_lasted_long_are_not_taken(self):
-        """The same, but the streams before took 5 s: one more may outlast the stop."""
-        self.assertEqual(self.ask_after_others(lasting=5.0), [503] * 5)
+    def test_long_requests_are_refused_at_once(self):
+        """The same with recent streams of 5 s: another one may exceed the deadline."""
+        self.assertEqual(self.ask_after_streams(stream_seconds=5.0), [503] * 5)
 
-    def ask_after_others(self, lasting):
-        """Have streams last so long, then stop the host; return what callers get.
+    def ask_after_streams(self, stream_seconds):
+        """Serve streams of ``stream_seconds`` seconds, then shut down and send more.
 
-        They come 0, 1, 2, 3 and 4 s after SIGTERM and may take 8 s.
+        These arrive 0, 1, 2, 3 and 4 s after SIGTERM with a timeout of 8 s. Return
+        their statuses.
         """
 
         async def before(world):
             for replica in world.replicas.values():
-                replica.piece_seconds = lasting / 10
+                replica.piece_seconds = stream_seconds / 10
             links = [world.connect() for _ in range(10)]
             for number, link in enumerate(links):
                 headers = prompt_headers(10, prefix_tokens=0)
@@ -232,7 +237,7 @@
             for replica in world.replicas.values():
                 replica.piece_seconds = 0.05
                 replica.work_seconds = 30.0
-            # A host that is kept busy does not fall quiet before the stop's end.
+            # An open request keeps the host from exiting before the deadline.
             busy = world.connect()
             await busy.send("/busy/x", "b", left_ms=20_000)
             await trio.sleep(0.1)
@@ -253,12 +258,12 @@
         asked = route("asked", RouteKind.STREAM, timeout=8.0, **PROMPTED)
         busy = route("busy", RouteKind.AT_MOST_ONCE, timeout=20.0)
 
-        _, found, _, too_soon = self.stop(before, after, asked, busy)
-        self.assertFalse(too_soon)
+        _, found, _, ended_early = self.shut_down(before, after, asked, busy)
+        self.assertFalse(ended_early)
         return found
 
-    def test_callers_that_still_come_are_served(self):
-        """The balancer needs two seconds to see that the host is not ready."""
+    def test_late_callers_are_served(self):
+        """The load balancer needs two seconds to see that the host is not ready."""
 
         async def before(world):
             return None
@@ -271,12 +276,12 @@
                 statuses.append((reply.status, reply.headers.get(b"connection")))
             return statuses
 
-        _, statuses, seconds, too_soon = self.stop(before, after)
-        self.assertFalse(too_soon)
+        _, statuses, seconds, ended_early = self.shut_down(before, after)
+        self.assertFalse(ended_early)
         self.assertEqual(statuses, [(200, b"close")] * 20)
         self.assertLess(seconds, 8)
 
-    def test_the_end_comes_within_the_grace_whatever_hangs(self):
+    def test_hanging_replica_does_not_delay_exit_beyond_grace(self):
         async def before(world):
             for replica in world.replicas.values():
                 replica.faults = [Fault.MUTE]
@@ -288,13 +293,13 @@
         async def after(world, link):
             return None
 
-        _, _, seconds, _ = self.stop(before, after)
+        _, _, seconds, _ = self.shut_down(before, after)
         self.assertLess(seconds, 7.5)
 
-    def test_logs_tell_that_the_stop_ended_a_request(self):
-        """A caller's stream ends early: it was open when its host got SIGTERM.
+    def test_log_names_shutdown_as_cause(self):
+        """A stream that was open at SIGTERM is cut at the shutdown deadline.
 
-        The host's line must say that the stop ended it, and not the caller's time.
+        The log line must name the shutdown as the cause, and not the caller's timeout.
         """
 
         async def before(world):
@@ -308,11 +313,11 @@
 
         long = route("long", RouteKind.STREAM, timeout=20.0, **PROMPTED)
         with self.assertLogs(HANDLER_LOG, "INFO") as logs:
-            self.stop(before, after, long)
+            self.shut_down(before, after, long)
         self.assertEqual(request_endings(logs), [("cut", "stop", 7.0)])
 
-    def test_logs_tell_that_the_routes_time_ended_a_request(self):
-        """The same cut, but the route's time was up: no stop is to blame."""
+    def test_log_names_route_timeout_as_cause(self):
+        """A stream is cut by its route's timeout, without a shutdown."""
 
         async def task(world):
             long = route("long", RouteKind.STREAM, timeout=2.0, **PROMPTED)
@@ -326,8 +331,8 @@
             run_entry(task, engines="d")
         self.assertEqual(request_endings(logs), [("cut", "route", None)])
 
-    def test_logs_tell_a_caller_that_left_from_a_process_that_ended(self):
-        """Both cancel the request; only the second is the host's doing."""
+    def test_log_distinguishes_caller_disconnect_from_process_exit(self):
+        """Both cancel the request, but only the second is caused by the host."""
 
         async def leave(world, link):
             await link.close()
@@ -350,7 +355,7 @@
             self.assertEqual(request_endings(logs), [(outcome, None, None)])
 
     async def send_long_stream(self, link):
-        """Ask for a stream of 10 s with 20 s left."""
+        """Request a stream of 10 s with 20 s left."""
         headers = prompt_headers(200, prefix_tokens=0)
         await link.send("/long/x", headers=headers, left_ms=20_000)
 
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -1,4 +1,4 @@
-"""Whole path of engines that start again under their names."""
+"""End-to-end tests of engines that restart under the same name."""
 
 import unittest
 
@@ -10,70 +10,75 @@
 from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
 
-FIRST, SECOND = 1_700_000_000_000, 1_700_000_009_000
-SEEN_SECONDS = 1.0
-ROOM = 400_000
+FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_009_000
+FEED_DELAY_SECONDS = 1.0
+KV_CAPACITY_TOKENS = 400_000
 
 
-class StartAgainTest(unittest.TestCase):
-    """An engine crashes and is back under its name before its entry lapses.
+class RestartTest(unittest.TestCase):
+    """An engine crashes and restarts under its name before its entry expires.
 
-    It keeps nothing. A host that goes by the name alone sends it prompts for parts
-    that it no longer keeps, holds its old failures against it, counts work that died
-    with it, and uses connections that lead nowhere.
+    It has lost its state. A host that identifies it by name alone would route prompts
+    to it for blocks that are no longer cached, hold old failures against it, count
+    requests that were lost, and reuse dead connections.
     """
 
-    def test_nothing_of_the_former_start_is_believed_of_the_new_one(self):
+    def test_state_of_the_old_instance_is_not_used(self):
         async def task(world):
             host, engine = world.hosts[0], world.replicas["10.0.0.1:80"]
-            await self.start(world, engine, FIRST)
+            await self.start(world, engine, FIRST_START_MS)
             await world.ask("/note/x", headers=prompt_headers())
-            former = InstanceId(f"engine-1@{FIRST}")
+            old_instance = InstanceId(f"engine-1@{FIRST_START_MS}")
             now = host.ports.clock.monotonic()
-            kept_before = host.prefix_cache.is_cached(PartId("a1"), former, ROOM)
-            host.loads.note_failure(former, SEVERE_FAILURE, now)
-            host.phases.record_order(former, EnginePhase.DECODE, now)
-            await self.start(world, engine, SECOND)
+            cached_before = host.prefix_cache.is_cached(
+                PartId("a1"), old_instance, KV_CAPACITY_TOKENS
+            )
+            host.loads.note_failure(old_instance, SEVERE_FAILURE, now)
+            host.phases.record_order(old_instance, EnginePhase.DECODE, now)
+            await self.start(world, engine, SECOND_START_MS)
             reply = await world.ask("/note/x", "r2", headers=prompt_headers(block="b2"))
-            return kept_before, host, reply
+            return cached_before, host, reply
 
-        kept_before, host, reply = run_entry(task, plain=0, engines="pd")
-        (reader,) = host.replicas.pool(ENGINES).prefill_engines
+        cached_before, host, reply = run_entry(task, plain=0, engines="pd")
+        (prefill_engine,) = host.replicas.pool(ENGINES).prefill_engines
         now = 0.0
-        self.assertTrue(kept_before)
-        self.assertEqual(reader.instance, f"engine-1@{SECOND}")
+        self.assertTrue(cached_before)
+        self.assertEqual(prefill_engine.instance, f"engine-1@{SECOND_START_MS}")
         self.assertFalse(
-            host.prefix_cache.is_cached(PartId("a1"), reader.instance, ROOM)
+            host.prefix_cache.is_cached(
+                PartId("a1"), prefill_engine.instance, KV_CAPACITY_TOKENS
+            )
         )
-        self.assertEqual(host.loads.of(reader.instance).failures(now), 0.0)
-        self.assertFalse(host.phases.has_pending_order(reader.instance, now))
+        self.assertEqual(host.loads.of(prefill_engine.instance).failures(now), 0.0)
+        self.assertFalse(host.phases.has_pending_order(prefill_engine.instance, now))
         self.assertEqual((reply.status, reply.whole), (200, True))
 
-    def test_a_connection_to_the_former_start_is_not_used_again(self):
+    def test_connection_to_the_old_instance_is_not_reused(self):
         async def task(world):
             engine = world.replicas["10.0.0.1:80"]
-            await self.start(world, engine, FIRST)
+            await self.start(world, engine, FIRST_START_MS)
             await world.ask("/note/x", headers=prompt_headers(prefix_tokens=0))
             before = world.dials
-            await self.start(world, engine, SECOND)
+            await self.start(world, engine, SECOND_START_MS)
             await world.ask("/note/x", "r2", headers=prompt_headers(prefix_tokens=0))
             return world.dials - before, world.hosts[0].ports.client.kept_targets
 
         self.assertEqual(run_entry(task, plain=0, engines="d"), (1, 1))
 
-    def test_no_order_goes_to_another_start_than_the_one_it_was_meant_for(self):
-        """An engine is to change phase; it has started again, its entry has not.
+    def test_order_is_not_executed_by_another_instance(self):
+        """Guards against an order that a restarted engine executes.
 
-        The plan counts on what the former start was. Carried out by the new one, it
-        could take the last engine of a phase away.
+        An engine with an order to change phase has restarted, but its entry is still
+        the old one. The plan is based on the old instance; executed by the new one, it
+        could remove the last engine of a phase.
         """
 
         async def task(world):
             engines = list(world.replicas.values())
             for engine in engines:
-                await self.start(world, engine, FIRST)
+                await self.start(world, engine, FIRST_START_MS)
             for engine in engines:
-                engine.start_again(SECOND)
+                engine.start_again(SECOND_START_MS)
             with self.assertLogs("berylshift.process.leader_tasks.phase_loop") as logs:
                 world.list_replica(engines[-1], ENGINES, draining=True)
                 await trio.sleep(10)
@@ -85,10 +90,10 @@
         self.assertEqual(orders, [[]] * 5)
 
     async def start(self, world, engine, started_ms: int) -> None:
-        """Start an engine, list it, and let the host see it."""
+        """Restart an engine, list it, and wait until the host sees it."""
         engine.start_again(started_ms)
         world.list_replica(engine, ENGINES)
-        await trio.sleep(SEEN_SECONDS)
+        await trio.sleep(FEED_DELAY_SECONDS)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_layout.py
+++ b/berylshift/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""Who may import whom among the rooms of ``process/``."""
+"""Tests of the import rules between the packages of ``process/``."""
 
 import ast
 import unittest
@@ -7,9 +7,9 @@
 import berylshift
 
 PACKAGE = Path(berylshift.__file__).parent
-# What each room may import of the others. Those of the own interface still lean on each
+# Packages that each package may import. Those of the native API still depend on each
 # other and are left out.
-ALLOWED = {
+ALLOWED_IMPORTS = {
     "targets": set(),
     "directory": set(),
     "quarantine": {"directory"},
@@ -21,34 +21,34 @@
 PREFIX = "berylshift.process."
 
 
-def rooms_imported(path: Path) -> set[str]:
-    """Return the rooms of ``process/`` that a module imports."""
+def packages_imported(path: Path) -> set[str]:
+    """Return the packages of ``process/`` that a module imports."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
-    modules = [node.module for node in ast.walk(tree) if _is_from(node)]
+    modules = [node.module for node in ast.walk(tree) if _is_from_import(node)]
     found = [name.removeprefix(PREFIX) for name in modules if name.startswith(PREFIX)]
     return {name.partition(".")[0] for name in found}
 
 
-def _is_from(node: ast.AST) -> bool:
+def _is_from_import(node: ast.AST) -> bool:
     return isinstance(node, ast.ImportFrom) and node.module is not None
 
 
 class LayoutTest(unittest.TestCase):
-    """Imports follow the order of the rooms."""
-
-    def test_rooms_import_only_what_they_may(self):
-        """Guards against circles: a room could no longer be read or tested alone."""
-        for room, allowed in ALLOWED.items():
-            for path in (PACKAGE / "process" / room).glob("*.py"):
-                with self.subTest(module=f"{room}/{path.name}"):
-                    self.assertLessEqual(rooms_imported(path) - {room}, allowed)
-
-    def test_decisions_in_process_know_no_connection_and_no_platform(self):
-        """Guards against a decision that can't be played without a network."""
-        for room in ALLOWED:
-            for path in (PACKAGE / "process" / room).glob("*.py"):
+    """Imports follow the allowed dependencies."""
+
+    def test_packages_import_only_what_is_allowed(self):
+        """Guards against import cycles between packages."""
+        for package, allowed in ALLOWED_IMPORTS.items():
+            for path in (PACKAGE / "process" / package).glob("*.py"):
+                with self.subTest(module=f"{package}/{path.name}"):
+                    self.assertLessEqual(packages_imported(path) - {package}, allowed)
+
+    def test_process_packages_do_not_import_connection_or_platform(self):
+        """Guards against decision logic that can't be simulated without a network."""
+        for package in ALLOWED_IMPORTS:
+            for path in (PACKAGE / "process" / package).glob("*.py"):
                 text = path.read_text(encoding="utf-8")
-                with self.subTest(module=f"{room}/{path.name}"):
+                with self.subTest(module=f"{package}/{path.name}"):
                     self.assertNotIn("berylshift.platform", text)
                     self.assertNotIn("berylshift.connection", text)
 
--- a/berylshift/tests/test_log.py
+++ b/berylshift/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, never blocking, one JSON object a line."""
+"""Tests of the logs: rate-limited, non-blocking, one JSON object per line."""
 
 import json
 import logging
@@ -17,7 +17,7 @@
 
 
 class ListSink:
-    """Keeps lines; ``full`` refuses them."""
+    """Collects lines; refuses them while ``full`` is set."""
 
     def __init__(self) -> None:
         self.lines: list[dict] = []
@@ -31,7 +31,7 @@
 
 
 class BoundedHandlerTest(unittest.TestCase):
-    """What is written under load."""
+    """Rate limits and dropped lines."""
 
     def setUp(self):
         self.time = 0.0
@@ -41,7 +41,7 @@
         self.logger = logging.Logger("x", logging.INFO)
         self.logger.addHandler(handler)
 
-    def test_a_flood_of_one_message_is_sampled_and_counted(self):
+    def test_excess_lines_of_one_message_are_counted_not_written(self):
         for number in range(1000):
             self.logger.info("request ended", extra={"request": number})
         self.logger.info("settings reloaded")
@@ -52,13 +52,13 @@
         self.assertIn("settings reloaded", texts)
         self.assertEqual(self.sink.lines[-1]["left_out"], 1000 - BURST_LINES)
 
-    def test_a_steady_rate_is_written_whole(self):
+    def test_lines_within_the_rate_are_all_written(self):
         for tick in range(10 * LINES_PER_SECOND):
             self.time = tick / LINES_PER_SECOND
             self.logger.info("request ended")
         self.assertEqual(len(self.sink.lines), 10 * LINES_PER_SECOND)
 
-    def test_what_can_not_be_written_is_counted(self):
+    def test_lines_that_can_not_be_written_are_counted(self):
         self.sink.full = True
         for _ in range(3):
             self.logger.info("a")
@@ -68,20 +68,20 @@
 
 
 class DescriptorSinkTest(unittest.TestCase):
-    """A reader that does not read."""
-
-    def test_full_pipe_does_not_block_and_lines_stay_whole(self):
-        """Nobody reads standard output: a blocking write would stop every request."""
-        reading, writing = os.pipe()
-        self.addCleanup(os.close, reading)
-        self.addCleanup(os.close, writing)
-        sink = DescriptorSink(writing)
+    """A pipe whose reader does not read."""
+
+    def test_full_pipe_does_not_block_or_cut_lines(self):
+        """Guards against a blocking write to standard output, which stops requests."""
+        read_fd, write_fd = os.pipe()
+        self.addCleanup(os.close, read_fd)
+        self.addCleanup(os.close, write_fd)
+        sink = DescriptorSink(write_fd)
         line = b"x" * 999 + b"\n"
         written = sum(sink.write(line) for _ in range(500))
         self.assertLess(written, 500)
-        data = os.read(reading, 1 << 20)
+        data = os.read(read_fd, 1 << 20)
         self.assertTrue(sink.write(b"y\n"))
-        data += os.read(reading, 1 << 20)
+        data += os.read(read_fd, 1 << 20)
         lines = data.split(b"\n")
         self.assertEqual({len(part) for part in lines[:-2]}, {999})
         self.assertEqual(lines[-2], b"y")
--- a/berylshift/tests/test_reload.py
+++ b/berylshift/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""Settings that change while the process runs."""
+"""Tests of reloading settings while the process runs."""
 
 import tempfile
 import unittest
@@ -14,58 +14,58 @@
 
 
 class SettingsFileTest(VirtualTestCase):
-    """A file that is rewritten under a running process."""
+    """A settings file that changes while a process runs."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name, "host.ini")
         self.write(0.2)
-        self.adopted: list[float] = []
+        self.applied: list[float] = []
         cfg = read_settings(str(self.path)).unwrap()
-        self.file = SettingsFile(str(self.path), cfg, self.adopt)
+        self.file = SettingsFile(str(self.path), cfg, self.apply)
 
-    def adopt(self, cfg) -> None:
-        self.adopted.append(cfg.entry.retry_ratio)
+    def apply(self, cfg) -> None:
+        self.applied.append(cfg.entry.retry_ratio)
 
     def write(self, ratio: object) -> None:
         self.path.write_text(TEXT.format(ratio=ratio), encoding="utf-8")
 
-    def test_signal(self):
+    def test_signal_reloads_settings(self):
         self.write(0.35)
         self.file.reload("SIGHUP")
-        self.assertEqual(self.adopted, [0.35])
+        self.assertEqual(self.applied, [0.35])
 
-    def test_bad_settings_leave_the_last_good_ones(self):
+    def test_invalid_settings_keep_the_last_valid_ones(self):
         self.write("much")
         with self.assertLogs("berylshift.reload", "ERROR") as logs:
             self.file.reload("SIGHUP")
-        self.assertEqual(self.adopted, [])
+        self.assertEqual(self.applied, [])
         self.assertIn("retry_ratio", str(logs.records[0].reasons))
 
-    def test_a_file_that_is_no_text_leaves_the_last_good_ones(self):
-        """A file of settings is read while it is written, or is damaged.
+    def test_undecodable_file_keeps_the_last_valid_settings(self):
+        """Guards against a reload that ends the process.
 
-        The word to read it anew ends the process: all callers' connections close with
-        their requests under way.
+        The file is read while it is being written, or is corrupt. An exception would
+        end the process, and cut all open requests.
         """
-        damaged = (b"[host]\nname = \xff\n", "[host]\naddress = 10.0.0.1:\u00b2\n")
-        for data in damaged:
+        corrupt = (b"[host]\nname = \xff\n", "[host]\naddress = 10.0.0.1:\u00b2\n")
+        for data in corrupt:
             with self.subTest(data=data):
                 text = TEXT.format(ratio=0.5).replace("[host]\n", "")
                 start = data if isinstance(data, bytes) else data.encode()
                 self.path.write_bytes(start + text.encode())
                 with self.assertLogs("berylshift.reload", "ERROR"):
                     self.file.reload("SIGHUP")
-                self.assertEqual(self.adopted, [])
+                self.assertEqual(self.applied, [])
 
-    def test_missing_file_leaves_the_last_good_ones(self):
+    def test_missing_file_keeps_the_last_valid_settings(self):
         self.path.unlink()
         with self.assertLogs("berylshift.reload", "ERROR"):
             self.file.reload("SIGHUP")
-        self.assertEqual(self.adopted, [])
+        self.assertEqual(self.applied, [])
 
-    def test_change_without_a_signal_is_seen(self):
+    def test_change_without_signal_is_detected(self):
         async def task():
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self.file.watch)
@@ -75,9 +75,9 @@
                 nursery.cancel_scope.cancel()
 
         self.run_virtual(task)
-        self.assertEqual(self.adopted, [0.125])
+        self.assertEqual(self.applied, [0.125])
 
-    def test_what_needs_a_restart_is_named(self):
+    def test_sections_that_need_a_restart_are_logged(self):
         text = TEXT.format(ratio=0.2).replace("domain = b", "domain = c")
         self.path.write_text(text, encoding="utf-8")
         with self.assertLogs("berylshift.reload", "INFO") as logs:
--- a/berylshift/tests/test_settings.py
+++ b/berylshift/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of the settings: defaults, checks, and the daemon's report of faults."""
+"""Tests of the settings: defaults, validation, and the daemon's ``--check``."""
 
 import tempfile
 import unittest
@@ -19,14 +19,14 @@
 
 
 class ParseTest(unittest.TestCase):
-    """Reading INI text."""
+    """Parsing INI text."""
 
-    def test_only_the_host_needs_values(self):
+    def test_only_host_settings_are_required(self):
         cfg = parse_settings(HOST).unwrap()
         self.assertEqual(cfg.host.name, "host-1")
         self.assertEqual(cfg.table.poll_interval, 1.0)
 
-    def test_every_default_passes_its_own_check(self):
+    def test_every_default_is_valid(self):
         lines = [HOST]
         for section, values in DEFAULT_CONFIG.items():
             if section == "host":
@@ -35,39 +35,39 @@
             lines += [f"{key} = {value}" for key, value in values.items()]
         self.assertEqual(parse_settings("\n".join(lines)), parse_settings(HOST))
 
-    def test_all_faults_are_listed_with_section_key_value_and_allowed(self):
+    def test_all_errors_are_listed_with_section_key_value_and_allowed(self):
         text = HOST + "[table]\npoll_interval = often\n[policy]\nretry_share = 2\n"
-        faults = parse_settings(text).failure()
+        errors = parse_settings(text).failure()
         self.assertEqual(
-            [(fault.section, fault.key, fault.value) for fault in faults],
+            [(error.section, error.key, error.value) for error in errors],
             [("table", "poll_interval", "often"), ("policy", "retry_share", "2")],
         )
-        self.assertIn("<= 1", faults[1].allowed)
+        self.assertIn("<= 1", errors[1].allowed)
 
-    def test_unknown_key_names_the_nearest_known_one(self):
-        faults = parse_settings(HOST + "[table]\npoll_intervall = 1\n").failure()
-        self.assertIn("nearest known one is poll_interval", faults[0].allowed)
+    def test_unknown_key_suggests_the_nearest_known_one(self):
+        errors = parse_settings(HOST + "[table]\npoll_intervall = 1\n").failure()
+        self.assertIn("nearest known one is poll_interval", errors[0].allowed)
 
-    def test_unknown_section_names_the_nearest_known_one(self):
-        faults = parse_settings(HOST + "[tables]\n").failure()
-        self.assertIn("nearest known one is table", faults[0].allowed)
+    def test_unknown_section_suggests_the_nearest_known_one(self):
+        errors = parse_settings(HOST + "[tables]\n").failure()
+        self.assertIn("nearest known one is table", errors[0].allowed)
 
-    def test_missing_host_is_a_fault(self):
-        keys = {fault.key for fault in parse_settings("").failure()}
+    def test_missing_host_section_is_an_error(self):
+        keys = {error.key for error in parse_settings("").failure()}
         self.assertEqual(keys, {"name", "domain"})
 
-    def test_values_that_contradict_each_other_are_faults(self):
+    def test_contradicting_values_are_errors(self):
         text = HOST + "[leases]\nterm = 2\n[table]\nfreshness_limit = 0.5\n"
-        keys = [fault.key for fault in parse_settings(text).failure()]
+        keys = [error.key for error in parse_settings(text).failure()]
         self.assertEqual(keys, ["freshness_limit", "term"])
 
     def test_choices_and_addresses_are_checked(self):
         text = HOST + "[policy]\nrouter = magic\n[platform]\ntable = here\n"
-        faults = {fault.key: fault.allowed for fault in parse_settings(text).failure()}
-        self.assertIn("round-robin", faults["router"])
-        self.assertEqual(faults["table"], "must be IP:PORT")
+        errors = {error.key: error.allowed for error in parse_settings(text).failure()}
+        self.assertIn("round-robin", errors["router"])
+        self.assertEqual(errors["table"], "must be IP:PORT")
 
-    def test_unreadable_file_is_a_fault(self):
+    def test_unreadable_file_is_an_error(self):
         self.assertIn(
             "can't be read", read_settings("/no/such/file").failure()[0].allowed
         )
@@ -90,17 +90,17 @@
             path = Path(name, "host.ini")
             path.write_text(text.format(credentials=credentials), encoding="utf-8")
             tester = CommandTester(ServeCommand())
-            self.code = tester.execute(f"--config {path} --check")
+            self.exit_code = tester.execute(f"--config {path} --check")
         return tester
 
-    def test_right_settings_exit_0(self):
+    def test_valid_settings_exit_0(self):
         self.run_check(HOST + "credentials = {credentials}\n")
-        self.assertEqual(self.code, EXIT_OK)
+        self.assertEqual(self.exit_code, EXIT_OK)
 
-    def test_bad_settings_exit_2(self):
+    def test_invalid_settings_exit_2(self):
         self.run_check(HOST + "credentials = {credentials}\nadress = x\n")
-        self.assertEqual(self.code, EXIT_BAD_SETTINGS)
+        self.assertEqual(self.exit_code, EXIT_BAD_SETTINGS)
 
     def test_missing_credentials_exit_2(self):
         self.run_check(HOST)
-        self.assertEqual(self.code, EXIT_BAD_SETTINGS)
+        self.assertEqual(self.exit_code, EXIT_BAD_SETTINGS)
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""Planned stops of hosts that serve the product's own interface."""
+"""Tests of the graceful shutdown of hosts that serve the native API."""
 
 import contextlib
 import unittest
@@ -19,29 +19,31 @@
 from berylshift.tests.world import call_service, plain_call, run_world, small_rows
 from berylshift.version.rows import OrderCheck
 
-NOTICE = 1.0
-LONGEST = 9.0
+NOTICE_SECONDS = 1.0
+MAX_SHUTDOWN_SECONDS = 9.0
 TOKEN = "t"
 IDEMPOTENT = "berylshift-idempotent: true"
 
 
-class Stop:
-    """A host that stops as the daemon stops it, and callers by HTTP."""
+class HostShutdown:
+    """Shuts a host down as the daemon does, with callers over HTTP."""
 
-    def __init__(self, world, longest: float = LONGEST, host: str = "host-1"):
+    def __init__(
+        self, world, longest_seconds: float = MAX_SHUTDOWN_SECONDS, host: str = "host-1"
+    ):
         self.world = world
         self.host = world.hosts[host]
         self.app = self.host.app
-        self.took = 0.0
+        self.duration_seconds = 0.0
         self.app.handler._deps.callers[TOKEN] = Credential("hobart", FLEET)
-        stop = ShutdownSettings(balancer_notice=NOTICE, longest=longest)
+        stop = ShutdownSettings(balancer_notice=NOTICE_SECONDS, longest=longest_seconds)
         self.app.cfg = msgspec.structs.replace(self.app.cfg, shutdown=stop)
 
     async def run(self, caller) -> None:
-        """Begin the stop and run ``caller(ask)``; return once both have ended.
+        """Begin the shutdown and run ``caller(ask)``; return once both have ended.
 
         ``ask(*parts)`` sends the parts of a request a second apart and returns all
-        that comes until the connection closes.
+        bytes received until the connection closes.
         """
         async with trio.open_nursery() as nursery, trio.open_nursery() as serving:
 
@@ -55,12 +57,12 @@
             nursery.start_soon(caller, ask)
             start = trio.current_time()
             await self.app.on_shutdown()
-            self.took = trio.current_time() - start
+            self.duration_seconds = trio.current_time() - start
             serving.cancel_scope.cancel()
             self.host.kill()
 
     def rows(self) -> list[RowState]:
-        """Return the states of the confirmations' rows."""
+        """Return the states of the confirmation rows."""
         rows = self.world.platform.rows
         found = [rows[key].value for key in rows if key.startswith(PREFIX)]
         return [msgspec.json.decode(row, type=ConfirmRow).state for row in found]
@@ -74,7 +76,7 @@
 
 
 def completion(output: int, stream: bool) -> bytes:
-    """Return a model call as bytes; each token takes 20 ms or so."""
+    """Return a model call as bytes; each token takes about 20 ms."""
     prompt = make_prompt("family", "1", 400, output)
     asked = {
         "model": MODEL,
@@ -86,7 +88,7 @@
 
 
 async def talk(stream, parts: tuple[bytes, ...]) -> bytes:
-    """Send ``parts`` a second apart; return all that comes until the end."""
+    """Send ``parts`` a second apart; return all bytes received until the close."""
     got = b""
     try:
         await stream.send_all(parts[0])
@@ -100,52 +102,59 @@
     return got
 
 
-class AnswerTest(unittest.TestCase):
-    """Answers that are still under way when the time of a stop is over."""
+class ResponseTest(unittest.TestCase):
+    """Responses that are still in progress at the shutdown deadline."""
 
     def ask(self, stream: bool):
-        """Ask for a long answer while the host stops; return what comes."""
+        """Request a long completion during a shutdown.
+
+        Return the bytes received and the duration of the shutdown in seconds.
+        """
 
         async def task(world):
-            stop, got = Stop(world), []
+            stop, got = HostShutdown(world), []
 
             async def caller(ask):
-                await trio.sleep(NOTICE / 2)
+                await trio.sleep(NOTICE_SECONDS / 2)
                 got.append(await ask(completion(2000, stream)))
 
             await stop.run(caller)
-            return got[0], stop.took
+            return got[0], stop.duration_seconds
 
         return run_world(task)
 
-    def test_a_stream_that_outlasts_the_stop_ends_with_its_outcome(self):
-        """A caller's stream is taken while the balancer learns of the stop.
+    def test_stream_beyond_deadline_ends_with_its_outcome(self):
+        """Guards against a cut stream that looks complete.
 
-        It lasts longer than the stop may. Its caller must learn by the last event
-        that the text is not whole, and must not see it end as if it were.
+        A stream is accepted while the load balancer still uses the host, and lasts
+        longer than the shutdown may. Its last event must tell the caller that the text
+        is incomplete, and the response must not end as if it were complete.
         """
-        got, took = self.ask(stream=True)
+        got, duration_seconds = self.ask(stream=True)
         self.assertIn(b'event: outcome\ndata: {"outcome":"unknown"', got[-300:])
         self.assertFalse(got.endswith(b"0\r\n\r\n"))
-        self.assertLessEqual(took, NOTICE + LONGEST + 1.0)
+        self.assertLessEqual(
+            duration_seconds, NOTICE_SECONDS + MAX_SHUTDOWN_SECONDS + 1.0
+        )
 
-    def test_an_answer_sent_whole_that_outlasts_the_stop_is_told_unknown(self):
-        """The same of an answer that is sent whole: its engine has run it in part."""
-        got, took = self.ask(stream=False)
+    def test_response_beyond_deadline_has_unknown_outcome(self):
+        """The same without streaming: the engine has run a part of the request."""
+        got, duration_seconds = self.ask(stream=False)
         self.assertEqual(got[:12], b"HTTP/1.1 503")
         self.assertIn(b"berylshift-outcome: unknown", got)
         self.assertIn(b"retry-after: ", got)
 
 
 class ConfirmationTest(unittest.TestCase):
-    """Calls that may run once, when the time of a stop is over."""
+    """Calls that may run only once, at the shutdown deadline."""
 
-    def test_none_is_sent_whose_end_the_host_will_not_see(self):
-        """The store is away while a host stops; a caller's booking waits for it.
+    def test_none_is_sent_whose_outcome_can_not_be_recorded(self):
+        """Guards against a booking that is sent shortly before the process exits.
 
-        The store is back before the stop's end. Either the booking is sent and its
-        caller gets the answer, or it is not sent and its caller is told so in time. A
-        process that ended between the two would tell the caller nothing, and the key
+        The store is unavailable while a host shuts down, and a booking waits for it.
+        The store returns before the deadline. Either the booking is sent and its
+        caller gets the response, or it is not sent and its caller is told so in time.
+        If the process exited in between, the caller would learn nothing, and the key
         would stay "under way" for a day.
         """
         for back in (0.5, 2.0, 2.9, 3.1, 5.0, 8.5, 9.5, 9.9):
@@ -157,20 +166,20 @@
                     self.assertEqual((outcome, ran), (Outcome.UNKNOWN, 0))
                     self.assertIn(rows, ([], [RowState.ABANDONED]))
 
-    def test_one_that_comes_too_late_is_told_not_run(self):
-        """A booking comes while the balancer learns of a stop that has little time.
+    def test_late_confirmation_is_refused_as_not_run(self):
+        """Guards against a booking that is sent without time for its response.
 
-        It would be sent, and the process might end before its answer. It is not sent,
-        and its caller may ask another host with the same key.
+        It arrives while the load balancer still uses a host with a short shutdown. It
+        is not sent, and its caller may retry at another host with the same key.
         """
 
         async def task(world):
             for service in world.services.values():
                 service.script.seconds = 4.0
-            stop, got = Stop(world, longest=2.0), []
+            stop, got = HostShutdown(world, longest_seconds=2.0), []
 
             async def caller(ask):
-                await trio.sleep(NOTICE / 2)
+                await trio.sleep(NOTICE_SECONDS / 2)
                 data = request("/services/booking/x", b"x", "idempotency-key: k")
                 got.append(await ask(data))
 
@@ -181,23 +190,23 @@
         self.assertEqual((got[:12], ran, rows), (b"HTTP/1.1 503", 0, []))
         self.assertIn(b"berylshift-outcome: not-run", got)
 
-    def test_one_that_is_sent_as_the_stop_begins_is_finished(self):
-        """A booking goes out just before SIGTERM; its service takes its time."""
+    def test_confirmation_sent_before_shutdown_is_finished(self):
+        """A booking is sent just before SIGTERM to a slow service."""
         outcome, ran, rows = run_world(self.booking(back=0.0))
         self.assertIs(outcome, Outcome.COMPLETE)
         self.assertEqual((ran, rows), (1, [RowState.DONE]))
 
     def booking(self, back: float):
-        """Return the task of a booking whose store is back ``back`` s after SIGTERM.
+        """Return a task with a booking; the store returns ``back`` s after SIGTERM.
 
-        It returns the caller's outcome (``None``: nothing was told), how often the
-        booking ran, and its row's state.
+        The task returns the outcome at the caller (``None``: no response), how often
+        the booking ran, and the states of its rows.
         """
 
         async def task(world):
             for service in world.services.values():
                 service.script.seconds = 4.0
-            stop, found = Stop(world), [None]
+            stop, found = HostShutdown(world), [None]
             world.platform.script.down = back > 0
 
             async def caller(ask):
@@ -219,21 +228,22 @@
 
 
 class LookupTest(unittest.TestCase):
-    """Calls that may be repeated, when the time of a stop is over."""
+    """Calls that may be repeated, at the shutdown deadline."""
 
-    def test_one_that_outlasts_the_stop_is_told_unknown(self):
-        """A look-up's replica is slow, and the stop has less time than that.
+    def test_lookup_beyond_deadline_has_unknown_outcome(self):
+        """Guards against a connection that closes without a response.
 
-        Its caller is told that it may have run; its connection does not just close.
+        A lookup's replica takes longer than the shutdown may. The caller must be told
+        that the call may have run.
         """
 
         async def task(world):
             for service in world.services.values():
                 service.script.seconds = 4.0
-            stop, got = Stop(world, longest=2.0), []
+            stop, got = HostShutdown(world, longest_seconds=2.0), []
 
             async def caller(ask):
-                await trio.sleep(NOTICE / 2)
+                await trio.sleep(NOTICE_SECONDS / 2)
                 data = request("/services/booking/x", b"x", IDEMPOTENT)
                 got.append(await ask(data))
 
@@ -246,20 +256,20 @@
 
 
 class LastRequestTest(unittest.TestCase):
-    """Requests that still come in when nothing else is under way."""
+    """Requests that arrive when nothing else is in flight."""
 
-    def test_a_request_whose_body_still_comes_is_refused_not_cut(self):
-        """The host has nothing under way when its balancer's notice is over.
+    def test_request_with_pending_body_is_refused_not_cut(self):
+        """Guards against a connection that closes while a body is being received.
 
-        A caller's body is still on its way then. The caller must be told that its
-        request was not run; its connection must not just close.
+        The host has nothing in flight when the time for the load balancer is over, and
+        a caller is still sending a body. It must be told that its request was not run.
         """
 
         async def task(world):
-            stop, got = Stop(world), []
+            stop, got = HostShutdown(world), []
 
             async def caller(ask):
-                await trio.sleep(NOTICE - 0.1)
+                await trio.sleep(NOTICE_SECONDS - 0.1)
                 data = completion(10, stream=True)
                 got.append(await ask(data[:200], data[200:]))
 
@@ -270,21 +280,22 @@
         self.assertEqual(got[0][:12], b"HTTP/1.1 503")
         self.assertIn(b"berylshift-outcome: not-run", got[0])
 
-    def test_a_refusal_under_way_is_not_cut_by_the_end(self):
-        """A confirmation comes while the host gives up its leases, its last act.
+    def test_pending_refusal_is_not_cut_by_exit(self):
+        """Guards against an exit that cuts a refusal.
 
-        The refusal reads the key's row first. It must reach the caller although the
-        leases are given up sooner.
+        A confirmation arrives while the host releases its leases, the last step of the
+        shutdown. Before the refusal the key's row is read, which takes longer than the
+        release. The refusal must still reach the caller.
         """
 
         async def task(world):
             await trio.sleep(20)
-            stop, got = Stop(world), []
+            stop, got = HostShutdown(world), []
             self.assertTrue(stop.app.pool_loop.held_pools())
 
             async def caller(ask):
                 world.platform.script.delay = 0.2
-                await trio.sleep(NOTICE + 0.15)
+                await trio.sleep(NOTICE_SECONDS + 0.15)
                 data = request("/services/booking/x", b"x", "idempotency-key: k")
                 got.append(await ask(data))
 
@@ -296,18 +307,18 @@
         self.assertIn(b"berylshift-outcome: not-run", got[0])
 
 
-class HolderTest(unittest.TestCase):
-    """Leases and orders of a host that stops."""
+class LeaseHolderTest(unittest.TestCase):
+    """Leases and orders of a host that shuts down."""
 
-    def test_a_lease_is_given_up_whatever_its_loop_is_at(self):
-        """The host leaves while its loop is about to renew or use the lease.
+    def test_lease_is_released_at_any_point_of_its_loop(self):
+        """Guards against a lease that remains held by a process that has exited.
 
-        The lease must be nobody's in the end. All others would wait for a whole term
-        of a process that is gone.
+        The host shuts down while its loop is about to renew or use the lease. If the
+        lease were not released, all other hosts would wait for a whole term.
         """
 
         async def task(world):
-            stop = Stop(world)
+            stop = HostShutdown(world)
             world.platform.script.delay = 0.2
             await stop.app.on_shutdown()
             await trio.sleep(0.5)
@@ -317,27 +328,28 @@
 
         for shift in range(10):
             with self.subTest(shift=shift):
-                rows = run_world(later(task, 20 + shift * 0.15), hosts=1)
+                rows = run_world(delay(task, 20 + shift * 0.15), hosts=1)
                 self.assertEqual([b'"holder":""' in row for row in rows], [True], rows)
 
-    def test_an_order_under_way_is_accounted_for_before_the_end(self):
-        """A host stops for good while its order is on its way to an engine.
+    def test_pending_order_is_resolved_before_exit(self):
+        """Guards against an engine that is blocked by an unresolved order.
 
-        The engine would obey an old order, so nobody orders it anew while a copy may
-        be under way, and only its sender can say that none is. Left unsaid, the engine
-        would keep its role until another process runs on that host.
+        A host stops permanently while its order is in transit to an engine. The engine
+        would execute a stale order, so no host sends a new one while a copy may be in
+        transit, and only the sender knows when none is. Without that record, the
+        engine would keep its role until another process runs on that host.
         """
 
         async def end(stop):
-            await stop.run(nobody)
+            await stop.run(no_caller)
 
         self.assertEqual(self.change_roles(end), (Role.PREFILL, 0, [[], []]))
 
-    def test_an_order_of_a_killed_host_is_accounted_for_by_its_successor(self):
-        """The same of a host that is killed, and starts again.
+    def test_order_of_killed_host_is_resolved_by_lease_successor(self):
+        """The same for a host that is killed and restarted.
 
-        Its successor in the lease finds that the sender is gone, waits until nothing
-        of it can arrive, and orders anew. All hosts go on serving meanwhile.
+        The next lease holder sees that the sender is gone, waits until no copy can
+        arrive, and sends a new order. All hosts continue to serve meanwhile.
         """
 
         async def end(stop):
@@ -348,14 +360,14 @@
         self.assertEqual(self.change_roles(end), (Role.PREFILL, 0, [[], [], []]))
 
     def change_roles(self, end):
-        """Have the holder order a change, and ``end(stop)`` it under way.
+        """Have the lease holder order a role change, and ``end(stop)`` it in transit.
 
-        Return the engine's role a minute later, its conflicting orders, and the moves
-        in the plans of the hosts that run.
+        Return the engine's role a minute later, its count of conflicting orders, and
+        the moves in the plans of the running hosts.
         """
 
         async def task(world):
-            stop = Stop(world, host=holder_of(world))
+            stop = HostShutdown(world, host=lease_holder_of(world))
             for pool in stop.app.pool_loop._pools.values():
                 change = RoleChange("engine-1", Role.PREFILL, "test")
                 pool.reconciler.planner = OneChangePlanner(change)
@@ -371,18 +383,18 @@
             return engine.role, engine.conflicts, moves
 
         rows = small_rows(engines=3, orders=OrderCheck.IGNORES)
-        return run_world(later(task, 20), rows, hosts=3)
+        return run_world(delay(task, 20), rows, hosts=3)
 
 
-def holder_of(world) -> str:
-    """Return the name of the host that holds the lease of the world's pool."""
+def lease_holder_of(world) -> str:
+    """Return the name of the host that holds the pool lease."""
     return next(
         name for name, host in world.hosts.items() if host.app.pool_loop.held_pools()
     )
 
 
 def slow_orders(app) -> None:
-    """Have the host's orders take two seconds to their engines."""
+    """Delay the host's orders to engines by two seconds."""
     order = app.ports.engines.order
 
     async def slow(address, message):
@@ -392,18 +404,18 @@
     app.ports.engines.order = slow
 
 
-async def nobody(ask) -> None:
-    """Ask for nothing."""
+async def no_caller(ask) -> None:
+    """Send no requests."""
 
 
-def later(task, seconds: float):
-    """Return ``task`` begun ``seconds`` later."""
+def delay(task, seconds: float):
+    """Return ``task``, started ``seconds`` later."""
 
-    async def begun_later(world):
+    async def delayed(world):
         await trio.sleep(seconds)
         return await task(world)
 
-    return begun_later
+    return delayed
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_signals.py
+++ b/berylshift/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come in series, as operators and the platform send them."""
+"""Tests of repeated signals, as operators and the platform send them."""
 
 import signal
 import tempfile
@@ -18,9 +18,9 @@
 
 
 class WatchTest(unittest.TestCase):
-    """The watch alone, in this process."""
+    """``watch_signals`` in this process."""
 
-    def test_signals_after_the_first_end_change_nothing(self):
+    def test_signals_after_the_first_sigterm_change_nothing(self):
         async def task():
             stop, causes = trio.Event(), []
             async with trio.open_nursery() as nursery:
@@ -40,12 +40,12 @@
 
 
 class DaemonTest(unittest.TestCase):
-    """The daemon as a process of its own."""
+    """The daemon as a separate process."""
 
-    def test_no_signal_cuts_the_answers_that_a_shutdown_waits_for(self):
-        # A host is stopped while a stream is under way. Operators' tools then tell it
-        # to reload, and to stop once more. Were either signal to take its default
-        # action, the caller's stream would be cut.
+    def test_signals_during_shutdown_do_not_cut_responses(self):
+        # A host is stopped while a stream is open. Operators' tools then send it SIGHUP
+        # and another SIGTERM. The default action of either signal would end the
+        # process, and cut the stream.
         async def ask(demo: EntryDemo) -> bytes:
             headers = {
                 "host": SITE,
@@ -59,12 +59,12 @@
             address = demo.hosts[0].address
             out = Outgoing(address, "POST", "/note/x", headers, b"{}", reuse=False)
             body = b""
-            told = False
+            signalled = False
             async with HttpClient().request(out) as resp:
                 async for data in resp.chunks():
                     body += data
-                    if not told:
-                        told = True
+                    if not signalled:
+                        signalled = True
                         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
                             demo.programs.signal(demo.hosts[0].name, number)
                             await trio.sleep(0.1)
@@ -81,8 +81,8 @@
                     await programs.end_all()
                     nursery.cancel_scope.cancel()
 
-        with tempfile.TemporaryDirectory() as folder:
-            body = trio.run(task, Path(folder))
+        with tempfile.TemporaryDirectory() as tmp:
+            body = trio.run(task, Path(tmp))
         self.assertEqual(body.count(b"data: "), PIECES)
 
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -188,7 +188,7 @@
         "request/routed_handler.py",
         "        if self._finishes_before_stop(req, route):\n",
         "        if True:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a leaving host goes by the times of just now",
@@ -202,7 +202,7 @@
         "process/shutdown.py",
         "            work.deadline = min(work.deadline, self._ends_at)\n\n",
         "            pass\n\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "half a body does not look whole",
@@ -354,7 +354,7 @@
         "process/directory/route_holder.py",
         "if table.version < self.table.version:\n            return False",
         "if table.version < self.table.version:\n            return True",
-        "test_entry_application.ChangeTest.test_an_older_version_changes_nothing",
+        "test_entry_application.ChangeTest.test_older_version_is_ignored",
     ),
     Proof(
         "a cut feed is read anew",
@@ -362,7 +362,7 @@
         "HistoryLostError as exc:\n                self._watch.forget(feed)\n",
         "HistoryLostError as exc:\n                await trio.sleep(1)\n",
         "test_entry_application.ChangeTest."
-        "test_in_force_although_the_history_was_dropped",
+        "test_in_force_although_feed_history_was_dropped",
     ),
     Proof(
         "the newest row of a feed's answer counts",
@@ -383,14 +383,14 @@
         "entry_application.py",
         "        if self.is_stopping or self.routes.table is None:\n",
         "        if self.routes.table is None:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a planned stop waits for what is under way",
         "entry_application.py",
         "            await self.server.wait_until_quiet(QUIET_SECONDS)\n",
         "",
-        "test_entry_shutdown.PlannedStopTest.test_a_stream_under_way_ends_whole",
+        "test_entry_shutdown.GracefulShutdownTest.test_open_stream_completes",
     ),
     Proof(
         "an answer to HEAD goes out without a body",
@@ -429,7 +429,7 @@
         "scope.cancelled_caught and self.server.taking",
         "False",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_has_come_is_read_before_a_stop_closes",
+        ".test_arrived_request_is_read_before_shutdown_closes_connection",
     ),
     Proof(
         "a longer rest holds for connections at rest",
@@ -437,14 +437,14 @@
         "max(scope.deadline, start + limits.idle_seconds)",
         "scope.deadline",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_longer_rest_holds_for_connections_at_rest",
+        ".test_raised_idle_timeout_applies_to_idle_connections",
     ),
     Proof(
         "a shorter rest ends none early",
         "connection/http_server.py",
         "max(scope.deadline, start + limits.idle_seconds)",
         "start + limits.idle_seconds",
-        "test_entry_connections.ClosedUnreadTest.test_a_lower_bound_ends_no_rest_early",
+        "test_entry_connections.ClosedUnreadTest.test_lowered_idle_timeout_closes_no_idle_connection_early",
     ),
     Proof(
         "no reset erases a refusal",
@@ -452,7 +452,7 @@
         "                await self._linger(stream)\n",
         "                pass\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_refusal_for_lack_of_room_reaches_its_caller",
+        ".test_refusal_at_connection_limit_reaches_caller",
     ),
     Proof(
         "the end of a process erases no last answer",
@@ -460,7 +460,7 @@
         "                await drop_rest(stream)\n            raise",
         "                pass\n            raise",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_the_last_answer_survives_the_end_of_the_process",
+        ".test_final_response_survives_process_exit",
     ),
     Proof(
         "what is half read at a stop's end is refused",
@@ -468,7 +468,7 @@
         "        for scope in self._reading:\n",
         "        for scope in ():\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused",
+        ".test_partial_request_at_shutdown_deadline_is_refused",
     ),
     Proof(
         "a host without a free descriptor goes on",
@@ -504,7 +504,7 @@
         "        sources.phases.apply_updates(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
-        "test_an_ordered_engine_is_used_although_the_store_is_down",
+        "test_engine_with_ordered_phase_is_used_during_store_outage",
     ),
     Proof(
         "one host's word condemns no replica",
@@ -608,14 +608,14 @@
         "messages/replicas.py",
         'return InstanceId(f"{name}@{started_ms}")',
         "return InstanceId(name)",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an order goes to the start it was planned for",
         "process/leader_tasks/phase_loop.py",
         "if report.started_ms != replica.started_ms:",
         "if False:",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an entry that lacks its replica's start is another writer's",
@@ -667,7 +667,7 @@
         "request/completion.py",
         "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
-        "test_shutdown.AnswerTest",
+        "test_shutdown.ResponseTest",
     ),
     Proof(
         "a look-up that outlasts a stop is answered",
@@ -695,23 +695,22 @@
         "process/control/pool_loop.py",
         "        async with self._pass_lock:\n            while self._sending:",
         "        if True:\n            while self._sending:",
-        "test_shutdown.HolderTest.test_a_lease_is_given_up_whatever_its_loop_is_at",
+        "test_shutdown.LeaseHolderTest.test_lease_is_released_at_any_point_of_its_loop",
     ),
     Proof(
         "an order under way is waited for before the end",
         "process/control/pool_loop.py",
         "while self._sending:",
         "while False:",
-        "test_shutdown.HolderTest."
-        "test_an_order_under_way_is_accounted_for_before_the_end",
+        "test_shutdown.LeaseHolderTest.test_pending_order_is_resolved_before_exit",
     ),
     Proof(
         "a sender that is gone is known to be gone",
         "process/control/pool_loop.py",
         "return self._parts.members.is_replaced(host_of(incarnation), incarnation)",
         "return False",
-        "test_shutdown.HolderTest."
-        "test_an_order_of_a_killed_host_is_accounted_for_by_its_successor",
+        "test_shutdown.LeaseHolderTest."
+        "test_order_of_killed_host_is_resolved_by_lease_successor",
     ),
     Proof(
         "a request under which replicas ended is held back",
