--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -145,7 +145,7 @@
         started_ms = int(clock.now().timestamp() * 1000)
         self.incarnation = make_incarnation(host, started_ms, rng.getrandbits(32))
         self.holder = TableHolder()
-        self.fresh = Freshness(cfg.table.freshness_limit)
+        self.freshness = Freshness(cfg.table.freshness_limit)
         self.load = LoadView(cfg.policy.prefill_rate)
         self.limits = CustomerLimits()
         self.pending = PendingRecords()
@@ -164,7 +164,7 @@
             rng,
         )
         self.members = Membership(host, self.incarnation, cfg.peers.silent_after, rng)
-        self.readiness = Readiness(host, self.holder, self.fresh, clock)
+        self.readiness = Readiness(host, self.holder, self.freshness, clock)
         self.quarantine = Quarantine(
             cfg.targets.report_interval, CRASH_GOSSIP_ROUNDS * cfg.peers.interval
         )
@@ -252,7 +252,7 @@
         follower = FollowerDependencies(
             holder=self.holder,
             log=self.table_log,
-            fresh=self.fresh,
+            fresh=self.freshness,
             plans=self.plans,
             members=self.members,
             peers=ports.peer_tables,
@@ -276,7 +276,7 @@
             cfg=cfg.peers,
             members=self.members,
             link=ports.link,
-            fresh=self.fresh,
+            fresh=self.freshness,
             load=self.load,
             limits=self.limits,
             follower=self.follower,
@@ -327,7 +327,9 @@
         metrics, clock = self.ports.metrics, self.ports.clock
         while True:
             metrics.gauge("table_version", self.holder.table.version)
-            age = min(MAX_GAUGE_AGE_SECONDS, self.fresh.store_age(clock.monotonic()))
+            age = min(
+                MAX_GAUGE_AGE_SECONDS, self.freshness.store_age(clock.monotonic())
+            )
             metrics.gauge("store_age_seconds", age)
             metrics.gauge("in_flight", self.handler.in_flight)
             metrics.gauge("pending_records", len(self.pending))
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -320,7 +320,7 @@
                     self._phase_loop_services.add(service.name)
                     self._nursery.start_soon(self._make_phase_loop(service.name).run)
 
-    def _lease(self, task_name: str, can_reacquire: bool = False) -> LeaderLease:
+    def _make_lease(self, task_name: str, can_reacquire: bool = False) -> LeaderLease:
         cfg, ports = self.cfg, self.ports
         return LeaderLease(
             ports.leases,
@@ -346,7 +346,9 @@
             replicas=self.replicas,
             eras=self.store_watch.eras,
             services=self._services,
-            lease=lambda task_name: self._lease(task_name, can_reacquire=True),
+            make_lease=lambda task_name: self._make_lease(
+                task_name, can_reacquire=True
+            ),
             rank_for=self._task_rank,
             is_idle=self.is_idle,
         )
@@ -362,7 +364,7 @@
 
     def _make_phase_loop(self, service: ServiceName) -> PhaseLoop:
         cfg, ports = self.cfg, self.ports
-        lease = self._lease(f"phases/{service}")
+        lease = self._make_lease(f"phases/{service}")
         return PhaseLoop(
             service=service,
             planner=PhasePlanner(cfg.entry.reading_share),
--- a/berylshift/entry_leader_tasks.py
+++ b/berylshift/entry_leader_tasks.py
@@ -25,7 +25,7 @@
 class LeaderTaskDependencies:
     """Dependencies of the leader tasks.
 
-    ``lease`` makes the lease of a task, ``rank_for`` returns this host's rank for a
+    ``make_lease`` makes a task's lease, ``rank_for`` returns this host's rank for a
     task, ``is_idle`` tells whether no traffic needs the replicas.
     """
 
@@ -38,7 +38,7 @@
     replicas: ReplicaSet
     eras: StoreEraTracker
     services: Callable[[], Iterable[Service]]
-    lease: Callable[[str], LeaderLease]
+    make_lease: Callable[[str], LeaderLease]
     rank_for: Callable[[str], int | None]
     is_idle: Callable[[], bool]
 
@@ -59,7 +59,7 @@
             windows=self._windows,
             usage_counts=self.usage,
             filtered_clock=self._filtered_clock,
-            lease=deps.lease("usage"),
+            lease=deps.make_lease("usage"),
             rows=deps.usage_rows,
             reporting=deps.usage_reporting,
             eras=deps.eras,
@@ -70,7 +70,7 @@
             host=host.name,
             services=deps.services,
             replicas=deps.replicas,
-            lease=deps.lease("scaling"),
+            lease=deps.make_lease("scaling"),
             ordering=deps.scale_ordering,
             rows=deps.scale_rows,
             clock=deps.clock,
--- a/berylshift/settings.py
+++ b/berylshift/settings.py
@@ -168,7 +168,7 @@
     keys_expire_ms: Annotated[int, Meta(ge=0, le=86400000)] = 0
 
 
-class DutySettings(msgspec.Struct, frozen=True, kw_only=True):
+class LeaderTaskSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Leader tasks for the platform, each run by one host at a time.
 
     ``usage_report``: the number of requests of each customer is reported for windows
@@ -198,7 +198,7 @@
     observability: ObservabilitySettings = ObservabilitySettings()
     directory: DirectorySettings = DirectorySettings()
     entry: EntrySettings = EntrySettings()
-    duties: DutySettings = DutySettings()
+    duties: LeaderTaskSettings = LeaderTaskSettings()
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -79,7 +79,7 @@
 ) -> RouteTable:
     """Return a route table with routes of each kind, and ``more``."""
     writer = (ServiceShare(ENGINES, 1),)
-    found = (
+    all_routes = (
         route("look", RouteKind.IDEMPOTENT, most_attempts=2),
         route("book", RouteKind.AT_MOST_ONCE),
         route("note", RouteKind.STREAM, shares=writer, prompted=True),
@@ -98,7 +98,7 @@
         Service(ENGINES, 100, EngineFacts(64, 400_000, 35_000, 370_000.0)),
     )
     limits = CallerLimits()
-    return RouteTable(TableVersion(version), found, services, limits, customers)
+    return RouteTable(TableVersion(version), all_routes, services, limits, customers)
 
 
 class MemoryLink:
@@ -116,9 +116,9 @@
             if link is not self and link._on_digest is not None:
                 link._on_digest(message)
 
-    async def receive(self, on_digest) -> None:
-        """Deliver digests to ``on_digest`` until cancelled."""
-        self._on_digest = on_digest
+    async def receive(self, take) -> None:
+        """Deliver digests to ``take`` until cancelled."""
+        self._on_digest = take
         await trio.sleep_forever()
 
 
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -268,7 +268,7 @@
             early_calls = world.platform.reads + world.platform.transactions - before
             await trio.sleep(6)
             ages = [
-                host.app.fresh.store_age(trio.current_time())
+                host.app.freshness.store_age(trio.current_time())
                 for host in world.hosts.values()
             ]
             return early_calls, max(ages), world.platform.throttled
