--- a/berylshift/settings.py
+++ b/berylshift/settings.py
@@ -1,15 +1,16 @@
 """Settings in INI format: defaults, parsing and validation."""
 
+from berylshift.version.checks import is_valid_address
+from msgspec import Meta
+from pathlib import Path
+from returns.result import Failure
+from returns.result import Result
+from returns.result import Success
+from typing import Annotated
+from typing import Any
 import configparser
 import difflib
-from pathlib import Path
-from typing import Annotated, Any
-
 import msgspec
-from msgspec import Meta
-from returns.result import Failure, Result, Success
-
-from berylshift.version.checks import is_valid_address
 
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
@@ -168,7 +169,7 @@
     keys_expire_ms: Annotated[int, Meta(ge=0, le=86400000)] = 0
 
 
-class DutySettings(msgspec.Struct, frozen=True, kw_only=True):
+class LeaderTaskSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Leader tasks for the platform, each run by one host at a time.
 
     ``usage_report``: the number of requests of each customer is reported for windows
@@ -198,7 +199,7 @@
     observability: ObservabilitySettings = ObservabilitySettings()
     directory: DirectorySettings = DirectorySettings()
     entry: EntrySettings = EntrySettings()
-    duties: DutySettings = DutySettings()
+    duties: LeaderTaskSettings = LeaderTaskSettings()
 
 
 SECTIONS: dict[str, type[msgspec.Struct]] = {
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -1,20 +1,21 @@
 """Retries of suspect requests, which ran on a replica when it crashed."""
 
-import unittest
-
-import trio
-
-from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
+from berylshift.ids import DomainName
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS, Quarantine
-from berylshift.request.isolation import (
-    REPLICAS_PER_ISOLATION_REPLICA,
-    is_last_remaining,
-    isolation_replicas,
-    remaining_replicas,
-)
+from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS
+from berylshift.process.quarantine.quarantine import Quarantine
+from berylshift.request.isolation import REPLICAS_PER_ISOLATION_REPLICA
+from berylshift.request.isolation import is_last_remaining
+from berylshift.request.isolation import isolation_replicas
+from berylshift.request.isolation import remaining_replicas
 from berylshift.request.routed_crash_watch import LAST_REPLICA_RETRY_SECONDS
-from berylshift.tests.entry_world import prompt_headers, run_entry
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 HEARTBEAT_SECONDS = 1.2
 
@@ -95,7 +96,7 @@
         links = []
         for number in range(count):
             link = world.connect()
-            headers = prompt_headers(pieces=60, part=f"a{number}", shared=0)
+            headers = prompt_headers(pieces=60, block=f"a{number}", prefix_tokens=0)
             path = f"/brief/{number}"
             await link.send(path, f"r{number}", headers=headers, left_ms=3900)
             links.append(link)
@@ -132,7 +133,7 @@
             await trio.sleep(0.3)
             world.dialed.clear()
             for number in range(6):
-                headers = prompt_headers(pieces=2, shared=0)
+                headers = prompt_headers(pieces=2, prefix_tokens=0)
                 path = f"/note/{number}"
                 await world.ask(path, f"n{number}", host=1, headers=headers)
             return crashed.address in world.dialed
@@ -156,7 +157,9 @@
         new_runs, reply = run_entry(task, engines="dd")
         self.assertEqual(new_runs, 0)
         if reply.status == 503:
-            self.assertGreaterEqual(reply.again, LAST_REPLICA_RETRY_SECONDS)
+            self.assertGreaterEqual(
+                reply.retry_after_seconds, LAST_REPLICA_RETRY_SECONDS
+            )
 
 
 if __name__ == "__main__":
