--- a/berylshift/connection/http_server.py
+++ b/berylshift/connection/http_server.py
@@ -8,17 +8,17 @@
 import trio
 
 from berylshift.connection.responder import NEVER
+from berylshift.connection.server_connection import (
+    STATUS_UNAVAILABLE,
+    Handler,
+    ServerLink,
+)
 from berylshift.connection.server_limits import (
     REST_SECONDS,
     ServerLimits,
     drop_rest,
     last_look,
 )
-from berylshift.connection.server_link import (
-    STATUS_UNAVAILABLE,
-    Handler,
-    ServerLink,
-)
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -7,7 +7,7 @@
 import trio
 
 from berylshift.clock import Clock
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
+from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
 from berylshift.ids import PoolName, TargetName
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -9,7 +9,7 @@
     ConnectionLayerError,
     ThrottledError,
 )
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
+from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
 from berylshift.connection.target_client import TargetAnswer, TargetRequest
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
--- a/berylshift/store/calls.py
+++ b/berylshift/store/calls.py
@@ -7,7 +7,7 @@
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
+from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
 from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
 
 # An answer that comes by and by for longer than this beyond its wait is given up; a
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from berylshift.connection.server_link import MOST_EARLY_BYTES
+from berylshift.connection.server_connection import MOST_EARLY_BYTES
 from berylshift.tests.entry_world import (
     route,
     routes,
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -213,7 +213,7 @@
     ),
     Proof(
         "a body is read at its target's pace",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "                await body.wait_for_room()\n",
         "",
         "test_request_bodies.StreamedBodyTest."
@@ -257,7 +257,7 @@
     ),
     Proof(
         "the replica's request ends with its caller's",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        scope.cancel()\n",
         "",
         f"{RELAY}.CallerDisconnectTest",
@@ -292,7 +292,7 @@
     ),
     Proof(
         "two lengths are rejected",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        check_framing(head)\n",
         "",
         f"{RELAY}.PlainAnswerTest.test_two_lengths_are_rejected",
@@ -394,14 +394,14 @@
     ),
     Proof(
         "an answer to HEAD goes out without a body",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        if not self.headless:\n",
         "        if True:\n",
         "test_entry_writes.HeadRequestTest",
     ),
     Proof(
         "a caller that has left ends the write to it",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        self.writing.cancel()\n",
         "",
         "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
@@ -425,7 +425,7 @@
     ),
     Proof(
         "a request that has come is read before its connection closes",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "scope.cancelled_caught and self.server.taking",
         "False",
         "test_entry_connections.ClosedUnreadTest"
@@ -568,7 +568,7 @@
     ),
     Proof(
         "a target's time bounds the wait for it alone",
-        "connection/silence.py",
+        "connection/read_timeout.py",
         "            return await wait\n",
         "            word = await wait\n"
         "            await trio.lowlevel.checkpoint()\n"
