--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -411,7 +411,7 @@
     async def _wait_until_answered(self) -> None:
         while self.handler.in_flight:
             await trio.sleep(EMPTY_CHECK_SECONDS)
-        await self.server.wait_until_quiet(0)
+        await self.server.wait_until_idle(0)
         # The last, since nothing may wait between its last look and the end.
         await self.server.finish()
 
--- a/berylshift/connection/__init__.py
+++ b/berylshift/connection/__init__.py
@@ -1,1 +1,1 @@
-"""What lives for one connection: HTTP, peer datagrams, target clients."""
+"""Network connections: HTTP server and clients, peer datagrams, target clients."""
--- a/berylshift/connection/admin.py
+++ b/berylshift/connection/admin.py
@@ -1,4 +1,4 @@
-"""The admin interface: for the balancer, operators' tools, and peers."""
+"""Admin HTTP interface for the load balancer, operators' tools and peers."""
 
 import hmac
 
@@ -19,15 +19,15 @@
 
 
 class Admin:
-    """Answers requests on the admin address."""
+    """Handles HTTP requests on the admin address."""
 
     def __init__(self, app: Application, cluster_key: str):
-        """Speak for ``app``; the peers' table needs ``cluster_key``."""
+        """Serve the state of ``app``; ``/peer/table`` requires ``cluster_key``."""
         self._app = app
         self._cluster_key = cluster_key
 
     async def handle(self, req: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if req.path == "/live":
             await responder.full(STATUS_OK, TEXT_TYPE, b"live\n")
         elif req.path == "/ready":
@@ -50,9 +50,9 @@
 
     async def _decisions(self, req: HttpRequest, responder: Responder) -> None:
         request = RequestId(req.path.removeprefix("/decisions/"))
-        found = self._app.decisions.explain(request)
-        status = STATUS_OK if found else STATUS_NOT_FOUND
-        await responder.full(status, JSON_TYPE, msgspec.json.encode(found))
+        decision = self._app.decisions.explain(request)
+        status = STATUS_OK if decision else STATUS_NOT_FOUND
+        await responder.full(status, JSON_TYPE, msgspec.json.encode(decision))
 
     async def _peer_table(self, req: HttpRequest, responder: Responder) -> None:
         token = req.headers.get("authorization", "").removeprefix("Bearer ")
--- a/berylshift/connection/engine_client.py
+++ b/berylshift/connection/engine_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of model engines; answers come as JSON lines, a chunk each."""
+"""HTTP client of model engines, which stream responses as JSON lines, one per chunk."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -27,34 +27,34 @@
 )
 
 STATUS_OK = 200
-STATUS_STALE = 409
-STATUS_BUSY = 423
-REFUSALS = frozenset({429, 503})
+STATUS_CONFLICT = 409
+STATUS_LOCKED = 423
+REFUSAL_STATUSES = frozenset({429, 503})
 JSON_TYPE = "application/json"
-CALL_SECONDS = 2.0
+CALL_TIMEOUT_SECONDS = 2.0
 NEWLINE = b"\n"
-LONGEST_LINE = 1 << 20
+MAX_LINE_BYTES = 1 << 20
 
 
 class HttpEngineClient:
-    """Calls engines by their published HTTP interface; see docs/targets.md."""
+    """Calls engines over their published HTTP interface; see docs/targets.md."""
 
     def __init__(self, client: HttpClient, credential: str):
-        """Authorize calls with ``credential``; empty: none is sent."""
+        """Authorize calls with ``credential``; if empty, none is sent."""
         self._client = client
         self._headers = {"content-type": JSON_TYPE}
         if credential:
             self._headers["authorization"] = f"Bearer {credential}"
-        self._chunks = msgspec.json.Decoder(EngineChunk)
+        self._chunk_decoder = msgspec.json.Decoder(EngineChunk)
 
     @asynccontextmanager
     async def generate(
         self, address: str, call: EngineCall
     ) -> AsyncIterator[AsyncIterator[list[EngineChunk]]]:
-        """Start an attempt and give its chunks as they come."""
-        out = self._outgoing(address, "POST", "/v1/generate", call)
+        """Start an attempt and yield an iterator over its chunks as they arrive."""
+        req = self._make_request(address, "POST", "/v1/generate", call)
         try:
-            async with self._client.request(out) as resp:
+            async with self._client.request(req) as resp:
                 _check_status(resp)
                 yield self._batches(resp)
         except ConnectFailedError as exc:
@@ -63,61 +63,61 @@
             raise TargetBrokenError(str(exc)) from exc
 
     async def _batches(self, resp: HttpResponse) -> AsyncIterator[list[EngineChunk]]:
-        rest = b""
+        partial = b""
         try:
             async for data in resp.chunks():
-                lines = (rest + data).split(NEWLINE)
-                rest = lines.pop()
-                if len(rest) > LONGEST_LINE:
-                    raise TargetBrokenError("a line without end")
-                chunks = [self._chunks.decode(line) for line in lines if line]
+                lines = (partial + data).split(NEWLINE)
+                partial = lines.pop()
+                if len(partial) > MAX_LINE_BYTES:
+                    raise TargetBrokenError("response line is too long")
+                chunks = [self._chunk_decoder.decode(line) for line in lines if line]
                 if chunks:
                     yield chunks
         except msgspec.DecodeError as exc:
-            raise TargetBrokenError(f"not a chunk: {exc}") from exc
+            raise TargetBrokenError(f"invalid response chunk: {exc}") from exc
         except ConnectionLayerError as exc:
             raise TargetBrokenError(str(exc)) from exc
 
     async def connect(self, address: str) -> None:
-        """Open a connection and keep it for the next call."""
+        """Open a connection and pool it for the next call."""
         try:
             await self._client.connect(address)
         except ConnectFailedError as exc:
             raise TargetNotReachedError(str(exc)) from exc
 
     async def cancel(self, address: str, attempt: AttemptId) -> None:
-        """Stop an attempt."""
-        out = self._outgoing(address, "POST", f"/v1/attempts/{attempt}/cancel", {})
+        """Cancel an attempt; errors are ignored."""
+        req = self._make_request(address, "POST", f"/v1/attempts/{attempt}/cancel", {})
         try:
-            await self._ask(out)
+            await self._call(req)
         except (TargetBrokenError, TargetRefusedError, TargetNotReachedError):
             return
 
     async def report(self, address: str) -> LoadReport:
         """Return the engine's load report."""
-        data = await self._ask(self._outgoing(address, "GET", "/v1/load"))
+        data = await self._call(self._make_request(address, "GET", "/v1/load"))
         return _decode(data, LoadReport)
 
     async def order(self, address: str, order: Order) -> None:
-        """Have an order carried out."""
-        await self._ask(self._outgoing(address, "POST", "/v1/orders", order))
+        """Send an order; return once the engine has accepted it."""
+        await self._call(self._make_request(address, "POST", "/v1/orders", order))
 
     async def cache_events(self, address: str, after: int) -> list[CacheEvent]:
         """Return the cache events after a sequence number."""
         path = f"/v1/cache-events?after={after}"
-        data = await self._ask(self._outgoing(address, "GET", path))
+        data = await self._call(self._make_request(address, "GET", path))
         return _decode(data, list[CacheEvent])
 
-    def _outgoing(
+    def _make_request(
         self, address: str, method: str, path: str, body: object = None
     ) -> Outgoing:
         data = b"" if body is None else msgspec.json.encode(body)
         return Outgoing(address, method, path, self._headers, data)
 
-    async def _ask(self, out: Outgoing) -> bytes:
-        with trio.move_on_after(CALL_SECONDS):
+    async def _call(self, req: Outgoing) -> bytes:
+        with trio.move_on_after(CALL_TIMEOUT_SECONDS):
             try:
-                async with self._client.request(out) as resp:
+                async with self._client.request(req) as resp:
                     _check_status(resp)
                     return await resp.read()
             except ConnectFailedError as exc:
@@ -130,13 +130,13 @@
 def _check_status(resp: HttpResponse) -> None:
     if resp.status == STATUS_OK:
         return
-    if resp.status == STATUS_STALE:
-        raise StaleOrderError("old fencing number")
-    if resp.status == STATUS_BUSY:
-        raise TargetBusyError("another order is under way")
-    if resp.status in REFUSALS:
-        rest = parse_retry_after(resp.headers.get("retry-after"))
-        raise TargetRefusedError(f"status {resp.status}", rest)
+    if resp.status == STATUS_CONFLICT:
+        raise StaleOrderError("stale fencing token")
+    if resp.status == STATUS_LOCKED:
+        raise TargetBusyError("another order is in progress")
+    if resp.status in REFUSAL_STATUSES:
+        retry_after = parse_retry_after(resp.headers.get("retry-after"))
+        raise TargetRefusedError(f"status {resp.status}", retry_after)
     raise TargetBrokenError(f"status {resp.status}")
 
 
--- a/berylshift/connection/entry_status.py
+++ b/berylshift/connection/entry_status.py
@@ -1,4 +1,4 @@
-"""The status address of an entry host: readiness for the balancer, and metrics."""
+"""Status interface of an entry host: readiness for the load balancer, and metrics."""
 
 from collections.abc import Callable
 
@@ -14,7 +14,7 @@
 
 
 class EntryStatus:
-    """Answers requests on the status address."""
+    """Handles HTTP requests on the status address."""
 
     def __init__(
         self,
@@ -22,13 +22,13 @@
         is_ready: Callable[[], bool],
         metrics: Callable[[], bytes],
     ):
-        """Tell readiness at ``ready_path``."""
+        """Serve readiness at ``ready_path``."""
         self._ready_path = ready_path
         self._is_ready = is_ready
         self._metrics = metrics
 
     async def handle(self, req: HttpRequest, responder: Responder) -> None:
-        """Answer one request."""
+        """Handle one request."""
         if req.path == self._ready_path:
             status = STATUS_OK if self._is_ready() else STATUS_UNAVAILABLE
             await responder.full(status, TEXT_TYPE, b"")
--- a/berylshift/connection/errors.py
+++ b/berylshift/connection/errors.py
@@ -1,31 +1,31 @@
-"""Errors of the connection layer, turned from those of sockets and HTTP."""
+"""Errors of the connection layer; socket and HTTP errors are converted to these."""
 
 
 class ConnectionLayerError(Exception):
-    """Any failure of a connection."""
+    """Base class of connection failures."""
 
 
 class ConnectFailedError(ConnectionLayerError):
-    """The connection was never made: no byte can have reached the peer."""
+    """The connection was never established: no byte can have reached the peer."""
 
 
 class ThrottledError(ConnectionLayerError):
-    """The peer asked for fewer requests: nothing was sent."""
+    """The peer's rate limit is reached: nothing was sent."""
 
 
 class ConnectionBrokenError(ConnectionLayerError):
-    """The connection ended early: the peer may have read all of the request."""
+    """The connection ended early: the peer may have received the whole request."""
 
 
-class BadAnswerError(ConnectionLayerError):
-    """The peer answered with something other than its published protocol."""
+class BadResponseError(ConnectionLayerError):
+    """The peer's response violates the protocol."""
 
 
 class RequestRejectedError(ConnectionLayerError):
-    """A request can't be read; ``status`` is the answer for the caller."""
+    """A request is invalid; ``status`` is the HTTP status for the caller."""
 
     def __init__(self, status: int, reason: str):
-        """Keep the HTTP status and the reason in words."""
+        """Store the HTTP status and a readable reason."""
         super().__init__(reason)
         self.status = status
         self.reason = reason
--- a/berylshift/connection/http_request.py
+++ b/berylshift/connection/http_request.py
@@ -1,4 +1,4 @@
-"""A caller's HTTP request, as a handler gets it."""
+"""A caller's HTTP request as passed to the handlers."""
 
 from dataclasses import dataclass
 from urllib.parse import parse_qsl, unquote, urlsplit
@@ -16,31 +16,32 @@
 class HttpRequest:
     """One request; header names are in lower case.
 
-    ``target`` and ``raw_headers`` are path, query and headers as they were sent.
-    ``arriving`` is the body, which has ended unless the server hands on long ones.
+    ``target`` (path and query) and ``raw_headers`` are as they were sent.
+    ``body_stream`` is completely received unless the server streams long bodies.
+    ``query_pairs`` holds repeated query parameters, too.
     """
 
     method: str
     path: str
     query: dict[str, str]
     headers: Headers
-    arriving: RequestBody
-    pairs: tuple[tuple[str, str], ...] = ()
+    body_stream: RequestBody
+    query_pairs: tuple[tuple[str, str], ...] = ()
     target: bytes = b""
     raw_headers: tuple[tuple[bytes, bytes], ...] = ()
 
     @property
     def body(self) -> bytes:
         """Return the whole body."""
-        return self.arriving.whole()
+        return self.body_stream.whole()
 
-    def multi(self, name: str) -> list[str]:
+    def query_values(self, name: str) -> list[str]:
         """Return all values of a query parameter."""
-        return [value for key, value in self.pairs if key == name]
+        return [value for key, value in self.query_pairs if key == name]
 
 
-def announced_length(head: h11.Request) -> int | None:
-    """Return the length that a request announces."""
+def declared_length(head: h11.Request) -> int | None:
+    """Return the declared body length in bytes; ``None`` if it is chunked."""
     value = dict(head.headers).get(b"content-length")
     if value is not None:
         return int(value)
@@ -49,10 +50,10 @@
 
 
 def check_framing(head: h11.Request) -> None:
-    """Reject a request that states its length in two ways.
+    """Reject a request that declares its body length in two ways.
 
-    Whoever reads the other one of the two takes what follows for another request:
-    a body could so carry a request that nobody sent.
+    A replica that honours the other declaration would parse the bytes that follow as
+    another request: a body could smuggle in a request.
     """
     names = {name for name, _ in head.headers}
     if b"transfer-encoding" in names and b"content-length" in names:
@@ -60,20 +61,20 @@
 
 
 def make_request(head: h11.Request, body: RequestBody) -> HttpRequest:
-    """Return the request of a head and its body; reject a target that is no address."""
+    """Return the request with this head and body; reject an invalid target."""
     try:
         url = urlsplit(head.target.decode("ascii"))
     except ValueError as exc:
         raise RequestRejectedError(STATUS_BAD_REQUEST, "bad target") from exc
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
-    pairs = tuple(parse_qsl(url.query, keep_blank_values=True))
+    query_pairs = tuple(parse_qsl(url.query, keep_blank_values=True))
     return HttpRequest(
         method=head.method.decode("ascii"),
         path=unquote(url.path),
-        query=dict(pairs),
+        query=dict(query_pairs),
         headers=headers,
-        arriving=body,
-        pairs=pairs,
+        body_stream=body,
+        query_pairs=query_pairs,
         target=bytes(head.target),
         raw_headers=tuple((bytes(name), bytes(val)) for name, val in head.headers),
     )
--- a/berylshift/connection/listeners.py
+++ b/berylshift/connection/listeners.py
@@ -1,4 +1,4 @@
-"""Listening sockets of this host."""
+"""Listening TCP sockets."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 
 def open_listener(address: str) -> trio.SocketListener:
-    """Listen on ``IP:PORT``; a successor on this host may share the port."""
+    """Listen on ``IP:PORT``; a successor process may bind the port concurrently."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
--- a/berylshift/connection/load_codec.py
+++ b/berylshift/connection/load_codec.py
@@ -1,4 +1,4 @@
-"""Load digests as capnp messages behind a keyed tag."""
+"""Encoding of load digests: capnp messages with an authentication tag."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from berylshift.connection.datagram_tag import (
     TAG_BYTES,
     BadDatagramError,
-    Tagger,
+    DatagramTagger,
 )
 from berylshift.ids import Fingerprint, StoreEra
 from berylshift.messages.load_digest import (
@@ -24,12 +24,12 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.usage import RunCount
 
-TOKEN_UNIT = 16
+TOKENS_PER_UNIT = 16
 FAILURE_UNIT = 1 / 32
-AGE_UNIT = 0.1
-MOST_U16 = 0xFFFF
-MOST_U8 = 0xFF
-# Stands for a replica that names no limit any more.
+AGE_UNIT_SECONDS = 0.1
+MAX_U16 = 0xFFFF
+MAX_U8 = 0xFF
+# Encodes that a replica no longer announces a rate limit.
 NO_LIMIT = -1.0
 
 capnp.remove_import_hook()
@@ -40,17 +40,17 @@
     """Encodes and decodes load digests."""
 
     def __init__(self, key: str):
-        """Tag datagrams with ``key``, which all hosts of the system share."""
-        self._tagger = Tagger(key)
+        """Authenticate datagrams with ``key``, which all hosts of the system share."""
+        self._tagger = DatagramTagger(key)
 
-    def encode(self, message: LoadDigest, most: int) -> bytes:
-        """Return a datagram of at most ``most`` bytes; the list is cut to fit."""
-        keep = len(message.entries)
+    def encode(self, message: LoadDigest, max_bytes: int) -> bytes:
+        """Return a datagram of up to ``max_bytes``; entries are truncated to fit."""
+        entry_count = len(message.entries)
         while True:
-            body = _pack(message, keep)
-            if len(body) + TAG_BYTES <= most or keep == 0:
+            body = _pack(message, entry_count)
+            if len(body) + TAG_BYTES <= max_bytes or entry_count == 0:
                 return self._tagger.seal(body)
-            keep = keep * 3 // 4
+            entry_count = entry_count * 3 // 4
 
     def decode(self, data: bytes) -> LoadDigest:
         """Return the digest; raise ``BadDatagramError``."""
@@ -58,27 +58,27 @@
         try:
             return _unpack(body)
         except Exception as exc:
-            raise BadDatagramError(f"can't be read: {exc}") from exc
+            raise BadDatagramError(f"cannot be decoded: {exc}") from exc
 
 
-def _pack(message: LoadDigest, keep: int) -> bytes:
+def _pack(message: LoadDigest, entry_count: int) -> bytes:
     packed = _schema.LoadDigest.new_message(
         host=message.host,
         sequence=message.sequence,
         scope=int(message.scope),
         domain=message.domain,
-        hosts=min(MOST_U16, message.hosts),
+        hosts=min(MAX_U16, message.hosts),
         follows=message.reads_feeds,
     )
     if message.store_status is not None:
-        _pack_word(packed.init("word"), message.store_status)
-    _pack_entries(packed.init("entries"), message.entries[:keep])
-    _pack_reads(packed.init("reads"), message.prefills)
+        _pack_status(packed.init("word"), message.store_status)
+    _pack_entries(packed.init("entries"), message.entries[:entry_count])
+    _pack_prefills(packed.init("reads"), message.prefills)
     phases = packed.init("phases", len(message.phases))
-    for slot, told in zip(phases, message.phases, strict=True):
-        slot.target = told.target
-        slot.reads = told.phase is EnginePhase.PREFILL
-        slot.age = min(MOST_U8, int(told.age_seconds / AGE_UNIT))
+    for slot, update in zip(phases, message.phases, strict=True):
+        slot.target = update.target
+        slot.reads = update.phase is EnginePhase.PREFILL
+        slot.age = min(MAX_U8, int(update.age_seconds / AGE_UNIT_SECONDS))
     if message.crashes:
         _pack_crashes(packed.init("crashes"), message.crashes)
     if message.finished:
@@ -94,12 +94,12 @@
 
 def _pack_entries(packed, entries: tuple[LoadEntry, ...]) -> None:
     packed.targets = [entry.target for entry in entries]
-    packed.inFlight = [min(MOST_U16, entry.in_flight) for entry in entries]
-    packed.urgent = [_units(entry.prefill_tokens[0]) for entry in entries]
-    packed.usual = [_units(entry.prefill_tokens[1]) for entry in entries]
-    packed.patient = [_units(entry.prefill_tokens[2]) for entry in entries]
-    packed.failures = [_failures(entry.failures) for entry in entries]
-    packed.second = [_failures(entry.second_failures) for entry in entries]
+    packed.inFlight = [min(MAX_U16, entry.in_flight) for entry in entries]
+    packed.urgent = [_token_units(entry.prefill_tokens[0]) for entry in entries]
+    packed.usual = [_token_units(entry.prefill_tokens[1]) for entry in entries]
+    packed.patient = [_token_units(entry.prefill_tokens[2]) for entry in entries]
+    packed.failures = [_failure_units(entry.failures) for entry in entries]
+    packed.second = [_failure_units(entry.second_failures) for entry in entries]
 
 
 def _unpack_entries(packed) -> tuple[LoadEntry, ...]:
@@ -117,7 +117,11 @@
         LoadEntry(
             target,
             in_flight,
-            (urgent * TOKEN_UNIT, usual * TOKEN_UNIT, patient * TOKEN_UNIT),
+            (
+                urgent * TOKENS_PER_UNIT,
+                usual * TOKENS_PER_UNIT,
+                patient * TOKENS_PER_UNIT,
+            ),
             failures * FAILURE_UNIT,
             second * FAILURE_UNIT,
         )
@@ -125,17 +129,17 @@
     )
 
 
-def _pack_reads(packed, reads: tuple[BlockPrefill, ...]) -> None:
-    packed.parts = [read.block for read in reads]
-    packed.targets = [read.target for read in reads]
-    packed.tokens = [_units(read.tokens) for read in reads]
+def _pack_prefills(packed, prefills: tuple[BlockPrefill, ...]) -> None:
+    packed.parts = [prefill.block for prefill in prefills]
+    packed.targets = [prefill.target for prefill in prefills]
+    packed.tokens = [_token_units(prefill.tokens) for prefill in prefills]
 
 
-def _unpack_reads(packed) -> tuple[BlockPrefill, ...]:
+def _unpack_prefills(packed) -> tuple[BlockPrefill, ...]:
     columns = zip(packed.parts, packed.targets, packed.tokens, strict=True)
     return tuple(
-        BlockPrefill(part, target, units * TOKEN_UNIT)
-        for part, target, units in columns
+        BlockPrefill(block, target, units * TOKENS_PER_UNIT)
+        for block, target, units in columns
     )
 
 
@@ -143,25 +147,25 @@
     packed.requests = [report.request for report in crashes]
     packed.targets = [report.target for report in crashes]
     packed.ages = [
-        min(MOST_U16, int(report.age_seconds / AGE_UNIT)) for report in crashes
+        min(MAX_U16, int(report.age_seconds / AGE_UNIT_SECONDS)) for report in crashes
     ]
 
 
 def _unpack_crashes(packed) -> tuple[CrashReport, ...]:
     columns = zip(packed.requests, packed.targets, packed.ages, strict=True)
     return tuple(
-        CrashReport(Fingerprint(request), target, age * AGE_UNIT)
+        CrashReport(Fingerprint(request), target, age * AGE_UNIT_SECONDS)
         for request, target, age in columns
     )
 
 
 def _pack_runs(packed, runs: tuple[RunCount, ...]) -> None:
     first = min(run.window for run in runs)
-    near = [run for run in runs if run.window - first <= MOST_U8]
+    in_range = [run for run in runs if run.window - first <= MAX_U8]
     packed.firstWindow = first
-    packed.windows = [run.window - first for run in near]
-    packed.customers = [run.customer for run in near]
-    packed.counts = [run.count for run in near]
+    packed.windows = [run.window - first for run in in_range]
+    packed.customers = [run.customer for run in in_range]
+    packed.counts = [run.count for run in in_range]
 
 
 def _unpack_runs(packed) -> tuple[RunCount, ...]:
@@ -173,45 +177,50 @@
 
 
 def _pack_limits(packed, limits: tuple[LimitUpdate, ...]) -> None:
-    packed.targets = [told.target for told in limits]
+    packed.targets = [update.target for update in limits]
     packed.perSecond = [
-        NO_LIMIT if told.requests_per_second is None else told.requests_per_second
-        for told in limits
+        NO_LIMIT if update.requests_per_second is None else update.requests_per_second
+        for update in limits
+    ]
+    packed.ages = [
+        min(MAX_U8, int(update.age_seconds / AGE_UNIT_SECONDS)) for update in limits
     ]
-    packed.ages = [min(MOST_U8, int(told.age_seconds / AGE_UNIT)) for told in limits]
 
 
 def _unpack_limits(packed) -> tuple[LimitUpdate, ...]:
     columns = zip(packed.targets, packed.perSecond, packed.ages, strict=True)
     return tuple(
-        LimitUpdate(target, rate if rate >= 0 else None, age * AGE_UNIT)
+        LimitUpdate(target, rate if rate >= 0 else None, age * AGE_UNIT_SECONDS)
         for target, rate, age in columns
     )
 
 
-def _failures(weight: float) -> int:
-    return min(MOST_U8, int(weight / FAILURE_UNIT))
+def _failure_units(weight: float) -> int:
+    return min(MAX_U8, int(weight / FAILURE_UNIT))
 
 
-def _pack_word(slot, word: StoreStatus) -> None:
-    for part, feed in ((slot.routes, word.routes), (slot.replicas, word.replicas)):
-        part.changed = feed.last_change
-        part.revision = feed.revision
-        part.storeMs = feed.store_ms
-        part.era = feed.era
-    slot.backMs = word.recovered_ms
+def _pack_status(slot, status: StoreStatus) -> None:
+    for packed_feed, feed in (
+        (slot.routes, status.routes),
+        (slot.replicas, status.replicas),
+    ):
+        packed_feed.changed = feed.last_change
+        packed_feed.revision = feed.revision
+        packed_feed.storeMs = feed.store_ms
+        packed_feed.era = feed.era
+    slot.backMs = status.recovered_ms
 
 
-def _unpack_word(slot) -> StoreStatus:
+def _unpack_status(slot) -> StoreStatus:
     routes, replicas = (
-        FeedStatus(part.changed, part.revision, part.storeMs, StoreEra(part.era))
-        for part in (slot.routes, slot.replicas)
+        FeedStatus(feed.changed, feed.revision, feed.storeMs, StoreEra(feed.era))
+        for feed in (slot.routes, slot.replicas)
     )
     return StoreStatus(routes, replicas, slot.backMs)
 
 
-def _units(tokens: int) -> int:
-    return min(MOST_U16, -(-max(0, tokens) // TOKEN_UNIT))
+def _token_units(tokens: int) -> int:
+    return min(MAX_U16, -(-max(0, tokens) // TOKENS_PER_UNIT))
 
 
 def _unpack(body: bytes) -> LoadDigest:
@@ -220,7 +229,7 @@
         PhaseUpdate(
             slot.target,
             EnginePhase.PREFILL if slot.reads else EnginePhase.DECODE,
-            slot.age * AGE_UNIT,
+            slot.age * AGE_UNIT_SECONDS,
         )
         for slot in packed.phases
     )
@@ -228,13 +237,13 @@
         packed.host,
         packed.sequence,
         _unpack_entries(packed.entries),
-        _unpack_reads(packed.reads),
+        _unpack_prefills(packed.reads),
         phases,
         Scope(packed.scope),
         packed.domain,
         packed.hosts,
         packed.follows,
-        _unpack_word(packed.word) if packed._has("word") else None,
+        _unpack_status(packed.word) if packed._has("word") else None,
         _unpack_crashes(packed.crashes) if packed._has("crashes") else (),
         tuple(Fingerprint(request) for request in packed.finished),
         packed.start,
--- a/berylshift/connection/load_digest.capnp
+++ b/berylshift/connection/load_digest.capnp
@@ -1,5 +1,5 @@
 @0xe4b86f20c7a91d35;
-# What one entry host has under way at replicas, told to the others.
+# Requests that an entry host has in flight at replicas, sent to the other hosts.
 
 struct LoadDigest {
   host @0 :Text;
@@ -7,58 +7,58 @@
   entries @2 :Entries;
   reads @3 :PartReads;
   phases @4 :List(PhaseTold);
-  # Whose work: 0 one host's, 1 a failure domain's, 2 all hosts'.
+  # Whose load this is: 0 one host's, 1 a failure domain's, 2 all hosts'.
   scope @5 :UInt8;
   domain @6 :Text;
-  # Hosts whose work it is.
+  # Number of hosts whose load is included.
   hosts @7 :UInt16;
-  # Whether the sender reads the store's feeds for the others.
+  # Whether the sender reads the store's feeds on behalf of other hosts.
   follows @8 :Bool;
   word @9 :StoreWord;
   crashes @10 :Crashes;
-  # Fingerprints of requests that ran to their end after a replica broke off.
+  # Fingerprints of requests that completed after an earlier replica crash.
   finished @11 :List(UInt64);
-  # Unix milliseconds of the sender's start.
+  # Start of the sender's process, in Unix milliseconds.
   start @12 :UInt64;
   runs @13 :Runs;
-  # The last window of usage that is over and done with.
+  # Usage is reported up to and including this window.
   usageDone @14 :UInt32;
   limits @15 :Limits;
 }
 
-# Rate limits that replicas named, an item of each list for one replica.
+# Rate limits that replicas announced; one item of each list per replica.
 struct Limits {
   targets @0 :List(UInt32);
-  # Requests a second; below 0: the replica names no limit any more.
+  # Requests per second; below 0: the replica no longer announces a limit.
   perSecond @1 :List(Float32);
-  # In tenths of a second.
+  # In units of 0.1 seconds.
   ages @2 :List(UInt8);
 }
 
-# Requests that began to run, an item of each list for one customer and window.
+# Started requests; one item of each list per customer and usage window.
 struct Runs {
   firstWindow @0 :UInt32;
-  # Counted from the first window.
+  # Offsets from the first window.
   windows @1 :List(UInt8);
-  # Hashes of customers' names.
+  # Hashes of customer names.
   customers @2 :List(UInt32);
   counts @3 :List(UInt32);
 }
 
-# Replicas that broke off while they had a request, an item of each list for one.
+# Replicas that crashed while running a request; one item of each list per crash.
 struct Crashes {
   requests @0 :List(UInt64);
   targets @1 :List(UInt32);
-  # In tenths of a second.
+  # In units of 0.1 seconds.
   ages @2 :List(UInt16);
 }
 
 struct FeedWord {
   changed @0 :UInt64;
   revision @1 :UInt64;
-  # The store's steady clock.
+  # The store's monotonic clock.
   storeMs @2 :UInt64;
-  # In which all of this counts.
+  # Store era in which the other fields are valid.
   era @3 :UInt32;
 }
 
@@ -70,14 +70,14 @@
 
 struct PhaseTold {
   target @0 :UInt32;
-  # Whether the engine is to read prompts apart; else it is to answer.
+  # Whether the engine was ordered to prefill; otherwise, to decode.
   reads @1 :Bool;
-  # Tenths of a second since the order.
+  # Time since the order, in units of 0.1 seconds.
   age @2 :UInt8;
 }
 
-# Lists side by side, an item of each for one read. Python decodes them faster than a
-# list of structs.
+# Prefilled prompt blocks; one item of each list per prefill. Python decodes parallel
+# lists faster than a list of structs.
 struct PartReads {
   parts @0 :List(UInt32);
   targets @1 :List(UInt32);
@@ -85,16 +85,16 @@
   tokens @2 :List(UInt16);
 }
 
-# The same for the work at each replica.
+# Load of replicas, also as parallel lists; one item of each list per replica.
 struct Entries {
-  # The low half of the instance's hash: names would be most of a datagram.
+  # Low half of the hash of the instance name: full names would fill the datagram.
   targets @0 :List(UInt32);
   inFlight @1 :List(UInt16);
-  # Prompt tokens yet to be read, by urgency, in units of 16 tokens.
+  # Prompt tokens not yet prefilled, by urgency, in units of 16 tokens.
   urgent @2 :List(UInt16);
   usual @3 :List(UInt16);
   patient @4 :List(UInt16);
-  # Recent failures, in units of 1/32, and what a second host holds against it.
+  # Weight of recent failures in units of 1/32, and the second-highest host's weight.
   failures @5 :List(UInt8);
   second @6 :List(UInt8);
 }
--- a/berylshift/connection/peer.capnp
+++ b/berylshift/connection/peer.capnp
@@ -1,5 +1,5 @@
 @0xc1d5f3a7b2e84690;
-# Datagrams between entry hosts. Times in milliseconds, sizes in tokens.
+# Datagrams between entry hosts. Times are in milliseconds, sizes in tokens.
 
 struct Digest {
   host @0 :Text;
@@ -15,11 +15,11 @@
   mixes @10 :List(Mix);
   isReply @11 :Bool;
   crashes @12 :List(Crash);
-  # Fingerprints of calls that ran to their end after a target broke off.
+  # Fingerprints of calls that completed after an earlier target crash.
   finished @13 :List(UInt64);
 }
 
-# A target that broke off while it had a call.
+# A target that crashed while running a call.
 struct Crash {
   request @0 :UInt64;
   target @1 :UInt32;
--- a/berylshift/connection/peer_codec.py
+++ b/berylshift/connection/peer_codec.py
@@ -1,14 +1,14 @@
-"""Peers' datagrams: capnp messages behind a keyed tag."""
+"""Encoding of peer datagrams: capnp messages with an authentication tag."""
 
 from pathlib import Path
 
 import capnp
 
 from berylshift.connection.datagram_tag import (
-    LARGEST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     TAG_BYTES,
     BadDatagramError,
-    Tagger,
+    DatagramTagger,
 )
 from berylshift.ids import Fingerprint, HostName, Incarnation, PoolName, TargetName
 from berylshift.messages.load_digest import CrashReport
@@ -16,27 +16,27 @@
 from berylshift.process.limits.customer_limits import Demand
 from berylshift.process.membership.digest import Digest, Echo, Mix
 
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 
 capnp.remove_import_hook()
 _schema = capnp.load(str(Path(__file__).with_name("peer.capnp")))
 
 
 class PeerCodec:
-    """Encodes and decodes digests; a stranger without the key changes nothing."""
+    """Encodes and decodes digests; rejects datagrams of senders without the key."""
 
     def __init__(self, key: str):
-        """Tag datagrams with ``key``, which all hosts of the system share."""
-        self._tagger = Tagger(key)
+        """Authenticate datagrams with ``key``, which all hosts of the system share."""
+        self._tagger = DatagramTagger(key)
 
-    def encode(self, digest: Digest, most: int = LARGEST_DATAGRAM) -> bytes:
-        """Return a datagram of at most ``most`` bytes; lists are cut to fit."""
-        keep = max(len(digest.shares), len(digest.demands), len(digest.mixes), 1)
+    def encode(self, digest: Digest, max_bytes: int = MAX_DATAGRAM_BYTES) -> bytes:
+        """Return a datagram of up to ``max_bytes``; lists are truncated to fit."""
+        item_count = max(len(digest.shares), len(digest.demands), len(digest.mixes), 1)
         while True:
-            body = _pack(digest, keep)
-            if len(body) + TAG_BYTES <= most or keep == 0:
+            body = _pack(digest, item_count)
+            if len(body) + TAG_BYTES <= max_bytes or item_count == 0:
                 return self._tagger.seal(body)
-            keep //= 2
+            item_count //= 2
 
     def decode(self, data: bytes) -> Digest:
         """Return the digest; raise ``BadDatagramError``."""
@@ -44,16 +44,16 @@
         try:
             return _unpack(body)
         except Exception as exc:
-            raise BadDatagramError(f"can't be read: {exc}") from exc
+            raise BadDatagramError(f"cannot be decoded: {exc}") from exc
 
 
-def _pack(digest: Digest, keep: int) -> bytes:
+def _pack(digest: Digest, item_count: int) -> bytes:
     message = _schema.Digest.new_message(
         host=digest.host,
         incarnation=digest.incarnation,
         sequence=digest.sequence,
         tableVersion=digest.table_version,
-        storeAgeMs=int(digest.store_age_seconds * MILLISECONDS),
+        storeAgeMs=int(digest.store_age_seconds * MS_PER_SECOND),
         leaving=digest.leaving,
         isReply=digest.is_reply,
         echoes=[
@@ -67,10 +67,11 @@
                 "streams": s.streams,
                 "prefillTokens": s.prefill_tokens,
             }
-            for s in digest.shares[:keep]
+            for s in digest.shares[:item_count]
         ],
         demands=[
-            {"customer": d.customer, "rate": d.rate} for d in digest.demands[:keep]
+            {"customer": d.customer, "rate": d.rate}
+            for d in digest.demands[:item_count]
         ],
         planVersion=digest.plan_version,
         mixes=[
@@ -79,13 +80,13 @@
                 "prefillRate": m.prefill_rate,
                 "decodeRate": m.decode_rate,
             }
-            for m in digest.mixes[:keep]
+            for m in digest.mixes[:item_count]
         ],
         crashes=[
             {
                 "request": c.request,
                 "target": c.target,
-                "ageMs": int(c.age_seconds * MILLISECONDS),
+                "ageMs": int(c.age_seconds * MS_PER_SECOND),
             }
             for c in digest.crashes
         ],
@@ -101,7 +102,7 @@
         incarnation=Incarnation(message.incarnation),
         sequence=message.sequence,
         table_version=message.tableVersion,
-        store_age_seconds=message.storeAgeMs / MILLISECONDS,
+        store_age_seconds=message.storeAgeMs / MS_PER_SECOND,
         leaving=message.leaving,
         is_reply=message.isReply,
         echoes=[
@@ -118,7 +119,7 @@
             Mix(PoolName(m.pool), m.prefillRate, m.decodeRate) for m in message.mixes
         ],
         crashes=[
-            CrashReport(Fingerprint(c.request), c.target, c.ageMs / MILLISECONDS)
+            CrashReport(Fingerprint(c.request), c.target, c.ageMs / MS_PER_SECOND)
             for c in message.crashes
         ],
         finished=[Fingerprint(request) for request in message.finished],
--- a/berylshift/connection/peer_link.py
+++ b/berylshift/connection/peer_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between entry hosts over UDP."""
+"""UDP transport for datagrams between entry hosts."""
 
 import logging
 from collections.abc import Callable
@@ -16,66 +16,66 @@
 
 
 class Codec(Protocol[Message]):
-    """Turns messages into datagrams and back."""
+    """Encodes messages as datagrams and decodes them."""
 
-    def encode(self, message: Message, most: int) -> bytes:
-        """Return a datagram of at most ``most`` bytes."""
+    def encode(self, message: Message, max_bytes: int) -> bytes:
+        """Return a datagram of up to ``max_bytes``."""
 
     def decode(self, data: bytes) -> Message:
         """Return the message; raise ``BadDatagramError``."""
 
 
 class UdpPeerLink(Generic[Message]):
-    """Sends and receives messages; what can't be read is counted and dropped."""
+    """Sends and receives messages; invalid datagrams are counted and dropped."""
 
     def __init__(
         self,
         codec: Codec[Message],
-        most: int,
+        max_bytes: int,
         sock: trio.socket.SocketType | None = None,
     ):
-        """Use ``codec``; a datagram has at most ``most`` bytes."""
+        """Use ``codec``; datagrams are limited to ``max_bytes``."""
         self._codec = codec
-        self._most = most
+        self._max_bytes = max_bytes
         self._socket = sock or trio.socket.socket(
             trio.socket.AF_INET, trio.socket.SOCK_DGRAM
         )
-        self.bad = 0
+        self.bad_datagrams = 0
 
     async def bind(self, address: str) -> str:
-        """Listen on ``IP:PORT``; return the address with the port in use."""
+        """Bind to ``IP:PORT``; return the address with the actual port."""
         await self._socket.bind(split_address(address))
         host, port = self._socket.getsockname()
         return f"{host}:{port}"
 
     async def send(self, address: str, message: Message) -> None:
-        """Send a message; a datagram that can't go out is lost."""
-        await self._send(address, self._codec.encode(message, self._most))
+        """Send a message; a datagram that cannot be sent is dropped."""
+        await self._send(address, self._codec.encode(message, self._max_bytes))
 
     async def _send(self, address: str, data: bytes) -> None:
         try:
             await self._socket.sendto(data, split_address(address))
         except OSError:
-            logger.debug("datagram not sent")
+            logger.debug("cannot send datagram")
 
     async def send_to_all(self, addresses: list[str], message: Message) -> None:
         """Send a message, encoded once, to each address."""
-        data = self._codec.encode(message, self._most)
+        data = self._codec.encode(message, self._max_bytes)
         for address in addresses:
             await self._send(address, data)
 
-    async def receive(self, take: Callable[[Message], None]) -> None:
-        """Give each message to ``take`` until cancelled."""
+    async def receive(self, on_message: Callable[[Message], None]) -> None:
+        """Pass each message to ``on_message`` until cancelled."""
         while True:
             try:
                 data, _ = await self._socket.recvfrom(READ_BYTES)
                 message = self._codec.decode(data)
             except BadDatagramError:
-                self.bad += 1
+                self.bad_datagrams += 1
                 continue
             except OSError:
                 continue
-            take(message)
+            on_message(message)
 
     def close(self) -> None:
         """Close the socket."""
--- a/berylshift/connection/peer_tables.py
+++ b/berylshift/connection/peer_tables.py
@@ -1,4 +1,4 @@
-"""Fetches the operators' table from a peer, for when the store is down."""
+"""Fetches the operators' table from a peer while the store is down."""
 
 import msgspec
 import trio
@@ -7,22 +7,22 @@
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.process.table.follower import PeerView
 
-FETCH_SECONDS = 2.0
+FETCH_TIMEOUT_SECONDS = 2.0
 STATUS_OK = 200
 
 
 class HttpPeerTables:
-    """Asks a peer's admin address."""
+    """Fetches tables from the admin addresses of peers."""
 
     def __init__(self, client: HttpClient, cluster_key: str):
-        """Prove to be a peer by ``cluster_key``."""
+        """Authenticate as a peer with ``cluster_key``."""
         self._client = client
         self._headers = {"authorization": f"Bearer {cluster_key}"}
 
     async def fetch(self, address: str) -> PeerView | None:
-        """Return the peer's view, or ``None`` where it gives none."""
+        """Return the peer's view, or ``None`` on any failure."""
         out = Outgoing(address, "GET", "/peer/table", self._headers)
-        with trio.move_on_after(FETCH_SECONDS):
+        with trio.move_on_after(FETCH_TIMEOUT_SECONDS):
             try:
                 async with self._client.request(out) as resp:
                     data = await resp.read()
--- a/berylshift/connection/read_timeout.py
+++ b/berylshift/connection/read_timeout.py
@@ -1,39 +1,39 @@
-"""Bounds how long the other end may be silent, and nothing else."""
+"""Read timeouts that cover only the wait for a peer's data."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
 
 import trio
 
-Word = TypeVar("Word")
+Value = TypeVar("Value")
 
 NEVER = float("inf")
 
 
-class SilentError(Exception):
-    """The other end said nothing within its time."""
+class ReadTimeoutError(Exception):
+    """The peer sent nothing within the timeout."""
 
 
-class SilenceLimit:
-    """The time by which the next word is due, on the loop's clock in seconds.
+class ReadTimeout:
+    """A deadline for the next data of a peer, on the event loop's clock in seconds.
 
-    It covers the wait for the other end alone. Where the word comes at the very moment
-    at which the time ends, a limit that also covered what is done with the word
-    would end the write to the caller: the head counts as sent without a byte of it
-    having left, and the next target's chunks reach the caller without a head. A word
-    that has come is always taken, so no write is ever within the limit.
+    It covers only the wait for the peer. If data arrives just as the timeout expires,
+    a timeout that also covered its processing would cancel the write to the caller:
+    the response head would count as sent though no byte of it was, and the next
+    target's chunks would reach the caller without a head. Data that has arrived is
+    always returned, so no write is subject to the timeout.
     """
 
     def __init__(self, until: float):
-        """Wait until ``until``; ``NEVER``: without a limit."""
+        """Expire at ``until``; ``NEVER``: no timeout."""
         self._until = until
 
-    def allow(self, seconds: float) -> None:
-        """Let the next word take ``seconds`` from now; ``NEVER``: any time."""
+    def restart(self, seconds: float) -> None:
+        """Expire ``seconds`` from now; ``NEVER``: no timeout."""
         self._until = trio.current_time() + seconds
 
-    async def bound(self, wait: Awaitable[Word]) -> Word:
-        """Return what ``wait`` gives; raise ``SilentError`` at the time's end."""
+    async def wait_for(self, operation: Awaitable[Value]) -> Value:
+        """Return the result of ``operation``; raise ``ReadTimeoutError`` on expiry."""
         with trio.move_on_at(self._until):
-            return await wait
-        raise SilentError
+            return await operation
+        raise ReadTimeoutError
--- a/berylshift/connection/request_body.py
+++ b/berylshift/connection/request_body.py
@@ -1,36 +1,37 @@
-"""A caller's request body: read from the caller while it is sent to a target.
+"""A caller's request body, which is forwarded to a target while it is received.
 
-What has come is kept, since another target may have to get the body from its start.
+Received bytes are kept, since a retry sends the body to another target from its start.
 """
 
 from collections.abc import AsyncIterator
 
 import trio
 
-# Bytes read from the caller ahead of the sends; past them its connection is not read,
-# so that a target that reads slowly slows its caller and not this host's memory.
-AHEAD_BYTES = 262_144
+# Bytes read from the caller ahead of what was sent to a target. Beyond them the
+# caller's connection is not read, so that a slow target slows its caller down instead
+# of filling this host's memory.
+MAX_AHEAD_BYTES = 262_144
 
 
 class BodyBrokenError(Exception):
-    """The caller broke its body off: no send of it can be completed."""
+    """The caller aborted its body: no attempt can send it completely."""
 
 
 class RequestBody:
-    """A body of ``length`` bytes, ``None`` if the caller did not announce it."""
+    """A body of ``length`` bytes, or ``None`` if the caller did not declare it."""
 
     def __init__(self, length: int | None = None):
-        """Start with nothing received."""
+        """Create a body of which nothing is received yet."""
         self.length = length
         self.ended = False
         self._data = bytearray()
-        self._broken = False
-        self._sent: float = 0
+        self._is_aborted = False
+        self._sent_bytes: float = 0
         self._changed = trio.Event()
 
     @classmethod
     def of(cls, data: bytes) -> "RequestBody":
-        """Return a body that is there already."""
+        """Return a completely received body."""
         body = cls(len(data))
         body.add(data)
         body.end()
@@ -38,80 +39,80 @@
 
     @property
     def size(self) -> int:
-        """Return how many bytes have come."""
+        """Return the number of received bytes."""
         return len(self._data)
 
     def whole(self) -> bytes:
-        """Return all bytes; they are the body once it has ended."""
+        """Return all received bytes: the whole body once it has ended."""
         return bytes(self._data)
 
     def start(self, count: int) -> bytes | None:
-        """Return the first ``count`` bytes; ``None`` if more of them may come."""
+        """Return the first ``count`` bytes; ``None`` while some may still arrive."""
         if not self.ended and self.size < count:
             return None
         return bytes(self._data[:count])
 
-    # The caller's side
+    # Called for the caller's connection
 
     def add(self, data: bytes) -> None:
-        """Take bytes from the caller."""
+        """Append bytes received from the caller."""
         self._data += data
-        self._tell()
+        self._notify()
 
     def end(self) -> None:
-        """Note that the caller has sent all."""
+        """Mark the body as completely received."""
         self.ended = True
-        self._tell()
+        self._notify()
 
-    def break_off(self) -> None:
-        """Note that no more will come."""
-        self._broken = not self.ended
-        self._tell()
+    def abort(self) -> None:
+        """Mark the body as aborted unless it has ended."""
+        self._is_aborted = not self.ended
+        self._notify()
 
     async def wait_for_room(self) -> None:
-        """Wait until the sends have come near enough to what was read."""
-        while self.size - self._sent >= AHEAD_BYTES:
+        """Wait while ``MAX_AHEAD_BYTES`` or more are received but not yet sent."""
+        while self.size - self._sent_bytes >= MAX_AHEAD_BYTES:
             await self._changed.wait()
 
     def discard(self) -> None:
-        """Note that nobody will send the rest: it may be read without bound."""
-        self._sent = float("inf")
-        self._tell()
+        """Note that the rest will not be sent: lift the limit on reading ahead."""
+        self._sent_bytes = float("inf")
+        self._notify()
 
     async def wait_for_start(self, count: int) -> None:
-        """Wait until the first ``count`` bytes are there, or none come any more."""
-        while not (self.ended or self._broken or self.size >= count):
+        """Wait until ``count`` bytes were received or the body ended or was aborted."""
+        while not (self.ended or self._is_aborted or self.size >= count):
             await self._changed.wait()
 
     async def wait_for_end(self) -> None:
-        """Wait until the caller has sent all."""
+        """Wait until the body is completely received."""
         while not self.ended:
             await self._changed.wait()
 
-    # The targets' side
+    # Called for the target's connection
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body from its start; raise ``BodyBrokenError`` if it breaks off."""
-        at = 0
+        """Yield the body from its start; raise ``BodyBrokenError`` if it is aborted."""
+        offset = 0
         while True:
             changed = self._changed
-            if at < self.size:
-                data = bytes(self._data[at:])
+            if offset < self.size:
+                data = bytes(self._data[offset:])
                 yield data
-                at += len(data)
-                self._note_sent(at)
+                offset += len(data)
+                self._note_sent(offset)
             elif self.ended:
                 return
-            elif self._broken:
+            elif self._is_aborted:
                 raise BodyBrokenError
             else:
                 await changed.wait()
 
-    def _note_sent(self, at: int) -> None:
-        if at > self._sent:
-            self._sent = at
-            self._tell()
+    def _note_sent(self, offset: int) -> None:
+        if offset > self._sent_bytes:
+            self._sent_bytes = offset
+            self._notify()
 
-    def _tell(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
--- a/berylshift/connection/responder.py
+++ b/berylshift/connection/responder.py
@@ -1,4 +1,4 @@
-"""Writes the one answer of a request to its caller."""
+"""Writes the response to a request to its caller."""
 
 from typing import Protocol
 
@@ -11,46 +11,46 @@
 
 
 class SlowCallerError(trio.BrokenResourceError):
-    """The caller has not read an answer within the bounds of its write."""
+    """The caller did not read a response within the write timeout."""
 
 
-class AnswerWire(Protocol):
-    """The connection that an answer goes out on."""
+class ResponseConnection(Protocol):
+    """The connection that a response is written to."""
 
     @property
     def closing(self) -> bool:
-        """Return whether the connection is closed after the answer."""
+        """Return whether the connection is closed after the response."""
 
     async def send(self, *events: h11.Event, until: float = NEVER) -> None:
-        """Write events at once, by ``until`` on the loop's clock."""
+        """Write events in one call, by ``until`` on the event loop's clock."""
 
 
 class Responder:
-    """Writes the one answer of a request.
+    """Writes the response to a request.
 
-    A write that has begun is not cancelled: an answer that is there is delivered, also
-    when the time of its request ends meanwhile. ``late_until`` bounds the writes.
+    A write that has begun is not cancelled: a response that is ready is delivered even
+    if its request's deadline passes meanwhile. ``write_deadline`` limits the writes.
     """
 
-    def __init__(self, wire: AnswerWire):
-        """Write to ``wire``."""
-        self._wire = wire
+    def __init__(self, connection: ResponseConnection):
+        """Write to ``connection``."""
+        self._connection = connection
         self.started = False
         self.finished = False
         self.caller_left = False
-        self.late_until = NEVER
+        self.write_deadline = NEVER
 
     async def full(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer with its length."""
-        await self.full_raw(status, _encoded(headers), body)
+        """Send a complete response with its length."""
+        await self.full_raw(status, _encode(headers), body)
 
     async def full_raw(
         self, status: int, headers: list[tuple[bytes, bytes]], body: bytes
     ) -> None:
-        """Send a whole answer, headers as they are, in one write.
+        """Send a complete response, headers unchanged, in one write.
 
-        In several writes, whatever ends the request between two of them leaves its
-        caller with a head whose body never comes.
+        With several writes, a cancellation between two of them would leave the caller
+        with a head whose body never arrives.
         """
         framing = (b"content-length", b"%d" % len(body))
         head = self._head(status, [*headers, framing])
@@ -58,32 +58,32 @@
         self.finished = True
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send the head of a chunked answer."""
-        await self.start_raw(status, _encoded(headers))
+        """Send the head of a chunked response."""
+        await self.start_raw(status, _encode(headers))
 
     async def start_raw(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Send the head of a chunked answer, headers as they are."""
+        """Send the head of a chunked response, headers unchanged."""
         framing = (b"transfer-encoding", b"chunked")
         await self._send(self._head(status, [*headers, framing]))
 
     async def send(self, data: bytes) -> None:
-        """Send one chunk; waits while the caller reads slowly."""
+        """Send one chunk; wait while the caller reads slowly."""
         await self._send(h11.Data(data=data))
 
     async def end(self) -> None:
-        """Send the end marker, by which the caller knows the answer is whole."""
+        """Send the final chunk, which marks the response as complete."""
         await self._send(h11.EndOfMessage())
         self.finished = True
 
     def _head(self, status: int, headers: list[tuple[bytes, bytes]]) -> h11.Response:
         self.started = True
-        if self._wire.closing:
+        if self._connection.closing:
             headers = [*headers, (b"connection", b"close")]
         return h11.Response(status_code=status, headers=headers)
 
     async def _send(self, *events: h11.Event) -> None:
-        await self._wire.send(*events, until=self.late_until)
+        await self._connection.send(*events, until=self.write_deadline)
 
 
-def _encoded(headers: Headers) -> list[tuple[bytes, bytes]]:
+def _encode(headers: Headers) -> list[tuple[bytes, bytes]]:
     return [(name.encode(), value.encode()) for name, value in headers.items()]
--- a/berylshift/connection/server_connection.py
+++ b/berylshift/connection/server_connection.py
@@ -1,4 +1,4 @@
-"""One connection of an HTTP server: its requests, their handling, their answers."""
+"""One connection of an HTTP server: reads requests and runs their handler."""
 
 import logging
 from collections.abc import Awaitable, Callable
@@ -13,24 +13,24 @@
 from berylshift.connection.http_request import (
     STATUS_BAD_REQUEST,
     HttpRequest,
-    announced_length,
     check_framing,
+    declared_length,
     make_request,
 )
 from berylshift.connection.request_body import RequestBody
 from berylshift.connection.responder import NEVER, Responder, SlowCallerError
 from berylshift.connection.server_limits import (
+    LINGER_SECONDS,
     READ_BYTES,
-    REST_SECONDS,
     ServerLimits,
-    last_look,
+    final_read_deadline,
 )
 
 logger = logging.getLogger(__name__)
 
-# Bytes of a next request that a connection may send before its answer ends; past
-# them nothing is read, so that such a caller can't fill the memory.
-MOST_EARLY_BYTES = 65536
+# Bytes of a pipelined request that are read before the current response ends; beyond
+# them nothing is read, so that such a caller cannot exhaust the memory.
+MAX_EARLY_BYTES = 65536
 STATUS_TIMEOUT = 408
 STATUS_TOO_LARGE = 413
 STATUS_ERROR = 500
@@ -39,86 +39,90 @@
 Handler = Callable[[HttpRequest, Responder], Awaitable[None]]
 
 
-class ServerSide(Protocol):
-    """What a connection asks of its server.
+class ServerInterface(Protocol):
+    """The server that a connection belongs to.
 
-    ``held_bytes``: how much of a body is read before its request is handled;
-    ``draining``: each answer is its connection's last; ``taking``: requests are begun.
+    ``max_buffered_bytes``: how much of a body is read before its request is handled;
+    ``draining``: each connection is closed after its next response;
+    ``accepts_requests``: new requests are read.
     """
 
     handler: Handler
-    held_bytes: float
+    max_buffered_bytes: float
     draining: bool
-    taking: bool
+    accepts_requests: bool
 
     @property
     def limits(self) -> ServerLimits:
-        """Return the bounds in force."""
+        """Return the limits in effect."""
 
-    def request_under_way(self) -> AbstractContextManager[None]:
-        """Count the block as a request."""
+    def count_request(self) -> AbstractContextManager[None]:
+        """Count the block as a request in flight."""
 
-    def reading_scope(self, until: float) -> AbstractContextManager[trio.CancelScope]:
-        """Bound the reading of a request."""
+    def read_scope(self, until: float) -> AbstractContextManager[trio.CancelScope]:
+        """Limit the reading of a request."""
 
     def write_scope(self, until: float) -> AbstractContextManager[trio.CancelScope]:
-        """Bound and shield a write to the caller."""
+        """Limit a write to the caller and shield it from cancellation."""
 
     def idle_scope(self) -> trio.CancelScope:
-        """Return a scope for the wait for a next request."""
+        """Return and register a scope for the wait for the next request."""
 
-    def leave_idle(self, scope: trio.CancelScope) -> None:
-        """Forget a scope that ``idle_scope`` returned."""
+    def remove_idle_scope(self, scope: trio.CancelScope) -> None:
+        """Unregister a scope that ``idle_scope`` returned."""
 
 
 @dataclass
-class ServerLink:
+class ServerConnection:
     """One connection of a server."""
 
-    server: ServerSide
+    server: ServerInterface
     stream: trio.abc.Stream
     conn: h11.Connection = field(init=False)
-    read_until: float = float("inf")
-    # Whether the request at hand asks for the head of an answer alone.
-    headless: bool = False
-    writing: trio.CancelScope = field(default_factory=trio.CancelScope)
+    read_deadline: float = float("inf")
+    # Whether the current request is a HEAD request: the response has no body.
+    is_head_request: bool = False
+    write_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     def __post_init__(self) -> None:
-        """Start the HTTP state of the connection."""
+        """Create the HTTP state of the connection."""
         size = self.server.limits.header_bytes
         self.conn = h11.Connection(h11.SERVER, max_incomplete_event_size=size)
 
     @property
     def closing(self) -> bool:
-        """Return whether the connection is closed after its next answer."""
+        """Return whether the connection is closed after its next response."""
         return self.server.draining
 
     async def send(self, *events: h11.Event, until: float = NEVER) -> None:
-        """Write ``events`` by ``until``, whatever is cancelled around it.
+        """Write ``events`` by ``until``, shielded from cancellation.
 
-        What h11 has taken counts as sent: a write that is cancelled before its bytes
-        have left can't be made good by any later one, and the caller gets half an
-        answer or none. Its own bounds end the write of a caller that reads slowly.
+        Events passed to h11 count as sent: if a write is cancelled before its bytes are
+        sent, no later write can replace it, and the caller gets half a response or
+        none. The write's own deadline applies to callers that read slowly.
         """
-        data = b"".join(self.conn.send(event) or b"" for event in self._allowed(events))
+        data = b"".join(
+            self.conn.send(event) or b""
+            for event in self._without_forbidden_body(events)
+        )
         if not data:
             return
-        with self.server.write_scope(until) as self.writing:
+        with self.server.write_scope(until) as self.write_scope:
             await self.stream.send_all(data)
-        if self.writing.cancelled_caught:
-            raise SlowCallerError("caller reads too slowly")
+        if self.write_scope.cancelled_caught:
+            raise SlowCallerError("caller reads the response too slowly")
 
-    def _allowed(self, events: tuple[h11.Event, ...]) -> list[h11.Event]:
-        """Return the events without a body where the request allows none.
+    def _without_forbidden_body(self, events: tuple[h11.Event, ...]) -> list[h11.Event]:
+        """Return the events, without the body for a HEAD request.
 
-        h11 refuses such a body, and with it the head that it has taken before.
+        h11 rejects such a body, and the head encoded before it would be lost.
         """
-        if not self.headless:
+        if not self.is_head_request:
             return list(events)
         return [event for event in events if not isinstance(event, h11.Data)]
 
     async def run(self) -> bool:
-        """Serve requests; return whether an answer was the last thing, not a rest."""
+        """Serve requests; return whether a response was sent last, not an idle wait."""
         while await self._wait_for_bytes():
             if not await self._serve_one():
                 return True
@@ -126,17 +130,17 @@
         return False
 
     async def _serve_one(self) -> bool:
-        """Serve a request; return whether the connection may go on."""
-        with self.server.request_under_way():
+        """Serve a request; return whether the connection may be reused."""
+        with self.server.count_request():
             try:
                 req = await self._read_request()
-                return req is not None and await self._answer(req)
+                return req is not None and await self._handle_request(req)
             except RequestRejectedError as exc:
                 await self.refuse(exc.status, exc.reason)
                 return False
 
     async def refuse(self, status: int, reason: str, outcome: str = "not-run") -> None:
-        """Answer a request that no handler answers."""
+        """Send an error response to a request that no handler answers."""
         if self.conn.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         body = b'{"title":"%s"}' % reason.encode()
@@ -150,76 +154,78 @@
         head = h11.Response(status_code=status, headers=headers)
         await self.send(head, h11.Data(data=body), h11.EndOfMessage())
 
-    async def _answer(self, req: HttpRequest) -> bool:
-        """Run the handler; return whether the connection may go on."""
+    async def _handle_request(self, req: HttpRequest) -> bool:
+        """Run the handler; return whether the connection may be reused."""
         responder = Responder(self)
-        rest = _Rest()
+        result = _BodyResult()
         async with trio.open_nursery() as nursery:
             scope = nursery.cancel_scope
-            nursery.start_soon(self._watch, req.arriving, rest, responder, scope)
-            await self._handle(req, responder)
-            await self._take_rest(req.arriving)
+            nursery.start_soon(
+                self._watch_caller, req.body_stream, result, responder, scope
+            )
+            await self._run_handler(req, responder)
+            await self._wait_for_rest(req.body_stream)
             nursery.cancel_scope.cancel()
-        if rest.rejected is not None and not responder.started:
-            raise rest.rejected
+        if result.rejected is not None and not responder.started:
+            raise result.rejected
         both_done = self.conn.our_state is self.conn.their_state is h11.DONE
         return responder.finished and both_done
 
-    async def _take_rest(self, body: RequestBody) -> None:
-        """Wait a little for the rest of a body whose answer is out."""
+    async def _wait_for_rest(self, body: RequestBody) -> None:
+        """Wait for the rest of a body after its response, for a limited time."""
         body.discard()
-        with trio.move_on_after(REST_SECONDS):
+        with trio.move_on_after(LINGER_SECONDS):
             await body.wait_for_end()
 
-    async def _handle(self, req: HttpRequest, responder: Responder) -> None:
+    async def _run_handler(self, req: HttpRequest, responder: Responder) -> None:
         try:
             await self.server.handler(req, responder)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            logger.debug("caller left before its answer ended")
+            logger.debug("caller disconnected before its response ended")
         except Exception:
-            # A fault in one handler must not end the other callers' requests.
+            # An error in one handler must not abort other callers' requests.
             logger.exception("request handler failed")
             if not responder.started:
                 await self.refuse(STATUS_ERROR, "internal error", "unknown")
 
-    async def _watch(
+    async def _watch_caller(
         self,
         body: RequestBody,
-        rest: "_Rest",
+        result: "_BodyResult",
         responder: Responder,
         scope: trio.CancelScope,
     ) -> None:
-        """Read the rest of the body, then notice when the caller leaves.
+        """Read the rest of the body, then watch for the caller to disconnect.
 
-        A handler whose caller left, or broke its body off, is cancelled, so that no
-        target works for it.
+        If the caller disconnects or aborts its body, the handler is cancelled, so that
+        no target works for it.
         """
         try:
             await self._read_rest(body)
         except RequestRejectedError as exc:
-            rest.rejected = exc
-            body.break_off()
+            result.rejected = exc
+            body.abort()
         else:
-            await self._wait_for_leaving()
+            await self._wait_for_disconnect()
         responder.caller_left = True
-        # A write is shielded from the scope, and there is nobody left to read it.
-        self.writing.cancel()
+        # Writes are shielded from the scope, and the caller no longer reads them.
+        self.write_scope.cancel()
         scope.cancel()
 
     async def _read_rest(self, body: RequestBody) -> None:
-        with trio.move_on_at(self.read_until):
+        with trio.move_on_at(self.read_deadline):
             while not body.ended:
                 await body.wait_for_room()
-                await self._read_part(body)
+                await self._read_body_event(body)
             return
         raise RequestRejectedError(STATUS_TIMEOUT, "request was sent too slowly")
 
-    async def _wait_for_leaving(self) -> None:
-        early = 0
+    async def _wait_for_disconnect(self) -> None:
+        early_bytes = 0
         while data := await self._receive():
             self.conn.receive_data(data)
-            early += len(data)
-            if early > MOST_EARLY_BYTES:
+            early_bytes += len(data)
+            if early_bytes > MAX_EARLY_BYTES:
                 await trio.sleep_forever()
 
     async def _receive(self) -> bytes:
@@ -241,16 +247,16 @@
             self.conn.receive_data(await self._receive())
 
     async def _read_request(self) -> HttpRequest | None:
-        self.read_until = trio.current_time() + self.server.limits.request_seconds
-        with self.server.reading_scope(self.read_until):
-            return await self._read_held()
-        if not self.server.taking:
+        self.read_deadline = trio.current_time() + self.server.limits.request_seconds
+        with self.server.read_scope(self.read_deadline):
+            return await self._read_buffered()
+        if not self.server.accepts_requests:
             raise RequestRejectedError(STATUS_UNAVAILABLE, "this host is leaving")
         raise RequestRejectedError(STATUS_TIMEOUT, "request was sent too slowly")
 
     async def _wait_for_bytes(self) -> bool:
-        """Wait for a request's first byte; it is time that may be cut short."""
-        if not self.server.taking:
+        """Wait for a request's first byte; return whether it arrived."""
+        if not self.server.accepts_requests:
             return False
         if self.conn.trailing_data[0]:
             return True
@@ -260,37 +266,37 @@
             with scope:
                 data = await self._receive()
         finally:
-            self.server.leave_idle(scope)
-        if scope.cancelled_caught and self.server.taking:
-            data = await self._look_once_more()
+            self.server.remove_idle_scope(scope)
+        if scope.cancelled_caught and self.server.accepts_requests:
+            data = await self._final_read()
         if data:
             self.conn.receive_data(data)
         return bool(data)
 
-    async def _look_once_more(self) -> bytes:
-        """Return what has come by the end of a rest.
+    async def _final_read(self) -> bytes:
+        """Return what was received by the end of the idle time.
 
-        It may lie in the kernel while the loop has not looked yet; closed now, the
-        connection would be reset under a request.
+        The kernel may hold a request that the event loop has not read yet; closing the
+        connection now would reset it under that request.
         """
-        with trio.CancelScope(shield=True, deadline=last_look()):
+        with trio.CancelScope(shield=True, deadline=final_read_deadline()):
             return await self._receive()
         return b""
 
-    async def _read_held(self) -> HttpRequest | None:
-        """Read the head and as much of the body as is held before it is handled."""
+    async def _read_buffered(self) -> HttpRequest | None:
+        """Read the head, and the body up to the server's ``max_buffered_bytes``."""
         head = await self._next_event()
         if not isinstance(head, h11.Request):
             return None
-        self.headless = head.method == b"HEAD"
+        self.is_head_request = head.method == b"HEAD"
         check_framing(head)
-        body = RequestBody(announced_length(head))
+        body = RequestBody(declared_length(head))
         self._check_size(body.length or 0)
-        while not body.ended and body.size < self.server.held_bytes:
-            await self._read_part(body)
+        while not body.ended and body.size < self.server.max_buffered_bytes:
+            await self._read_body_event(body)
         return make_request(head, body)
 
-    async def _read_part(self, body: RequestBody) -> None:
+    async def _read_body_event(self, body: RequestBody) -> None:
         event = await self._next_event()
         if isinstance(event, h11.EndOfMessage):
             body.end()
@@ -306,7 +312,7 @@
 
 
 @dataclass
-class _Rest:
-    """What came of the rest of a body; ``rejected``: why it can't be taken."""
+class _BodyResult:
+    """Result of reading the rest of a body; ``rejected``: the error, if any."""
 
     rejected: RequestRejectedError | None = None
--- a/berylshift/connection/server_limits.py
+++ b/berylshift/connection/server_limits.py
@@ -1,20 +1,20 @@
-"""Bounds for one HTTP server, and times that its parts share."""
+"""Limits of an HTTP server, and helpers for closing its connections."""
 
 from dataclasses import dataclass
 
 import trio
 
 READ_BYTES = 65536
-# How long the rest of a body is read after its answer: closing the connection before
-# would reset it, and the answer could be lost on its way.
-REST_SECONDS = 1.0
-# What the last look at a connection may take: what has come is there without waiting.
-LAST_LOOK_SECONDS = 0.001
+# How long input is read after a response: closing the connection with input unread
+# would reset it, and the response could be lost in transit.
+LINGER_SECONDS = 1.0
+# Timeout of the final read of a connection, which only fetches data already received.
+FINAL_READ_SECONDS = 0.001
 
 
 @dataclass(frozen=True)
 class ServerLimits:
-    """Bounds for one server; sizes in bytes, times in seconds."""
+    """Limits of one server; sizes in bytes, times in seconds."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -24,12 +24,12 @@
     connections: int = 2048
 
 
-def last_look() -> float:
-    """Return when a look that begins now is over, on the loop's clock."""
-    return trio.current_time() + LAST_LOOK_SECONDS
+def final_read_deadline() -> float:
+    """Return the deadline of a final read, on the event loop's clock."""
+    return trio.current_time() + FINAL_READ_SECONDS
 
 
-async def drop_rest(stream: trio.abc.Stream) -> None:
-    """Read to the end, for nothing."""
+async def discard_input(stream: trio.abc.Stream) -> None:
+    """Read to the end of the stream and discard the data."""
     while await stream.receive_some(READ_BYTES):
         pass
--- a/berylshift/connection/service_client.py
+++ b/berylshift/connection/service_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of plain services: calls are passed on as the callers sent them."""
+"""HTTP client of plain services; forwards calls as the callers sent them."""
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
@@ -22,24 +22,24 @@
 class HttpServiceClient:
     """Calls plain services.
 
-    A call that may not be repeated goes out on a connection of its own: on a
-    pooled one the service may close as we write, and its fate would be unknown.
+    A call that may not be repeated uses a new connection: the service may close a
+    pooled one during the write, and it would be unknown whether the call ran.
     """
 
     def __init__(self, client: HttpClient, credential: str):
-        """Authorize calls with ``credential``; empty: none is sent."""
+        """Authorize calls with ``credential``; if empty, none is sent."""
         self._client = client
         self._credential = credential
 
     async def connect(self, address: str) -> None:
-        """Open a connection and keep it for the next call."""
+        """Open a connection and pool it for the next call."""
         try:
             await self._client.connect(address)
         except ConnectFailedError as exc:
             raise TargetNotReachedError(str(exc)) from exc
 
     async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
-        """Return the service's answer."""
+        """Return the service's response."""
         headers = {**call.headers, ATTEMPT_HEADER: call.attempt}
         if self._credential:
             headers["authorization"] = f"Bearer {self._credential}"
@@ -56,11 +56,11 @@
         except ConnectionLayerError as exc:
             raise TargetBrokenError(str(exc)) from exc
         if resp.headers.get(REFUSED_HEADER) == "true":
-            rest = parse_retry_after(resp.headers.get("retry-after"))
-            raise TargetRefusedError(f"status {resp.status}", rest)
-        kept = {
+            retry_after = parse_retry_after(resp.headers.get("retry-after"))
+            raise TargetRefusedError(f"status {resp.status}", retry_after)
+        forwarded_headers = {
             name: value
             for name, value in resp.headers.items()
             if name not in DROPPED_HEADERS
         }
-        return ServiceAnswer(resp.status, kept, data)
+        return ServiceAnswer(resp.status, forwarded_headers, data)
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -1,4 +1,4 @@
-"""What an entry host says of itself to operators."""
+"""Status report of an entry host for operators."""
 
 import msgspec
 
@@ -7,7 +7,7 @@
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
-    """A target as this host sees it; ages in seconds, prefill in tokens."""
+    """A target as seen by this host; ages in seconds, prefill in tokens."""
 
     target: str
     kind: str
@@ -23,7 +23,7 @@
 
 
 class CustomerStatus(msgspec.Struct, frozen=True):
-    """A customer's requests at this host since it started."""
+    """Counts of a customer's requests at this host since it started."""
 
     customer: str
     limit: int
@@ -32,7 +32,7 @@
 
 
 class HostStatus(msgspec.Struct, frozen=True):
-    """One entry host."""
+    """Status of one entry host."""
 
     host: str
     incarnation: str
@@ -72,18 +72,18 @@
 
 
 def _targets(app: Application, now: float) -> list[TargetStatus]:
-    found = []
+    targets = []
     for row in app.holder.table.targets.values():
         load = app.load.estimate(row.name, now)
-        plain = row.kind is RowKind.SERVICE
-        found.append(
+        is_service = row.kind is RowKind.SERVICE
+        targets.append(
             TargetStatus(
                 target=row.target,
                 kind=row.kind.value,
                 serves=row.serves,
                 domain=row.domain,
                 state=row.state.value,
-                role="" if plain else load.role.value,
+                role="" if is_service else load.role.value,
                 streams=load.streams,
                 prefill_tokens=round(load.prefill_tokens),
                 report_age=round(min(load.report_age_seconds, 1e6), 3),
@@ -91,7 +91,7 @@
                 suspended=not app.know.health.is_usable(row.name, now),
             )
         )
-    return found
+    return targets
 
 
 def _customers(app: Application) -> list[CustomerStatus]:
--- a/berylshift/connection/target_client.py
+++ b/berylshift/connection/target_client.py
@@ -1,7 +1,7 @@
-"""HTTP client of replicas: whole requests out, answers as they come.
+"""HTTP client of replicas: sends requests and streams their responses.
 
-It says what its callers must know to keep "not run" true: whether a byte of the
-request can have reached the replica.
+Its errors tell callers whether any byte of the request can have reached the replica,
+which decides whether a request may be reported as "not run".
 """
 
 import contextlib
@@ -16,35 +16,40 @@
 import trio
 
 from berylshift.connection.errors import (
-    BadAnswerError,
+    BadResponseError,
     ConnectFailedError,
     ConnectionBrokenError,
 )
-from berylshift.connection.http_client import Dial, Wire, close_now, dial_tcp
+from berylshift.connection.http_client import (
+    ClientConnection,
+    Dial,
+    close_now,
+    dial_tcp,
+)
 from berylshift.connection.request_body import BodyBrokenError, RequestBody
 from berylshift.ids import InstanceId
 from berylshift.messages.routed import Header
 
-# Bodies up to this size fit into the windows of a fresh connection and are sent at
-# once; larger ones are sent beside the reading, since a replica may answer before it
-# has read them and both sides would wait for each other for good.
-AT_ONCE_BYTES = 4096
-# Kept connections of one replica; more would only hold its connection slots.
-KEPT_PER_TARGET = 8
-# Without a word of its own a replica may close an idle connection any time; sends
-# this soon after the last answer cross such a close rarely.
-KEPT_SECONDS = 1.0
-# A connection is used again for at most this part of the time its replica keeps it.
-KEPT_PART = 0.5
-# The largest late answer that is passed over.
-MOST_SKIPPED_BYTES = 1 << 20
+# Bodies up to this size fit into the windows of a new connection and are sent before
+# the response is read. Larger ones are sent concurrently with reading the response: a
+# replica may respond before it has read them, and both sides would deadlock.
+MAX_INLINE_BYTES = 4096
+# Idle connections per replica; more would only occupy its connection slots.
+MAX_IDLE_PER_TARGET = 8
+# Used for replicas that announce no keep-alive timeout and may close an idle connection
+# at any time; a request this soon after the last response rarely meets such a close.
+DEFAULT_KEEP_ALIVE_SECONDS = 1.0
+# Reuse a connection for at most this fraction of its replica's keep-alive timeout.
+KEEP_ALIVE_FRACTION = 0.5
+# Maximum body size of a late response to an earlier request that is skipped.
+MAX_SKIPPED_BYTES = 1 << 20
 NO_BODY = RequestBody.of(b"")
 
 
 class TargetRequest(msgspec.Struct, frozen=True):
     """One request for one instance; ``target`` is path and query.
 
-    ``limit_exempt``: it does not wait for its turn under the instance's limit.
+    ``limit_exempt``: it is not throttled by the instance's rate limit.
     """
 
     instance: InstanceId
@@ -57,243 +62,255 @@
 
 
 class TargetGate(Protocol):
-    """Decides which requests may go out; every request and answer passes it."""
+    """Decides which requests may be sent; is called for every request and response."""
 
-    def enter(self, instance: InstanceId, limit_exempt: bool) -> float:
-        """Return the time of a request that may go out; raise ``ThrottledError``.
+    def admit(self, instance: InstanceId, limit_exempt: bool) -> float:
+        """Return the time at which a request may be sent; raise ``ThrottledError``.
 
-        ``limit_exempt``: it does not wait for its turn under the instance's limit.
+        ``limit_exempt``: it is not throttled by the instance's rate limit.
         """
 
-    def answered(
+    def note_response(
         self,
         instance: InstanceId,
         status: int,
         headers: list[Header],
-        entered_at: float,
+        admitted_at: float,
     ) -> None:
-        """Note the head of an answer to the request that entered at ``entered_at``."""
+        """Process the response head of the request admitted at ``admitted_at``."""
 
 
-class OpenGate:
-    """Lets everything through."""
+class UnlimitedGate:
+    """Admits every request."""
 
-    def enter(self, instance: InstanceId, limit_exempt: bool) -> float:
-        """Let a request out."""
+    def admit(self, instance: InstanceId, limit_exempt: bool) -> float:
+        """Admit a request."""
         return 0.0
 
-    def answered(
+    def note_response(
         self,
         instance: InstanceId,
         status: int,
         headers: list[Header],
-        entered_at: float,
+        admitted_at: float,
     ) -> None:
-        """Learn nothing."""
+        """Ignore a response."""
 
 
-class TargetAnswer:
-    """An answer whose body is read as it comes."""
+class TargetResponse:
+    """A response whose body is streamed."""
 
     def __init__(
         self,
-        wire: Wire,
+        connection: ClientConnection,
         out: TargetRequest,
         head: h11.Response,
         on_head: Callable[[int, list[Header]], None],
     ):
-        """Wrap the connection, the request that was sent, and the answer's head.
+        """Wrap the connection, the request that was sent, and the response head.
 
-        ``on_head`` is told status and headers of each head that is read.
+        ``on_head`` is called with status and headers of each head that is read.
         """
-        self._wire = wire
+        self._connection = connection
         self._out = out
         self._on_head = on_head
-        self.keep_seconds = KEPT_SECONDS
-        self.usable = True
-        self._take(head)
+        self.keep_alive_seconds = DEFAULT_KEEP_ALIVE_SECONDS
+        self.may_reuse = True
+        self._set_head(head)
 
-    def _take(self, head: h11.Response) -> None:
+    def _set_head(self, head: h11.Response) -> None:
         self.status = head.status_code
         self.headers: list[Header] = [
             (bytes(name), bytes(value)) for name, value in head.headers
         ]
         self._on_head(self.status, self.headers)
 
-    async def skip(self) -> None:
-        """Pass over this answer and take the next one on the connection.
+    async def skip_to_next(self) -> None:
+        """Discard this response and read the next one on the connection.
 
-        A late answer to an earlier request stands where ours is expected; ours comes
-        behind it. Giving the connection up instead would leave a request that may not
-        be repeated without its answer. The connection is not used again.
+        A late response to an earlier request precedes ours. Closing the connection
+        instead would lose the response of a request that may not be repeated. The
+        connection is not reused.
         """
-        self.usable = False
-        await self.read(MOST_SKIPPED_BYTES)
-        rest, _ = self._wire.conn.trailing_data
-        self._wire.conn = _expecting_answer(self._out)
-        if rest:
-            self._wire.conn.receive_data(rest)
-        self._take(await self._wire.read_head())
+        self.may_reuse = False
+        await self.read(MAX_SKIPPED_BYTES)
+        remaining, _ = self._connection.conn.trailing_data
+        self._connection.conn = _state_after_send(self._out)
+        if remaining:
+            self._connection.conn.receive_data(remaining)
+        self._set_head(await self._connection.read_head())
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the body as it arrives; ends only at the body's own end."""
+        """Yield the body as it arrives; return only at the end of the message."""
         while True:
-            event = await self._wire.next_event()
+            event = await self._connection.next_event()
             if isinstance(event, h11.EndOfMessage):
                 return
             if isinstance(event, h11.Data):
                 yield bytes(event.data)
 
-    async def read(self, most: int) -> bytes:
-        """Return the whole body of up to ``most`` bytes."""
-        parts: list[bytes] = []
+    async def read(self, max_bytes: int) -> bytes:
+        """Return the body; raise ``BadResponseError`` if over ``max_bytes``."""
+        chunks: list[bytes] = []
         size = 0
         async for data in self.chunks():
             size += len(data)
-            if size > most:
-                raise BadAnswerError("answer is too large")
-            parts.append(data)
-        return b"".join(parts)
+            if size > max_bytes:
+                raise BadResponseError("response body is too large")
+            chunks.append(data)
+        return b"".join(chunks)
 
 
 class TargetClient:
-    """Sends requests to replicas over kept connections."""
+    """Sends requests to replicas over pooled connections."""
 
     def __init__(self, connect_seconds: float, dial: Dial = dial_tcp):
         """Open streams by ``dial`` within ``connect_seconds``."""
         self._connect_seconds = connect_seconds
         self._dial = dial
-        self._kept: dict[InstanceId, list[Wire]] = defaultdict(list)
-        self._senders: trio.Nursery | None = None
-        self._gate: TargetGate = OpenGate()
+        self._idle: dict[InstanceId, list[ClientConnection]] = defaultdict(list)
+        self._send_nursery: trio.Nursery | None = None
+        self._gate: TargetGate = UnlimitedGate()
         self.opened = 0
 
-    def guard_by(self, gate: TargetGate) -> None:
-        """Have each request and answer pass ``gate``."""
+    def set_gate(self, gate: TargetGate) -> None:
+        """Call ``gate`` for each request and response."""
         self._gate = gate
 
     async def run(self) -> None:
-        """Carry the sending of large bodies until cancelled."""
+        """Run the tasks that send large bodies, until cancelled."""
         async with trio.open_nursery() as nursery:
-            self._senders = nursery
+            self._send_nursery = nursery
             await trio.sleep_forever()
 
     @asynccontextmanager
-    async def exchange(self, out: TargetRequest) -> AsyncIterator[TargetAnswer]:
-        """Send a request and give its answer.
+    async def exchange(self, out: TargetRequest) -> AsyncIterator[TargetResponse]:
+        """Send a request and yield its response.
 
         Raises ``ThrottledError`` or ``ConnectFailedError`` if no byte was sent, and
         other connection errors if the replica may have read the request. A connection
-        is kept only if its answer was read to the end and nothing lies behind it.
+        is pooled only if its response was read to the end and no bytes follow it.
         """
-        entered_at = self._gate.enter(out.instance, out.limit_exempt)
+        admitted_at = self._gate.admit(out.instance, out.limit_exempt)
 
         def on_head(status: int, headers: list[Header]) -> None:
-            self._gate.answered(out.instance, status, headers, entered_at)
+            self._gate.note_response(out.instance, status, headers, admitted_at)
 
-        wire = self._take(out.instance) or await self._open(out.address)
+        connection = self._pop_idle(out.instance) or await self._open(out.address)
         sending = trio.CancelScope()
-        answer: TargetAnswer | None = None
-        whole = False
+        response: TargetResponse | None = None
+        is_reusable = False
         try:
-            sent = await self._send(wire, out, sending)
-            answer = TargetAnswer(wire, out, await wire.read_head(), on_head)
-            yield answer
-            whole = sent.is_set() and answer.usable and wire.reusable()
+            sent = await self._send(connection, out, sending)
+            response = TargetResponse(
+                connection, out, await connection.read_head(), on_head
+            )
+            yield response
+            is_reusable = (
+                sent.is_set() and response.may_reuse and connection.is_reusable()
+            )
         finally:
             sending.cancel()
-            if whole and answer is not None:
-                self._keep(out.instance, wire, answer.keep_seconds)
+            if is_reusable and response is not None:
+                self._release(out.instance, connection, response.keep_alive_seconds)
             else:
-                close_now(wire.stream)
+                close_now(connection.stream)
 
     async def _send(
-        self, wire: Wire, out: TargetRequest, scope: trio.CancelScope
+        self, connection: ClientConnection, out: TargetRequest, scope: trio.CancelScope
     ) -> trio.Event:
-        """Start sending; the event is set once all was handed to the kernel."""
+        """Start sending; the event is set once the kernel has accepted all bytes."""
         body = out.body
         try:
-            head = _encode_head(wire.conn, out)
+            head = _encode_head(connection.conn, out)
         except h11.LocalProtocolError as exc:
-            # Handles and sources come from engines: HTTP may have no room for them.
-            # Nothing was sent, and callers know the errors of this layer only.
-            raise ConnectFailedError(f"request can't be written: {exc}") from exc
+            # KV handles and sources come from engines and may be invalid as header
+            # values. Nothing was sent, and callers handle only this layer's errors.
+            raise ConnectFailedError(f"request cannot be encoded: {exc}") from exc
         sent = trio.Event()
-        small = len(head) + body.size <= AT_ONCE_BYTES
-        if body.ended and (small or self._senders is None):
+        is_small = len(head) + body.size <= MAX_INLINE_BYTES
+        if body.ended and (is_small or self._send_nursery is None):
             try:
-                await wire.stream.send_all(head + _encode_rest(wire.conn, body))
+                await connection.stream.send_all(
+                    head + _encode_rest(connection.conn, body)
+                )
             except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
                 raise ConnectionBrokenError(str(exc)) from exc
             sent.set()
             return sent
-        if self._senders is None:
-            raise ConnectionBrokenError("the client does not run")
-        self._senders.start_soon(_send_beside, wire, head, body, scope, sent)
+        if self._send_nursery is None:
+            raise ConnectionBrokenError("the target client is not running")
+        self._send_nursery.start_soon(
+            _send_concurrently, connection, head, body, scope, sent
+        )
         return sent
 
-    async def _open(self, address: str) -> Wire:
+    async def _open(self, address: str) -> ClientConnection:
         with trio.move_on_after(self._connect_seconds):
             try:
-                wire = Wire(await self._dial(address))
+                connection = ClientConnection(await self._dial(address))
             except OSError as exc:
                 raise ConnectFailedError(f"{address}: {exc}") from exc
             self.opened += 1
-            return wire
-        raise ConnectFailedError(f"{address}: no answer to the connection request")
+            return connection
+        raise ConnectFailedError(f"{address}: connection attempt timed out")
 
     async def accepts_connections(
         self, instance: InstanceId, address: str, seconds: float
     ) -> bool:
-        """Return whether a replica takes a new connection within ``seconds``.
+        """Return whether a replica accepts a new connection within ``seconds``.
 
-        The connection is kept for the next request.
+        The connection is pooled for the next request.
         """
         with trio.move_on_after(seconds):
             try:
-                wire = await self._open(address)
+                connection = await self._open(address)
             except ConnectFailedError:
                 return False
-            self._store(instance, wire, KEPT_SECONDS)
+            self._add_idle(instance, connection, DEFAULT_KEEP_ALIVE_SECONDS)
             return True
         return False
 
-    def _take(self, instance: InstanceId) -> Wire | None:
-        wires = self._kept.get(instance)
+    def _pop_idle(self, instance: InstanceId) -> ClientConnection | None:
+        connections = self._idle.get(instance)
         now = trio.current_time()
-        while wires:
-            wire = wires.pop()
-            if now < wire.kept_until and _is_quiet(wire.stream):
-                return wire
-            close_now(wire.stream)
+        while connections:
+            connection = connections.pop()
+            if now < connection.reusable_until and _has_no_input(connection.stream):
+                return connection
+            close_now(connection.stream)
         return None
 
-    def _keep(self, instance: InstanceId, wire: Wire, seconds: float) -> None:
-        wire.conn.start_next_cycle()
-        self._store(instance, wire, seconds)
+    def _release(
+        self, instance: InstanceId, connection: ClientConnection, seconds: float
+    ) -> None:
+        connection.conn.start_next_cycle()
+        self._add_idle(instance, connection, seconds)
 
-    def _store(self, instance: InstanceId, wire: Wire, seconds: float) -> None:
-        """Keep a connection that is idle, if there is room for it."""
-        wires = self._kept[instance]
-        if len(wires) >= KEPT_PER_TARGET:
-            close_now(wire.stream)
+    def _add_idle(
+        self, instance: InstanceId, connection: ClientConnection, seconds: float
+    ) -> None:
+        """Pool an idle connection, or close it if the pool is full."""
+        connections = self._idle[instance]
+        if len(connections) >= MAX_IDLE_PER_TARGET:
+            close_now(connection.stream)
             return
-        wire.kept_until = trio.current_time() + KEPT_PART * seconds
-        wires.append(wire)
+        connection.reusable_until = trio.current_time() + KEEP_ALIVE_FRACTION * seconds
+        connections.append(connection)
 
     def forget(self, instance: InstanceId) -> None:
-        """Close the kept connections of a replica."""
-        for wire in self._kept.pop(instance, []):
-            close_now(wire.stream)
+        """Close the idle connections of a replica."""
+        for connection in self._idle.pop(instance, []):
+            close_now(connection.stream)
 
     @property
-    def kept_targets(self) -> int:
-        """Return how many targets have kept connections."""
-        return len(self._kept)
+    def pooled_targets(self) -> int:
+        """Return the number of targets with idle connections."""
+        return len(self._idle)
 
     def close(self) -> None:
-        """Close all kept connections."""
-        for instance in list(self._kept):
+        """Close all idle connections."""
+        for instance in list(self._idle):
             self.forget(instance)
 
 
@@ -316,45 +333,47 @@
     return data + (conn.send(h11.EndOfMessage()) or b"")
 
 
-def _expecting_answer(out: TargetRequest) -> h11.Connection:
-    """Return the state of a connection on which ``out`` was sent."""
+def _state_after_send(out: TargetRequest) -> h11.Connection:
+    """Return the HTTP state of a connection on which ``out`` was sent."""
     conn = h11.Connection(h11.CLIENT)
     conn.send(h11.Request(method=out.method, target=out.target, headers=out.headers))
     conn.send(h11.EndOfMessage())
     return conn
 
 
-async def _send_beside(
-    wire: Wire,
+async def _send_concurrently(
+    connection: ClientConnection,
     head: bytes,
     body: RequestBody,
     scope: trio.CancelScope,
     sent: trio.Event,
 ) -> None:
-    """Send a long request; what breaks shows to the task that reads the answer.
+    """Send a long request; the task that reads the response sees any send failure.
 
-    A body that its caller breaks off must not look whole to the target, which would
-    run half of it: the connection is closed instead.
+    A body that its caller aborts must not look complete to the target, which would
+    process half of it: the connection is closed instead.
     """
-    conn = wire.conn
+    conn = connection.conn
     with scope, contextlib.suppress(trio.BrokenResourceError, trio.ClosedResourceError):
-        await wire.stream.send_all(head)
+        await connection.stream.send_all(head)
         try:
             async with contextlib.aclosing(body.chunks()) as chunks:
                 async for data in chunks:
-                    await wire.stream.send_all(conn.send(h11.Data(data=data)) or b"")
+                    await connection.stream.send_all(
+                        conn.send(h11.Data(data=data)) or b""
+                    )
         except BodyBrokenError:
-            close_now(wire.stream)
+            close_now(connection.stream)
             return
-        await wire.stream.send_all(conn.send(h11.EndOfMessage()) or b"")
+        await connection.stream.send_all(conn.send(h11.EndOfMessage()) or b"")
         sent.set()
 
 
-def _is_quiet(stream: trio.abc.Stream) -> bool:
-    """Return whether nothing waits to be read on an idle connection.
+def _has_no_input(stream: trio.abc.Stream) -> bool:
+    """Return whether no input is pending on an idle connection.
 
-    What waits there is its end, or a late answer to an earlier request that would
-    be taken for the answer to the next one.
+    Pending input is either end of file, or a late response to an earlier request
+    that would be taken for the response to the next one.
     """
     if not isinstance(stream, trio.SocketStream):
         return True
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -179,7 +179,7 @@
         self.handler = RoutedHandler(
             deps, self.routes, key_gate, ports.rng, self.telemetry.request_ended
         )
-        self.server = HttpServer(self.handler.handle, hands_on_bodies=True)
+        self.server = HttpServer(self.handler.handle, streams_bodies=True)
         status = EntryStatus(cfg.entry.ready_path, self.is_ready, self.telemetry.text)
         self.status_server = HttpServer(status.handle)
         self.follower = DirectoryLoop(
@@ -208,7 +208,7 @@
             return shares.share(instance, domain, per_second)
 
         throttle = Throttle(RateLimits(share_of, ports.rng), self.replicas.instance_of)
-        ports.client.guard_by(
+        ports.client.set_gate(
             ReplicaGate(ports.language, throttle, self.replicas, ports.clock)
         )
         return throttle
@@ -437,7 +437,7 @@
         with trio.move_on_after(requests_end):
             await trio.sleep(BALANCER_NOTICE_SECONDS)
             self.server.close_idle()
-            await self.server.wait_until_quiet(QUIET_SECONDS)
+            await self.server.wait_until_idle(QUIET_SECONDS)
         with trio.move_on_after(LAST_ANSWER_SECONDS) as scope:
             await self.server.finish()
         if scope.cancelled_caught:
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -32,8 +32,8 @@
     async def send_to_all(self, addresses: list[str], message: LoadDigest) -> None:
         """Send a digest to each address; some may be lost."""
 
-    async def receive(self, take: Callable[[LoadDigest], None]) -> None:
-        """Pass each digest to ``take`` until cancelled."""
+    async def receive(self, on_message: Callable[[LoadDigest], None]) -> None:
+        """Pass each digest to ``on_message`` until cancelled."""
 
 
 @dataclass
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -30,8 +30,8 @@
     async def send(self, address: str, digest: Digest) -> None:
         """Send a digest."""
 
-    async def receive(self, take: DigestHandler) -> None:
-        """Call ``take`` with each digest that arrives."""
+    async def receive(self, on_message: DigestHandler) -> None:
+        """Call ``on_message`` with each digest that arrives."""
 
 
 @dataclass
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -7,7 +7,7 @@
 import trio
 
 from berylshift.clock import Clock
-from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
 from berylshift.ids import PoolName, TargetName
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
@@ -117,15 +117,15 @@
     async def _receive(self, on_chunks: OnChunks) -> None:
         cfg = self._deps.cfg
         name = self._row.name
-        limit = SilenceLimit(NEVER)
-        limit.allow(cfg.first_token_timeout)
+        limit = ReadTimeout(NEVER)
+        limit.restart(cfg.first_token_timeout)
         call = self._deps.client.generate(self._row.address, self._call)
         try:
             async with AsyncExitStack() as stack:
-                batches = await limit.bound(stack.enter_async_context(call))
+                batches = await limit.wait_for(stack.enter_async_context(call))
                 async with aclosing(batches):
                     await self._consume(batches, on_chunks, limit)
-        except SilentError as exc:
+        except ReadTimeoutError as exc:
             raise AttemptFailedError(name, AttemptOutcome.SILENT) from exc
         except TargetError as exc:
             health = self._deps.context.health
@@ -133,15 +133,15 @@
             raise AttemptFailedError(name, outcome_of(exc)) from exc
 
     async def _consume(
-        self, batches: AsyncIterator[Chunks], on_chunks: OnChunks, limit: SilenceLimit
+        self, batches: AsyncIterator[Chunks], on_chunks: OnChunks, limit: ReadTimeout
     ) -> None:
         """Pass chunks to ``on_chunks``; ``limit`` bounds the wait for each batch."""
-        while chunks := await limit.bound(anext(batches, None)):
+        while chunks := await limit.wait_for(anext(batches, None)):
             self._record_first_chunk()
             if await on_chunks(chunks):
                 return
             # The time that the caller took to read does not count as silence.
-            limit.allow(self._deps.cfg.token_timeout)
+            limit.restart(self._deps.cfg.token_timeout)
         raise TargetBrokenError("engine ended the stream before the last chunk")
 
     def _record_first_chunk(self) -> None:
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -13,9 +13,9 @@
     ThrottledError,
 )
 from berylshift.connection.target_client import (
-    TargetAnswer,
     TargetClient,
     TargetRequest,
+    TargetResponse,
 )
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
@@ -106,15 +106,15 @@
             self._loads.note_ended(instance)
 
     async def _parse_response(
-        self, request: RequestId, engine: Replica, response: TargetAnswer
+        self, request: RequestId, engine: Replica, response: TargetResponse
     ) -> PrefillResult:
         head = self._codec.parse_response_head(response.status, response.headers)
         if head.request is not None and head.request != request:
             # A late response to an earlier request on a reused connection.
-            response.usable = False
+            response.may_reuse = False
             return PrefillResult(AttemptOutcome.BROKEN)
         if head.keep_alive_seconds is not None:
-            response.keep_seconds = head.keep_alive_seconds
+            response.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._clock.monotonic()
             self._loads.note_report(engine.instance, head.load, now)
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -9,8 +9,8 @@
     ConnectionLayerError,
     ThrottledError,
 )
-from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
-from berylshift.connection.target_client import TargetAnswer, TargetRequest
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
+from berylshift.connection.target_client import TargetRequest, TargetResponse
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import ResponseHead, RoutedRequest
@@ -96,16 +96,16 @@
     async def _exchange(
         self, out: TargetRequest, prefill: PendingPrefill
     ) -> AttemptOutcome:
-        limit = SilenceLimit(NEVER)
-        limit.allow(self._first_byte_timeout())
+        limit = ReadTimeout(NEVER)
+        limit.restart(self._first_byte_timeout())
         try:
             async with AsyncExitStack() as stack:
                 exchange = self._deps.client.exchange(out)
-                answer = await limit.bound(stack.enter_async_context(exchange))
+                answer = await limit.wait_for(stack.enter_async_context(exchange))
                 return await self._receive_response(
                     out.instance, answer, limit, prefill
                 )
-        except SilentError:
+        except ReadTimeoutError:
             return AttemptOutcome.SILENT
         except ThrottledError:
             return AttemptOutcome.THROTTLED
@@ -133,27 +133,27 @@
     async def _receive_response(
         self,
         instance: InstanceId,
-        answer: TargetAnswer,
-        limit: SilenceLimit,
+        answer: TargetResponse,
+        limit: ReadTimeout,
         prefill: PendingPrefill,
     ) -> AttemptOutcome:
         head = self._deps.codec.parse_response_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
-            await limit.bound(answer.skip())
+            await limit.wait_for(answer.skip_to_next())
             head = self._deps.codec.parse_response_head(answer.status, answer.headers)
         if head.request is not None and head.request != self._req.id:
-            answer.usable = False
+            answer.may_reuse = False
             return AttemptOutcome.BROKEN
         if head.keep_alive_seconds is not None:
-            answer.keep_seconds = head.keep_alive_seconds
+            answer.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._deps.clock.monotonic()
             self._deps.loads.note_report(instance, head.load, now)
         if head.not_run:
-            await limit.bound(answer.read(MAX_REFUSAL_BODY_BYTES))
+            await limit.wait_for(answer.read(MAX_REFUSAL_BODY_BYTES))
             return AttemptOutcome.NOT_RUN
         if not head.genuine:
-            answer.usable = False
+            answer.may_reuse = False
             return AttemptOutcome.INVALID
         is_stream = self._route.kind is RouteKind.STREAM
         if is_stream and head.status < MIN_ERROR_STATUS:
@@ -161,9 +161,9 @@
         return await self._receive_body(answer, head, limit)
 
     async def _receive_body(
-        self, answer: TargetAnswer, head: ResponseHead, limit: SilenceLimit
+        self, answer: TargetResponse, head: ResponseHead, limit: ReadTimeout
     ) -> AttemptOutcome:
-        body = await limit.bound(answer.read(MAX_BUFFERED_BODY_BYTES))
+        body = await limit.wait_for(answer.read(MAX_BUFFERED_BODY_BYTES))
         if head.status >= MIN_SERVER_ERROR_STATUS or self._out.started:
             self.failure = FailedResponse(head, body)
             return AttemptOutcome.FAILED
@@ -172,20 +172,20 @@
 
     async def _receive_stream(
         self,
-        answer: TargetAnswer,
+        answer: TargetResponse,
         head: ResponseHead,
-        limit: SilenceLimit,
+        limit: ReadTimeout,
         prefill: PendingPrefill,
     ) -> AttemptOutcome:
         self._out.set_head(head)
         async with aclosing(answer.chunks()) as chunks:
-            while (data := await limit.bound(anext(chunks, None))) is not None:
+            while (data := await limit.wait_for(anext(chunks, None))) is not None:
                 if self.run_started_at is None:
                     self.run_started_at = self._deps.clock.monotonic()
                 prefill.done()
                 await self._out.feed(data)
                 # The time that the caller took to read does not count as silence.
                 may_retry = self._may_retry_elsewhere()
-                limit.allow(MAX_EVENT_GAP_SECONDS if may_retry else NEVER)
+                limit.restart(MAX_EVENT_GAP_SECONDS if may_retry else NEVER)
         await self._out.close()
         return AttemptOutcome.DONE
--- a/berylshift/request/response_stream.py
+++ b/berylshift/request/response_stream.py
@@ -32,7 +32,7 @@
 
     def limit_writes(self, until: float) -> None:
         """Let no write last beyond ``until`` on the event loop's clock."""
-        self._responder.late_until = until
+        self._responder.write_deadline = until
 
     async def send_full(self, head: ResponseHead, body: bytes) -> None:
         """Send a complete response."""
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -103,7 +103,7 @@
                 http.method.encode(),
                 http.target,
                 list(http.raw_headers),
-                http.arriving,
+                http.body_stream,
             )
         except BadRequestError as exc:
             logger.info("bad request", extra={"path": path, "reason": str(exc)})
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -28,7 +28,7 @@
         self._replicas = replicas
         self._clock = clock
 
-    def enter(self, instance: InstanceId, limit_exempt: bool) -> float:
+    def admit(self, instance: InstanceId, limit_exempt: bool) -> float:
         """Return the time at which a call may be sent; raise ``ThrottledError``."""
         if self._replicas.is_draining(instance):
             raise ThrottledError(f"{instance} is draining")
@@ -38,18 +38,18 @@
             raise ThrottledError(f"{instance} accepts no request for {wait:.2f} s")
         return now
 
-    def answered(
+    def note_response(
         self,
         instance: InstanceId,
         status: int,
         headers: list[Header],
-        entered_at: float,
+        admitted_at: float,
     ) -> None:
         """Apply the flow control in the head of a response."""
         control = self._codec.parse_flow_control(status, headers)
         if control is None:
             return
         now = self._clock.monotonic()
-        self._throttle.apply_flow_control(instance, control, entered_at, now)
+        self._throttle.apply_flow_control(instance, control, admitted_at, now)
         if control.draining and self._replicas.mark_draining(instance, now):
             logger.info("replica is draining", extra={"instance": instance})
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -6,7 +6,7 @@
 import trio
 
 from berylshift.clock import LoopClock, boot_seconds
-from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
+from berylshift.connection.datagram_tag import MAX_DATAGRAM_BYTES
 from berylshift.connection.http_client import HttpClient
 from berylshift.connection.listeners import open_listener
 from berylshift.connection.load_codec import LoadCodec
@@ -73,7 +73,7 @@
     sock = trio.socket.socket(trio.socket.AF_INET, trio.socket.SOCK_DGRAM)
     await sock.bind(split_address(cfg.host.peer_address))
     ports = make_entry_ports(
-        cfg, lambda codec: UdpPeerLink(codec, LARGEST_DATAGRAM, sock)
+        cfg, lambda codec: UdpPeerLink(codec, MAX_DATAGRAM_BYTES, sock)
     )
     app = EntryApplication(cfg, ports)
     settings_file = SettingsFile(path, cfg, app.adopt)
--- a/berylshift/serve_own.py
+++ b/berylshift/serve_own.py
@@ -8,7 +8,7 @@
 from berylshift.application import Addresses, Application, Ports
 from berylshift.clock import LoopClock
 from berylshift.connection.admin import Admin
-from berylshift.connection.datagram_tag import LARGEST_DATAGRAM
+from berylshift.connection.datagram_tag import MAX_DATAGRAM_BYTES
 from berylshift.connection.engine_client import HttpEngineClient
 from berylshift.connection.http_client import HttpClient
 from berylshift.connection.http_server import HttpServer
@@ -51,7 +51,7 @@
 
 async def serve(cfg: Settings, creds: Credentials) -> None:
     """Serve until SIGTERM, then shut down gracefully."""
-    most = min(LARGEST_DATAGRAM, cfg.peers.byte_budget // (2 * cfg.peers.fanout))
+    most = min(MAX_DATAGRAM_BYTES, cfg.peers.byte_budget // (2 * cfg.peers.fanout))
     link = UdpPeerLink(PeerCodec(creds.cluster_key), most)
     peer_address = await link.bind(cfg.host.peer_address)
     listener = open_listener(cfg.host.address)
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -39,11 +39,11 @@
         if address in self._hub.inboxes and not network.is_cut(self._host, name):
             self._hub.inboxes[address].send_nowait(digest)
 
-    async def receive(self, take) -> None:
-        """Give each digest that comes to ``take``."""
+    async def receive(self, on_message) -> None:
+        """Give each digest that comes to ``on_message``."""
         async for digest in self._receive:
             await self._hub.network.awake(self._host)
-            take(digest)
+            on_message(digest)
 
 
 class MemoryPeerTables:
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -60,7 +60,7 @@
     def _rows(self, req: HttpRequest) -> object:
         fake = self._fake
         if req.path == "/rows":
-            return fake.read(req.multi("key"))
+            return fake.read(req.query_values("key"))
         if req.path == "/scan":
             limit = int(req.query["limit"])
             return fake.scan(req.query["prefix"], req.query.get("after", ""), limit)
--- a/berylshift/store/calls.py
+++ b/berylshift/store/calls.py
@@ -7,7 +7,7 @@
 
 from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.connection.read_timeout import NEVER, SilenceLimit, SilentError
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
 from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
 
 # An answer that comes by and by for longer than this beyond its wait is given up; a
@@ -40,7 +40,7 @@
         takes a small host's link and processor longer, however often it is read.
         """
         out = Outgoing(self._address, "GET", path, {})
-        limit = SilenceLimit(trio.current_time() + wait + self._timeout)
+        limit = ReadTimeout(trio.current_time() + wait + self._timeout)
         return await self._call(out, wait + LONGEST_READ_SECONDS, limit)
 
     async def post(self, path: str, body: bytes) -> StoreAnswer:
@@ -50,10 +50,10 @@
         sent, and then nobody knows whether they were done.
         """
         out = Outgoing(self._address, "POST", path, JSON_TYPE, body, reuse=False)
-        return await self._call(out, self._timeout, SilenceLimit(NEVER))
+        return await self._call(out, self._timeout, ReadTimeout(NEVER))
 
     async def _call(
-        self, out: Outgoing, seconds: float, limit: SilenceLimit
+        self, out: Outgoing, seconds: float, limit: ReadTimeout
     ) -> StoreAnswer:
         """Send a call within ``seconds`` in all.
 
@@ -64,7 +64,7 @@
         with trio.move_on_after(seconds):
             try:
                 return await self._exchange(out, limit)
-            except SilentError:
+            except ReadTimeoutError:
                 reason = f"silent for longer than its {self._timeout:.1f} s"
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
@@ -73,13 +73,13 @@
         self._client.close()
         raise AnswerLostError(reason)
 
-    async def _exchange(self, out: Outgoing, limit: SilenceLimit) -> StoreAnswer:
+    async def _exchange(self, out: Outgoing, limit: ReadTimeout) -> StoreAnswer:
         async with AsyncExitStack() as stack:
             request = self._client.request(out)
-            resp = await limit.bound(stack.enter_async_context(request))
+            resp = await limit.wait_for(stack.enter_async_context(request))
             chunks = await stack.enter_async_context(aclosing(resp.chunks()))
             parts = []
-            while (part := await limit.bound(anext(chunks, None))) is not None:
+            while (part := await limit.wait_for(anext(chunks, None))) is not None:
                 parts.append(part)
-                limit.allow(self._timeout)
+                limit.restart(self._timeout)
             return StoreAnswer(resp.status, b"".join(parts), resp.headers)
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -116,9 +116,9 @@
             if link is not self and link._take is not None:
                 link._take(message)
 
-    async def receive(self, take) -> None:
+    async def receive(self, on_message) -> None:
         """Hear until cancelled."""
-        self._take = take
+        self._take = on_message
         await trio.sleep_forever()
 
 
--- a/berylshift/tests/multi_host_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -92,9 +92,9 @@
         for address in addresses:
             self._net.send(self._address, address, data)
 
-    async def receive(self, take) -> None:
+    async def receive(self, on_message) -> None:
         """Receive until cancelled."""
-        self._take = take
+        self._take = on_message
         await trio.sleep_forever()
 
     def deliver(self, data: bytes) -> None:
--- a/berylshift/tests/test_connection_http.py
+++ b/berylshift/tests/test_connection_http.py
@@ -1,11 +1,11 @@
-"""Tests of the HTTP server and client: limits, broken peers, the pool."""
+"""Tests of the HTTP server and client: limits, failing peers, connection pooling."""
 
 import outcome
 import trio
 import trio.testing
 
 from berylshift.connection.errors import (
-    BadAnswerError,
+    BadResponseError,
     ConnectFailedError,
     ConnectionBrokenError,
 )
@@ -17,52 +17,52 @@
 
 
 async def echo(req, responder) -> None:
-    """Answer with the body."""
+    """Respond with the request body."""
     await responder.full(200, TEXT, req.body)
 
 
 class Harness:
-    """A server whose connections are in memory."""
+    """A server with in-memory connections."""
 
     def __init__(self, nursery, handler=echo, limits=None):
         self.server = HttpServer(handler, limits)
         self.nursery = nursery
-        self.dialled = 0
+        self.dial_count = 0
 
     async def dial(self, address: str):
-        self.dialled += 1
-        near, far = trio.testing.memory_stream_pair()
-        self.nursery.start_soon(self.server.serve_stream, far)
-        return near
+        self.dial_count += 1
+        client_end, server_end = trio.testing.memory_stream_pair()
+        self.nursery.start_soon(self.server.serve_stream, server_end)
+        return client_end
 
     async def raw(self, data: bytes) -> bytes:
-        """Send bytes as they are; return all that comes back."""
+        """Send raw bytes; return everything received in response."""
         stream = await self.dial("")
         await stream.send_all(data)
-        got = b""
+        received = b""
         with trio.move_on_after(100):
-            while part := await stream.receive_some():
-                got += part
-        return got
+            while data_part := await stream.receive_some():
+                received += data_part
+        return received
 
 
 class ServerTest(VirtualTestCase):
-    """What a caller's connection may do."""
+    """Limits and lifetime of callers' connections."""
 
     def raw(self, data: bytes, **limits) -> bytes:
         async def task():
             async with trio.open_nursery() as nursery:
                 harness = Harness(nursery, limits=ServerLimits(**limits))
-                got = await harness.raw(data)
+                received = await harness.raw(data)
                 nursery.cancel_scope.cancel()
-            return got
+            return received
 
         return self.run_virtual(task)
 
     def test_garbage_gets_400_and_not_run(self):
-        got = self.raw(b"not http at all\r\n\r\n")
-        self.assertTrue(got.startswith(b"HTTP/1.1 400"))
-        self.assertIn(b"berylshift-outcome: not-run", got)
+        received = self.raw(b"not http at all\r\n\r\n")
+        self.assertTrue(received.startswith(b"HTTP/1.1 400"))
+        self.assertIn(b"berylshift-outcome: not-run", received)
 
     def test_headers_over_the_limit_get_431(self):
         data = b"GET / HTTP/1.1\r\nHost: h\r\nA: " + b"x" * 5000
@@ -76,24 +76,24 @@
 
     def test_request_sent_too_slowly_gets_408(self):
         data = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 10\r\n\r\nabc"
-        got = self.raw(data, request_seconds=2.0)
-        self.assertTrue(got.startswith(b"HTTP/1.1 408"))
+        received = self.raw(data, request_seconds=2.0)
+        self.assertTrue(received.startswith(b"HTTP/1.1 408"))
 
-    def test_connection_over_the_limit_gets_503_and_when_to_come_back(self):
-        got = self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", connections=0)
-        self.assertTrue(got.startswith(b"HTTP/1.1 503"))
-        self.assertIn(b"retry-after: 1", got)
+    def test_connection_over_the_limit_gets_503_and_retry_after(self):
+        received = self.raw(b"GET / HTTP/1.1\r\nHost: h\r\n\r\n", connections=0)
+        self.assertTrue(received.startswith(b"HTTP/1.1 503"))
+        self.assertIn(b"retry-after: 1", received)
 
     def test_idle_connection_is_closed(self):
         self.assertEqual(self.raw(b"", idle_seconds=5.0), b"")
 
-    def test_two_requests_sent_at_once_are_answered_in_turn(self):
-        one = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n"
-        got = self.raw(one + b"abc" + one + b"def", idle_seconds=5.0)
-        self.assertEqual(got.count(b"HTTP/1.1 200"), 2)
-        self.assertLess(got.index(b"abc"), got.index(b"def"))
+    def test_pipelined_requests_are_answered_in_order(self):
+        head = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\n"
+        received = self.raw(head + b"abc" + head + b"def", idle_seconds=5.0)
+        self.assertEqual(received.count(b"HTTP/1.1 200"), 2)
+        self.assertLess(received.index(b"abc"), received.index(b"def"))
 
-    def test_fault_in_a_handler_costs_its_own_request_only(self):
+    def test_handler_error_affects_only_its_own_request(self):
         async def handler(req, responder):
             if req.path == "/bad":
                 raise ValueError("scripted")
@@ -114,9 +114,9 @@
         self.assertTrue(bad.startswith(b"HTTP/1.1 500"))
         self.assertEqual(status, 200)
 
-    def test_caller_that_leaves_cancels_its_handler(self):
-        # The caller closes its connection in the middle of a long answer. The
-        # handler must end then, not go on working an engine for nobody.
+    def test_caller_disconnect_cancels_its_handler(self):
+        # The caller closes its connection during a long request. The handler must be
+        # cancelled, so that no engine keeps working for it.
         ended = []
 
         async def handler(req, responder):
@@ -139,27 +139,27 @@
         self.assertEqual(len(self.run_virtual(task)), 1)
         self.assertLess(ended[0], 10)
 
-    def test_unended_stream_has_no_end_marker(self):
-        # A stream that can't be finished must never look whole to its caller.
+    def test_unfinished_stream_has_no_end_marker(self):
+        # A stream that ends early must not look complete to its caller.
         async def handler(req, responder):
             await responder.start(200, TEXT)
             await responder.send(b"half")
 
         async def task():
             async with trio.open_nursery() as nursery:
-                got = await Harness(nursery, handler).raw(
+                received = await Harness(nursery, handler).raw(
                     b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
                 )
                 nursery.cancel_scope.cancel()
-            return got
+            return received
 
-        got = self.run_virtual(task)
-        self.assertIn(b"half", got)
-        self.assertNotIn(b"0\r\n\r\n", got)
+        received = self.run_virtual(task)
+        self.assertIn(b"half", received)
+        self.assertNotIn(b"0\r\n\r\n", received)
 
 
 class ClientTest(VirtualTestCase):
-    """What becomes of requests and connections."""
+    """Reuse of connections and errors of requests."""
 
     def with_client(self, handler, use):
         async def task():
@@ -171,17 +171,17 @@
 
         return self.run_virtual(task).unwrap()
 
-    def test_connection_is_used_again_after_a_whole_answer(self):
+    def test_connection_is_reused_after_a_complete_response(self):
         async def use(client, harness):
             for _ in range(3):
                 async with client.request(Outgoing("a", "GET", "/", {})) as resp:
                     await resp.read()
-            return harness.dialled
+            return harness.dial_count
 
         self.assertEqual(self.with_client(echo, use), 1)
 
-    def test_connection_is_not_used_again_after_half_an_answer(self):
-        # The rest of the first answer would come as the start of the second.
+    def test_connection_is_not_reused_after_a_partly_read_response(self):
+        # The rest of the first response would be read as the start of the second.
         async def handler(req, responder):
             await responder.start(200, TEXT)
             await responder.send(req.path.encode())
@@ -193,11 +193,11 @@
                 async for _ in resp.chunks():
                     break
             async with client.request(Outgoing("a", "GET", "/two", {})) as resp:
-                return await resp.read(), harness.dialled
+                return await resp.read(), harness.dial_count
 
         self.assertEqual(self.with_client(handler, use), (b"/two rest", 2))
 
-    def test_request_on_a_stale_pooled_connection_is_sent_again(self):
+    def test_request_on_a_stale_pooled_connection_is_retried(self):
         async def use(client, harness):
             async with client.request(Outgoing("a", "GET", "/", {})) as resp:
                 await resp.read()
@@ -205,23 +205,23 @@
             harness.server.close_idle()
             await trio.sleep(1)
             async with client.request(Outgoing("a", "GET", "/", {})) as resp:
-                return resp.status, harness.dialled
+                return resp.status, harness.dial_count
 
         self.assertEqual(self.with_client(echo, use), (200, 2))
 
-    def test_request_that_may_not_be_repeated_gets_a_connection_of_its_own(self):
-        # On a pooled connection the peer may close just as the request goes out,
-        # and nobody could say whether it ran.
+    def test_non_repeatable_request_gets_a_new_connection(self):
+        # The peer may close a pooled connection just as the request is sent, and it
+        # would be unknown whether the request ran.
         async def use(client, harness):
             for _ in range(2):
                 out = Outgoing("a", "POST", "/", {}, reuse=False)
                 async with client.request(out) as resp:
                     await resp.read()
-            return harness.dialled
+            return harness.dial_count
 
         self.assertEqual(self.with_client(echo, use), 2)
 
-    def test_refused_connection_says_that_nothing_was_sent(self):
+    def test_refused_connection_raises_connect_failed(self):
         async def dial(address):
             raise OSError("refused")
 
@@ -232,7 +232,7 @@
         with self.assertRaises(ConnectFailedError):
             self.run_virtual(task)
 
-    def test_answer_that_breaks_off_is_no_whole_answer(self):
+    def test_truncated_response_raises_connection_broken(self):
         async def handler(req, responder):
             await responder.start(200, TEXT)
             await responder.send(b"half")
@@ -244,22 +244,22 @@
         with self.assertRaises(ConnectionBrokenError):
             self.with_client(handler, use)
 
-    def test_answer_in_nonsense_is_told_apart(self):
+    def test_malformed_response_raises_bad_response(self):
         async def task():
-            near, far = trio.testing.memory_stream_pair()
+            client_end, server_end = trio.testing.memory_stream_pair()
 
             async def dial(address):
-                return near
+                return client_end
 
-            async def answer():
-                await far.receive_some()
-                await far.send_all(b"nonsense\r\n\r\n")
+            async def respond():
+                await server_end.receive_some()
+                await server_end.send_all(b"nonsense\r\n\r\n")
 
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(answer)
+                nursery.start_soon(respond)
                 async with HttpClient(dial).request(Outgoing("a", "GET", "/", {})):
                     pass
 
         with self.assertRaises(BaseExceptionGroup) as caught:
             self.run_virtual(task)
-        self.assertIsInstance(caught.exception.exceptions[0], BadAnswerError)
+        self.assertIsInstance(caught.exception.exceptions[0], BadResponseError)
--- a/berylshift/tests/test_connection_targets.py
+++ b/berylshift/tests/test_connection_targets.py
@@ -1,4 +1,4 @@
-"""Whether a replica is there, over real sockets."""
+"""Tests of the check whether a replica accepts connections, over real sockets."""
 
 import unittest
 from unittest.mock import patch
@@ -13,18 +13,18 @@
 from berylshift.request.target_check import accepts_connections
 
 INSTANCE = InstanceId("engine-1")
-# Long for this computer, however busy it is; what is refused is refused at once.
-SECONDS = 10.0
+# Long enough for a busy machine; a refused connection fails immediately.
+TIMEOUT_SECONDS = 10.0
 
 
-class TakesConnectionsTest(unittest.TestCase):
-    """A process that has ended takes no connection; one that lives does."""
+class AcceptsConnectionsTest(unittest.TestCase):
+    """A running process accepts connections; one that has ended does not."""
 
-    def ask(self, task):
+    def run_task(self, task):
         async def main():
             listener = (await trio.open_tcp_listeners(0, host="127.0.0.1"))[0]
             port = listener.socket.getsockname()[1]
-            client = TargetClient(SECONDS)
+            client = TargetClient(TIMEOUT_SECONDS)
             try:
                 return await task(client, listener, f"127.0.0.1:{port}")
             finally:
@@ -33,35 +33,41 @@
 
         return trio.run(main)
 
-    def test_a_replica_that_lives_takes_one_and_it_is_kept(self):
+    def test_running_replica_accepts_a_connection_and_it_is_pooled(self):
         async def task(client, listener, address):
-            found = await client.accepts_connections(INSTANCE, address, SECONDS)
-            return found, client.kept_targets
+            accepted = await client.accepts_connections(
+                INSTANCE, address, TIMEOUT_SECONDS
+            )
+            return accepted, client.pooled_targets
 
-        self.assertEqual(self.ask(task), (True, 1))
+        self.assertEqual(self.run_task(task), (True, 1))
 
-    def test_one_that_has_ended_refuses_it(self):
+    def test_ended_replica_refuses_a_connection(self):
         async def task(client, listener, address):
             await listener.aclose()
-            return await client.accepts_connections(INSTANCE, address, SECONDS)
+            return await client.accepts_connections(INSTANCE, address, TIMEOUT_SECONDS)
 
-        self.assertFalse(self.ask(task))
+        self.assertFalse(self.run_task(task))
 
-    @patch("berylshift.request.target_check.PROBE_TIMEOUT_SECONDS", SECONDS)
-    def test_the_own_interfaces_targets_are_asked_alike(self):
-        """One that takes connections and answers nothing is busy, and lives."""
+    @patch("berylshift.request.target_check.PROBE_TIMEOUT_SECONDS", TIMEOUT_SECONDS)
+    def test_native_api_targets_are_checked_the_same_way(self):
+        """A target that accepts connections but does not respond is busy, not down."""
 
         async def task(client, listener, address):
-            found = []
-            for make in (HttpEngineClient, HttpServiceClient):
-                pool = HttpClient(connect_seconds=SECONDS)
-                found.append(await accepts_connections(make(pool, ""), address))
+            accepted = []
+            for client_class in (HttpEngineClient, HttpServiceClient):
+                pool = HttpClient(connect_seconds=TIMEOUT_SECONDS)
+                accepted.append(
+                    await accepts_connections(client_class(pool, ""), address)
+                )
                 pool.close()
             await listener.aclose()
-            gone = HttpEngineClient(HttpClient(connect_seconds=SECONDS), "")
-            return found, await accepts_connections(gone, address)
+            ended_target = HttpEngineClient(
+                HttpClient(connect_seconds=TIMEOUT_SECONDS), ""
+            )
+            return accepted, await accepts_connections(ended_target, address)
 
-        self.assertEqual(self.ask(task), ([True, True], False))
+        self.assertEqual(self.run_task(task), ([True, True], False))
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -216,7 +216,7 @@
                 world.directory.remove_replica(replica.instance)
                 await trio.sleep(0.3)
             app = world.hosts[0]
-            return len(app.loads), app.ports.client.kept_targets
+            return len(app.loads), app.ports.client.pooled_targets
 
         self.assertEqual(run_entry(task), (2, 2))
 
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from berylshift.connection.server_connection import MOST_EARLY_BYTES
+from berylshift.connection.server_connection import MAX_EARLY_BYTES
 from berylshift.tests.entry_world import (
     route,
     routes,
@@ -131,7 +131,7 @@
             link = process.connect(near=LateLook)
             await link.send("/book/x", "r1")
             await trio.sleep(0.3)
-            await link.send("/book/x", "r2", body=b"x" * 2 * MOST_EARLY_BYTES)
+            await link.send("/book/x", "r2", body=b"x" * 2 * MAX_EARLY_BYTES)
             reply = await link.read()
             return reply.status, reply.whole
 
@@ -184,7 +184,7 @@
             await trio.sleep(0.1)
             process.stop.set()
             await trio.sleep(1)
-            rest = request_bytes("/long/x", "r2", body=b"x" * 32 * MOST_EARLY_BYTES)
+            rest = request_bytes("/long/x", "r2", body=b"x" * 32 * MAX_EARLY_BYTES)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.stream.send_all, rest)
                 await process.ended.wait()
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -55,7 +55,7 @@
             before = world.dials
             await self.start(world, engine, SECOND)
             await world.ask("/note/x", "r2", headers=prompt_headers(shared=0))
-            return world.dials - before, world.hosts[0].ports.client.kept_targets
+            return world.dials - before, world.hosts[0].ports.client.pooled_targets
 
         self.assertEqual(run_entry(task, plain=0, engines="d"), (1, 1))
 
--- a/berylshift/tests/test_process_membership.py
+++ b/berylshift/tests/test_process_membership.py
@@ -3,7 +3,7 @@
 import random
 import unittest
 
-from berylshift.connection.datagram_tag import Tagger
+from berylshift.connection.datagram_tag import DatagramTagger
 from berylshift.connection.peer_codec import BadDatagramError, PeerCodec
 from berylshift.ids import DomainName, HostName
 from berylshift.messages.fingerprint import combine_hashes
@@ -155,10 +155,10 @@
     def test_malformed_body_with_a_valid_tag_is_refused(self):
         body = b"\xff" * 40
         with self.assertRaises(BadDatagramError):
-            self.codec.decode(Tagger("key").seal(body))
+            self.codec.decode(DatagramTagger("key").seal(body))
 
     def test_datagram_keeps_within_its_size_limit(self):
         shares = [Share(f"engine-{i}", "nestwatch", i, i) for i in range(500)]
-        data = self.codec.encode(digest(2, 3, shares=shares), most=512)
+        data = self.codec.encode(digest(2, 3, shares=shares), max_bytes=512)
         self.assertLessEqual(len(data), 512)
         self.assertGreater(len(self.codec.decode(data).shares), 0)
--- a/berylshift/tests/test_request_bodies.py
+++ b/berylshift/tests/test_request_bodies.py
@@ -6,7 +6,7 @@
 import trio
 
 from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.request_body import AHEAD_BYTES, RequestBody
+from berylshift.connection.request_body import MAX_AHEAD_BYTES, RequestBody
 from berylshift.connection.target_client import TargetClient, TargetRequest
 from berylshift.platform import names
 from berylshift.stand_ins.entry_replica import EntryReplica, Fault
@@ -107,7 +107,7 @@
 
         sent = run_entry(task, plain=1)
         # The pipes on both sides buffer some data too.
-        self.assertLess(sent, 2 * AHEAD_BYTES + 4 * WINDOW_BYTES)
+        self.assertLess(sent, 2 * MAX_AHEAD_BYTES + 4 * WINDOW_BYTES)
 
     def test_early_response_is_forwarded_at_once(self):
         # The replica rejects a body before it has arrived; the caller must receive the
@@ -271,7 +271,7 @@
 
             async def break_off():
                 await trio.sleep(0.1)
-                body.break_off()
+                body.abort()
 
             broken = False
             async with trio.open_nursery() as nursery:
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -46,8 +46,8 @@
 class LateAnswer:
     """An engine's response whose ``late`` part arrives as the timeout expires."""
 
-    usable = True
-    keep_seconds = 1.0
+    may_reuse = True
+    keep_alive_seconds = 1.0
     status = 200
     headers = ((names.SIGNATURE, b"s"),)
 
@@ -64,7 +64,7 @@
         if self._late == "end":
             await wait_until_timeouts_expire()
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         """Return the whole body."""
         if self._late == "whole":
             await wait_until_timeouts_expire()
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -62,7 +62,7 @@
                 client = TargetClient(0.3, dial)
                 codec, clock = PlatformCodec(), LoopClock()
                 gate = ReplicaGate(codec, self.throttle, self.replicas, clock)
-                client.guard_by(gate)
+                client.set_gate(gate)
                 result = await task(client)
                 nursery.cancel_scope.cancel()
                 return result
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from berylshift.connection.datagram_tag import (
-    LARGEST_DATAGRAM,
+    MAX_DATAGRAM_BYTES,
     BadDatagramError,
-    Tagger,
+    DatagramTagger,
 )
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.ids import Revision
@@ -262,7 +262,7 @@
     def test_garbage_with_a_valid_tag_is_rejected(self):
         for body in (b"", b"\xff" * 40):
             with self.subTest(body=body), self.assertRaises(BadDatagramError):
-                LoadCodec("key").decode(Tagger("key").seal(body))
+                LoadCodec("key").decode(DatagramTagger("key").seal(body))
 
     def test_long_digest_is_truncated_to_fit(self):
         entries = tuple(LoadEntry(n * 9999, 1, (16, 16, 16), 0.0) for n in range(400))
@@ -318,8 +318,8 @@
                 LimitUpdate(2**31 + n * 77_777, 2.5, 1.5) for n in range(MAX_LIMITS)
             ),
         )
-        data = LoadCodec("key").encode(digest, LARGEST_DATAGRAM)
-        self.assertLessEqual(len(data), LARGEST_DATAGRAM)
+        data = LoadCodec("key").encode(digest, MAX_DATAGRAM_BYTES)
+        self.assertLessEqual(len(data), MAX_DATAGRAM_BYTES)
         self.assertEqual(len(LoadCodec("key").decode(data).entries), 50)
 
     def test_nine_engines_fit_in_few_bytes(self):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -171,15 +171,15 @@
         "the answer's id is compared",
         "request/replica_exchange.py",
         "if head.request is not None and head.request != self._req.id:\n"
-        "            await limit.bound(answer.skip())",
-        "if False:\n            await limit.bound(answer.skip())",
+        "            await limit.wait_for(answer.skip_to_next())",
+        "if False:\n            await limit.wait_for(answer.skip_to_next())",
         f"{RELAY}.ConnectionReuseTest.test_unexpected_second_response_is_discarded",
     ),
     Proof(
         "a connection with a body still under way is not kept",
         "connection/target_client.py",
-        "whole = sent.is_set() and answer.usable and wire.reusable()",
-        "whole = answer.usable and wire.reusable()",
+        "sent.is_set() and response.may_reuse and connection",
+        "response.may_reuse and connection",
         "test_request_bodies.ClientTest."
         "test_connection_with_an_unsent_chunk_is_not_reused",
     ),
@@ -207,7 +207,8 @@
     Proof(
         "half a body does not look whole",
         "connection/target_client.py",
-        "BodyBrokenError:\n            close_now(wire.stream)\n            return\n",
+        "BodyBrokenError:\n"
+        "            close_now(connection.stream)\n            return\n",
         "BodyBrokenError:\n            pass\n",
         "test_request_bodies.ClientTest.test_truncated_body_is_not_sent_as_complete",
     ),
@@ -388,21 +389,21 @@
     Proof(
         "a planned stop waits for what is under way",
         "entry_application.py",
-        "            await self.server.wait_until_quiet(QUIET_SECONDS)\n",
+        "            await self.server.wait_until_idle(QUIET_SECONDS)\n",
         "",
         "test_entry_shutdown.PlannedStopTest.test_a_stream_under_way_ends_whole",
     ),
     Proof(
         "an answer to HEAD goes out without a body",
         "connection/server_connection.py",
-        "        if not self.headless:\n",
+        "        if not self.is_head_request:\n",
         "        if True:\n",
         "test_entry_writes.HeadRequestTest",
     ),
     Proof(
         "a caller that has left ends the write to it",
         "connection/server_connection.py",
-        "        self.writing.cancel()\n",
+        "        self.write_scope.cancel()\n",
         "",
         "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
     ),
@@ -419,14 +420,14 @@
         "connection/http_server.py",
         "        while self._idle:\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "        await self.wait_until_quiet(0)\n",
+        "        await self.wait_until_idle(0)\n",
         "",
         "test_entry_ledger.FinishTest.test_what_was_read_as_a_server_finishes_is_answered",
     ),
     Proof(
         "a request that has come is read before its connection closes",
         "connection/server_connection.py",
-        "scope.cancelled_caught and self.server.taking",
+        "scope.cancelled_caught and self.server.accepts_requests",
         "False",
         "test_entry_connections.ClosedUnreadTest"
         ".test_a_request_that_has_come_is_read_before_a_stop_closes",
@@ -457,7 +458,7 @@
     Proof(
         "the end of a process erases no last answer",
         "connection/http_server.py",
-        "                await drop_rest(stream)\n            raise",
+        "                await discard_input(stream)\n            raise",
         "                pass\n            raise",
         "test_entry_connections.ClosedUnreadTest"
         ".test_the_last_answer_survives_the_end_of_the_process",
@@ -465,7 +466,7 @@
     Proof(
         "what is half read at a stop's end is refused",
         "connection/http_server.py",
-        "        for scope in self._reading:\n",
+        "        for scope in self._read_scopes:\n",
         "        for scope in ():\n",
         "test_entry_connections.ClosedUnreadTest"
         ".test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused",
@@ -473,7 +474,7 @@
     Proof(
         "a host without a free descriptor goes on",
         "connection/http_server.py",
-        "                if exc.errno not in NO_ROOM:\n",
+        "                if exc.errno not in RESOURCE_ERRNOS:\n",
         "                if exc.errno:\n",
         "test_entry_own_end.ProcessSurvivalTest.test_host_without_free_descriptors_keeps_running",
     ),
@@ -569,16 +570,16 @@
     Proof(
         "a target's time bounds the wait for it alone",
         "connection/read_timeout.py",
-        "            return await wait\n",
-        "            word = await wait\n"
+        "            return await operation\n",
+        "            value = await operation\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "            return word\n",
+        "            return value\n",
         "test_request_silence.RoutedResponseTest",
     ),
     Proof(
         "a slow answer of the store is read on while its parts come",
         "store/calls.py",
-        "                limit.allow(self._timeout)\n",
+        "                limit.restart(self._timeout)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
@@ -686,7 +687,7 @@
     Proof(
         "a stop of the own interface waits for requests that still come",
         "application.py",
-        "        await self.server.wait_until_quiet(0)\n",
+        "        await self.server.wait_until_idle(0)\n",
         "",
         "test_shutdown.LastRequestTest",
     ),
@@ -919,8 +920,8 @@
     Proof(
         "every call to a replica asks the gate",
         "connection/target_client.py",
-        "        entered_at = self._gate.enter(out.instance, out.limit_exempt)\n",
-        "        entered_at = 0.0\n",
+        "        admitted_at = self._gate.admit(out.instance, out.limit_exempt)\n",
+        "        admitted_at = 0.0\n",
         TARGET_GATE,
     ),
     Proof(
