--- a/bench/in_force.py
+++ b/bench/in_force.py
@@ -8,7 +8,7 @@
 
 from bench.report import print_rows
 from berylshift.ids import ChangeId
-from berylshift.replay.determinism import fix_schedule
+from berylshift.replay.determinism import seed_scheduler
 from berylshift.replay.virtual_fleet import FleetSpec, VirtualWorld
 from berylshift.tests.support import route_row
 from berylshift.tests.world import small_rows
@@ -61,7 +61,7 @@
     """Print one row a case."""
     rows = []
     for outage, read_by_one in ((False, False), (True, True), (True, False)):
-        fix_schedule(1)
+        seed_scheduler(1)
         clock = trio.testing.MockClock(autojump_threshold=0)
         rows.append(trio.run(_run, outage, read_by_one, clock=clock))
     print_rows(rows)
--- a/berylshift/replay/__init__.py
+++ b/berylshift/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of recorded traces against stated outcomes."""
+"""Replay of recorded traces, checked against expected outcomes."""
--- a/berylshift/replay/determinism.py
+++ b/berylshift/replay/determinism.py
@@ -1,15 +1,15 @@
-"""Makes a run on the virtual clock the same each time."""
+"""Makes runs on the virtual clock reproducible."""
 
 import random
 
 import trio._core._run as _trio_run
 
 
-def fix_schedule(seed: int) -> None:
-    """Have the loop run ready tasks in an order that follows from ``seed``.
+def seed_scheduler(seed: int) -> None:
+    """Make the event loop run ready tasks in an order determined by ``seed``.
 
-    The loop shuffles ready tasks on purpose. Its own test support offers no public
-    way to turn that off, so this sets the two names that its test plugin sets.
+    Trio shuffles ready tasks deliberately and has no public way to turn that off, so
+    this sets the two private names that Trio's own test plugin sets.
     """
     _trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True
     _trio_run._r = random.Random(seed)
--- a/berylshift/replay/http_fleet.py
+++ b/berylshift/replay/http_fleet.py
@@ -1,4 +1,4 @@
-"""Replays against running entry hosts: the callers and their balancer, by HTTP."""
+"""Replays over HTTP against running entry hosts: the callers and their balancer."""
 
 import random
 from contextlib import asynccontextmanager
@@ -12,9 +12,9 @@
     ConnectionLayerError,
 )
 from berylshift.connection.http_client import HttpClient, HttpResponse, Outgoing
-from berylshift.replay.keys import KeyBook
-from berylshift.replay.result import Fate, RequestResult
-from berylshift.replay.runner import BookCounts
+from berylshift.replay.keys import KeyOutcomes
+from berylshift.replay.result import CallerOutcome, RequestResult
+from berylshift.replay.runner import TargetCounts
 from berylshift.replay.trace import Kind, TraceEvent, TraceRequest
 from berylshift.request.messages import (
     DEADLINE_HEADER,
@@ -24,36 +24,36 @@
 from berylshift.stand_ins.fake_service import service_echo
 from berylshift.stand_ins.text import answer_text, make_prompt
 
-HEALTH_INTERVAL = 0.5
-HEALTH_TIMEOUT = 0.5
-TIMES_ASKED = 4
-ASK_AGAIN_PAUSE = 0.2
+HEALTH_INTERVAL_SECONDS = 0.5
+HEALTH_TIMEOUT_SECONDS = 0.5
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_SECONDS = 0.2
 GRACE_SECONDS = 60.0
 STATUS_OK = 200
 
 
 class HttpBalancer:
-    """Picks entry hosts that say they are ready, in turn."""
+    """Picks ready entry hosts in round-robin order."""
 
     def __init__(self, client: HttpClient, entries: list[str]):
-        """Balance over ``entries``, each ``IP:PORT``."""
+        """Balance over ``entries``, each an ``IP:PORT``."""
         self._client = client
         self._entries = entries
         self._ready = list(entries)
-        self._turn = 0
+        self._next_index = 0
 
     def pick(self) -> str:
         """Return an entry host's address."""
-        among = self._ready or self._entries
-        self._turn += 1
-        return among[self._turn % len(among)]
+        candidates = self._ready or self._entries
+        self._next_index += 1
+        return candidates[self._next_index % len(candidates)]
 
     async def run(self) -> None:
         """Check the hosts' health until cancelled."""
         while True:
             ready = [entry for entry in self._entries if await self._is_ready(entry)]
             self._ready = ready
-            await trio.sleep(HEALTH_INTERVAL)
+            await trio.sleep(HEALTH_INTERVAL_SECONDS)
 
     async def wait_until_ready(self, count: int) -> None:
         """Return once ``count`` hosts are ready."""
@@ -63,7 +63,7 @@
 
     async def _is_ready(self, entry: str) -> bool:
         out = Outgoing(entry, "GET", "/ready", {}, reuse=False)
-        with trio.move_on_after(HEALTH_TIMEOUT):
+        with trio.move_on_after(HEALTH_TIMEOUT_SECONDS):
             try:
                 async with self._client.request(out) as resp:
                     await resp.read()
@@ -74,79 +74,85 @@
 
 
 class _Event(msgspec.Struct):
-    """One event of a stream as the callers read it."""
+    """One server-sent event."""
 
     name: str
     data: bytes
 
 
 @dataclass
-class _Received:
-    """What one asking brought."""
+class _AttemptResult:
+    """Result of sending a request once."""
 
-    fate: Fate
+    outcome: CallerOutcome
     text: str = ""
-    first_token: float | None = None
+    first_token_at: float | None = None
     detail: str = ""
 
 
 @dataclass
 class HttpFleet:
-    """Sends a trace's requests; ``actor`` brings its events about."""
+    """Sends a trace's requests; ``event_handler`` applies its events."""
 
     client: HttpClient
     balancer: HttpBalancer
     tokens: dict[str, str]
     engines: list[str] = field(default_factory=list)
     replicas: list[str] = field(default_factory=list)
-    actor: object = None
+    event_handler: object = None
     run_id: str = field(default_factory=lambda: f"{random.getrandbits(32):08x}")
-    book: KeyBook = field(default_factory=KeyBook)
+    key_outcomes: KeyOutcomes = field(default_factory=KeyOutcomes)
 
     async def send(self, number: int, request: TraceRequest) -> RequestResult:
-        """Send one request; where a connection broke, ask again elsewhere."""
+        """Send one request; retry at another host if the connection breaks."""
         start = trio.current_time()
-        received = _Received(Fate.LOST, detail="no host could be reached")
+        received = _AttemptResult(CallerOutcome.LOST, detail="no host could be reached")
         deadline = start + request.deadline_ms / 1000
         with trio.move_on_at(deadline + GRACE_SECONDS):
-            for _ in range(TIMES_ASKED):
-                received = await self._ask(number, request, deadline)
-                if received.fate is not Fate.LOST:
+            for _ in range(MAX_ATTEMPTS):
+                received = await self._send_once(number, request, deadline)
+                if received.outcome is not CallerOutcome.LOST:
                     break
-                await trio.sleep(ASK_AGAIN_PAUSE)
-        took = trio.current_time() - start
+                await trio.sleep(RETRY_PAUSE_SECONDS)
+        duration_seconds = trio.current_time() - start
         if not request.idempotent:
-            self.book.told(self._key(number), received.fate)
-        first = None
-        if received.first_token is not None:
-            first = received.first_token - start
-        in_time = took * 1000 <= request.deadline_ms
-        return RequestResult(received.fate, took, in_time, first, received.detail)
-
-    async def act(self, event: TraceEvent) -> None:
-        """Bring an event about."""
-        if self.actor is not None:
-            await self.actor.act(event)
-
-    async def close(self) -> BookCounts:
-        """Ask engines and services for their counts."""
+            self.key_outcomes.record(self._key(number), received.outcome)
+        first_token_seconds = None
+        if received.first_token_at is not None:
+            first_token_seconds = received.first_token_at - start
+        in_time = duration_seconds * 1000 <= request.deadline_ms
+        return RequestResult(
+            received.outcome,
+            duration_seconds,
+            in_time,
+            first_token_seconds,
+            received.detail,
+        )
+
+    async def apply_event(self, event: TraceEvent) -> None:
+        """Apply an event of the trace."""
+        if self.event_handler is not None:
+            await self.event_handler.apply_event(event)
+
+    async def close(self) -> TargetCounts:
+        """Read the counts of engines and services, and check them."""
         ran: dict[str, int] = {}
         for replica in self.replicas:
             for key, count in (await self._get(replica, "/control/ran", {})).items():
                 ran[key] = ran.get(key, 0) + count
-        changes = 0
+        role_changes = 0
         for engine in self.engines:
-            found = await self._get(engine, "/counts", {})
-            changes += found.get("role_changes", 0)
-        return self.book.check(ran, changes)
+            counts = await self._get(engine, "/counts", {})
+            role_changes += counts.get("role_changes", 0)
+        return self.key_outcomes.check(ran, role_changes)
 
-    async def _get(self, address: str, path: str, otherwise: dict) -> dict:
+    async def _get(self, address: str, path: str, default: dict) -> dict:
         out = Outgoing(address, "GET", path, {}, reuse=False)
         try:
             async with self._client().request(out) as resp:
                 return msgspec.json.decode(await resp.read())
         except ConnectionLayerError:
-            return otherwise
+            return default
 
     def _client(self) -> HttpClient:
         return self.client
@@ -154,10 +160,10 @@
     def _key(self, number: int) -> str:
         return f"{self.run_id}-{number}"
 
-    async def _ask(
+    async def _send_once(
         self, number: int, request: TraceRequest, deadline: float
-    ) -> _Received:
-        """Ask one host; ``LOST`` means that no outcome came."""
+    ) -> _AttemptResult:
+        """Send a request to one host; ``LOST`` means that no outcome was received."""
         remaining = max(1, int((deadline - trio.current_time()) * 1000))
         headers = {
             "authorization": f"Bearer {self.tokens.get(request.customer, '')}",
@@ -166,23 +172,23 @@
         }
         try:
             if request.kind is Kind.MODEL:
-                return await self._ask_model(number, request, headers)
-            return await self._ask_service(number, request, headers)
+                return await self._send_model_request(number, request, headers)
+            return await self._call_service(number, request, headers)
         except ConnectFailedError as exc:
-            return _Received(Fate.LOST, detail=f"not reached: {exc}")
+            return _AttemptResult(CallerOutcome.LOST, detail=f"not reached: {exc}")
         except ConnectionLayerError as exc:
-            return _Received(Fate.LOST, detail=f"broke off: {exc}")
+            return _AttemptResult(CallerOutcome.LOST, detail=f"broke off: {exc}")
 
     @asynccontextmanager
-    async def _sent(self, path: str, headers: dict[str, str], body: bytes):
+    async def _post(self, path: str, headers: dict[str, str], body: bytes):
         entry = self.balancer.pick()
         out = Outgoing(entry, "POST", path, headers, body, reuse=False)
         async with self.client.request(out) as resp:
             yield resp
 
-    async def _ask_model(
+    async def _send_model_request(
         self, number: int, request: TraceRequest, headers: dict[str, str]
-    ) -> _Received:
+    ) -> _AttemptResult:
         prompt = make_prompt(
             request.prefix,
             f"{self.run_id}/{number}",
@@ -196,62 +202,70 @@
             "stream": True,
         }
         data = msgspec.json.encode(body)
-        async with self._sent("/v1/completions", headers, data) as resp:
+        async with self._post("/v1/completions", headers, data) as resp:
             if resp.status != STATUS_OK:
                 await resp.read()
-                return _refused(resp)
+                return _error_result(resp)
             received = await _read_stream(resp)
-        if received.fate is Fate.COMPLETE:
+        if received.outcome is CallerOutcome.COMPLETE:
             if received.text != answer_text(prompt, request.output_tokens):
-                return _Received(Fate.CUT, detail=f"request {number}: wrong text")
+                return _AttemptResult(
+                    CallerOutcome.CUT, detail=f"request {number}: wrong text"
+                )
         return received
 
-    async def _ask_service(
+    async def _call_service(
         self, number: int, request: TraceRequest, headers: dict[str, str]
-    ) -> _Received:
+    ) -> _AttemptResult:
         body = f"{self.run_id}/{number}".encode()
         if request.idempotent:
             headers["berylshift-idempotent"] = "true"
         else:
             headers[KEY_HEADER] = self._key(number)
         path = f"/services/{request.service}/calls"
-        async with self._sent(path, headers, body) as resp:
+        async with self._post(path, headers, body) as resp:
             data = await resp.read()
-        if resp.headers.get(OUTCOME_HEADER) != Fate.COMPLETE.value:
-            return _refused(resp)
+        if resp.headers.get(OUTCOME_HEADER) != CallerOutcome.COMPLETE.value:
+            return _error_result(resp)
         if msgspec.json.decode(data).get("echo") != service_echo(body):
-            return _Received(Fate.CUT, detail=f"request {number}: wrong answer")
-        return _Received(Fate.COMPLETE)
+            return _AttemptResult(
+                CallerOutcome.CUT, detail=f"request {number}: wrong answer"
+            )
+        return _AttemptResult(CallerOutcome.COMPLETE)
 
 
-def _refused(resp: HttpResponse) -> _Received:
-    outcome = resp.headers.get(OUTCOME_HEADER, "")
-    fates = {"not-run": Fate.NOT_RUN, "unknown": Fate.UNKNOWN}
-    return _Received(fates.get(outcome, Fate.LOST), detail=f"status {resp.status}")
+def _error_result(resp: HttpResponse) -> _AttemptResult:
+    reported = resp.headers.get(OUTCOME_HEADER, "")
+    outcomes = {"not-run": CallerOutcome.NOT_RUN, "unknown": CallerOutcome.UNKNOWN}
+    return _AttemptResult(
+        outcomes.get(reported, CallerOutcome.LOST), detail=f"status {resp.status}"
+    )
 
 
-async def _read_stream(resp: HttpResponse) -> _Received:
-    """Read server-sent events to the outcome."""
+async def _read_stream(resp: HttpResponse) -> _AttemptResult:
+    """Read server-sent events up to the outcome."""
     texts: list[str] = []
-    first = None
-    rest = b""
-    outcome = ""
+    first_token_at = None
+    partial = b""
+    reported = ""
     try:
         async for data in resp.chunks():
-            *events, rest = (rest + data).split(b"\n\n")
+            *events, partial = (partial + data).split(b"\n\n")
             for item in map(_parse_event, events):
                 if item.name == "outcome":
-                    outcome = msgspec.json.decode(item.data)["outcome"]
+                    reported = msgspec.json.decode(item.data)["outcome"]
                 elif item.data != b"[DONE]":
-                    first = first or trio.current_time()
+                    first_token_at = first_token_at or trio.current_time()
                     choices = msgspec.json.decode(item.data)["choices"]
                     texts.append(choices[0]["text"])
     except ConnectionLayerError as exc:
-        # A stream that can't be finished says so; a host that died does not.
-        fate = Fate.CUT if outcome else Fate.LOST
-        return _Received(fate, detail=f"stream ended early: {exc}")
-    fate = Fate.COMPLETE if outcome == "complete" else Fate.CUT
-    return _Received(fate, "".join(texts), first, f"outcome {outcome!r}")
+        # A host that cannot complete a stream sends an outcome; a crashed one does not.
+        outcome = CallerOutcome.CUT if reported else CallerOutcome.LOST
+        return _AttemptResult(outcome, detail=f"stream ended early: {exc}")
+    outcome = CallerOutcome.COMPLETE if reported == "complete" else CallerOutcome.CUT
+    return _AttemptResult(
+        outcome, "".join(texts), first_token_at, f"outcome {reported!r}"
+    )
 
 
 def _parse_event(block: bytes) -> _Event:
--- a/berylshift/replay/keys.py
+++ b/berylshift/replay/keys.py
@@ -1,28 +1,28 @@
-"""The callers' idempotency keys, and the check of what the services ran."""
+"""Outcomes by idempotency key, checked against what the services ran."""
 
 from collections.abc import Mapping
 
-from berylshift.replay.result import Fate
-from berylshift.replay.runner import BookCounts
+from berylshift.replay.result import CallerOutcome
+from berylshift.replay.runner import TargetCounts
 
 
-class KeyBook:
-    """What each confirmation's caller was told, by key."""
+class KeyOutcomes:
+    """The outcome that the caller of each non-idempotent call received, by key."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._told: dict[str, Fate] = {}
+        self._outcomes: dict[str, CallerOutcome] = {}
 
-    def told(self, key: str, fate: Fate) -> None:
-        """Note what a caller was told last."""
-        self._told[key] = fate
+    def record(self, key: str, outcome: CallerOutcome) -> None:
+        """Record the last outcome that a caller received."""
+        self._outcomes[key] = outcome
 
-    def check(self, ran: Mapping[str, int], role_changes: int) -> BookCounts:
-        """Compare with how often each key ran."""
+    def check(self, ran: Mapping[str, int], role_changes: int) -> TargetCounts:
+        """Compare the outcomes with how often each key ran."""
         doubled = sum(count > 1 for count in ran.values())
-        wrong = 0
-        for key, fate in self._told.items():
+        wrong_outcomes = 0
+        for key, outcome in self._outcomes.items():
             count = ran.get(key, 0)
-            wrong += fate is Fate.COMPLETE and count == 0
-            wrong += fate is Fate.NOT_RUN and count > 0
-        return BookCounts(doubled, wrong, role_changes)
+            wrong_outcomes += outcome is CallerOutcome.COMPLETE and count == 0
+            wrong_outcomes += outcome is CallerOutcome.NOT_RUN and count > 0
+        return TargetCounts(doubled, wrong_outcomes, role_changes)
--- a/berylshift/replay/policies.py
+++ b/berylshift/replay/policies.py
@@ -1,4 +1,4 @@
-"""The policies that a replay can run: ours and the baselines."""
+"""Policies that a replay can run: the system's own and the baselines."""
 
 import msgspec
 
@@ -14,6 +14,6 @@
 
 
 def policy_settings(name: str, base: PolicySettings) -> PolicySettings:
-    """Return the settings of a policy by name."""
+    """Return ``base`` with the router and planner of the named policy."""
     router, planner = POLICIES[name]
     return msgspec.structs.replace(base, router=router, planner=planner)
--- a/berylshift/replay/result.py
+++ b/berylshift/replay/result.py
@@ -1,4 +1,4 @@
-"""What a replay counts, and the check against the stated outcome."""
+"""Counts of a replay, and their check against the expected outcome."""
 
 from collections import Counter
 from enum import Enum
@@ -8,11 +8,11 @@
 
 from berylshift.replay.trace import Expect
 
-QUANTILE = 0.95
+FIRST_TOKEN_QUANTILE = 0.95
 
 
-class Fate(Enum):
-    """What became of one request, as its caller sees it."""
+class CallerOutcome(Enum):
+    """Outcome of one request as its caller sees it."""
 
     COMPLETE = "complete"
     NOT_RUN = "not_run"
@@ -22,17 +22,17 @@
 
 
 class RequestResult(msgspec.Struct, frozen=True):
-    """One request's end; times in seconds from its start."""
+    """Outcome of one request; times in seconds from its start."""
 
-    fate: Fate
-    took: float
+    outcome: CallerOutcome
+    duration_seconds: float
     in_time: bool
-    first_token: float | None = None
+    first_token_seconds: float | None = None
     detail: str = ""
 
 
 class ReplayResult(msgspec.Struct, frozen=True):
-    """One trace's result; goodput is the share of requests done in time."""
+    """Result of one trace; goodput is the fraction of requests completed in time."""
 
     trace: str
     requests: int
@@ -49,41 +49,46 @@
     unmet: list[str] = []
 
 
-class Tally:
-    """Adds up the results of a replay."""
+class ResultCounter:
+    """Aggregates the results of a replay's requests."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self.fates: Counter[Fate] = Counter()
+        self.outcomes: Counter[CallerOutcome] = Counter()
         self.in_time = 0
         self.first_tokens = DDSketch(0.01)
         self.details: list[str] = []
 
     def add(self, result: RequestResult) -> None:
         """Count one request."""
-        self.fates[result.fate] += 1
-        self.in_time += result.in_time and result.fate is Fate.COMPLETE
-        if result.first_token is not None:
-            self.first_tokens.add(result.first_token)
-        if result.fate in (Fate.LOST, Fate.CUT):
+        self.outcomes[result.outcome] += 1
+        self.in_time += result.in_time and result.outcome is CallerOutcome.COMPLETE
+        if result.first_token_seconds is not None:
+            self.first_tokens.add(result.first_token_seconds)
+        if result.outcome in (CallerOutcome.LOST, CallerOutcome.CUT):
             self.details.append(result.detail)
 
     def result(
-        self, trace: str, expect: Expect, doubled: int, lost: int, role_changes: int
+        self,
+        trace: str,
+        expect: Expect,
+        doubled: int,
+        wrong_outcomes: int,
+        role_changes: int,
     ) -> ReplayResult:
-        """Return the result; two counts come from the services themselves."""
-        total = sum(self.fates.values())
-        p95 = self.first_tokens.get_quantile_value(QUANTILE)
+        """Return the result; the three counts are read from the targets."""
+        total = sum(self.outcomes.values())
+        p95 = self.first_tokens.get_quantile_value(FIRST_TOKEN_QUANTILE)
         result = ReplayResult(
             trace=trace,
             requests=total,
-            complete=self.fates[Fate.COMPLETE],
-            not_run=self.fates[Fate.NOT_RUN],
-            unknown=self.fates[Fate.UNKNOWN],
-            lost=self.fates[Fate.LOST] + lost,
+            complete=self.outcomes[CallerOutcome.COMPLETE],
+            not_run=self.outcomes[CallerOutcome.NOT_RUN],
+            unknown=self.outcomes[CallerOutcome.UNKNOWN],
+            lost=self.outcomes[CallerOutcome.LOST] + wrong_outcomes,
             doubled=doubled,
-            cut=self.fates[Fate.CUT],
-            late=self.fates[Fate.COMPLETE] - self.in_time,
+            cut=self.outcomes[CallerOutcome.CUT],
+            late=self.outcomes[CallerOutcome.COMPLETE] - self.in_time,
             goodput=round(self.in_time / total, 4) if total else 0.0,
             first_token_p95=round(p95 or 0.0, 3),
             role_changes=role_changes,
@@ -92,14 +97,14 @@
 
 
 def _unmet(result: ReplayResult, expect: Expect) -> list[str]:
-    found = []
+    unmet = []
     for name in ("lost", "doubled", "cut"):
-        wanted = getattr(expect, name)
-        if wanted is not None and getattr(result, name) != wanted:
-            found.append(f"{name} is {getattr(result, name)}, expected {wanted}")
+        expected = getattr(expect, name)
+        if expected is not None and getattr(result, name) != expected:
+            unmet.append(f"{name} is {getattr(result, name)}, expected {expected}")
     if expect.goodput_min is not None and result.goodput < expect.goodput_min:
-        found.append(f"goodput is {result.goodput}, expected {expect.goodput_min}")
-    most = expect.role_changes_max
-    if most is not None and result.role_changes > most:
-        found.append(f"role changes are {result.role_changes}, expected {most}")
-    return found
+        unmet.append(f"goodput is {result.goodput}, expected {expect.goodput_min}")
+    max_changes = expect.role_changes_max
+    if max_changes is not None and result.role_changes > max_changes:
+        unmet.append(f"role changes are {result.role_changes}, expected {max_changes}")
+    return unmet
--- a/berylshift/replay/trace.py
+++ b/berylshift/replay/trace.py
@@ -1,4 +1,4 @@
-"""Recorded traces: JSON lines with a stated outcome in the first line."""
+"""Recorded traces: JSON lines, the first of which holds the expected outcome."""
 
 from enum import StrEnum
 from pathlib import Path
@@ -6,11 +6,11 @@
 import msgspec
 from returns.result import Failure, Result, Success
 
-MAX_MS = 7 * 24 * 3600 * 1000
+MAX_TIME_MS = 7 * 24 * 3600 * 1000
 
 
 class Expect(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The stated outcome; what is ``None`` is not checked."""
+    """Expected outcome of a trace; fields that are ``None`` are not checked."""
 
     lost: int | None = None
     doubled: int | None = None
@@ -19,15 +19,15 @@
     role_changes_max: int | None = None
 
 
-class Head(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A trace's first line."""
+class TraceHeader(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """First line of a trace."""
 
     trace: str
     expect: Expect
 
 
 class Kind(StrEnum):
-    """What a request asks for."""
+    """Kind of target that a request is for."""
 
     MODEL = "model"
     SERVICE = "service"
@@ -56,7 +56,7 @@
 
 
 class EventKind(StrEnum):
-    """What an event does."""
+    """Kind of an event."""
 
     KILL = "kill"
     PAUSE = "pause"
@@ -71,7 +71,7 @@
 
 
 class TraceEvent(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One event; ``who`` names hosts, engines or replicas, ``to`` the other side.
+    """One event; ``who`` names a host, engine or replica, ``to`` a link's other end.
 
     An edit sets ``column`` of the row of ``who`` to ``value``.
     """
@@ -85,7 +85,7 @@
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """A whole trace, in order of time."""
+    """A trace, ordered by time."""
 
     name: str
     expect: Expect
@@ -93,75 +93,73 @@
     events: list[TraceEvent]
 
 
-class TraceFault(msgspec.Struct, frozen=True):
-    """One bad line."""
+class LineError(msgspec.Struct, frozen=True):
+    """One invalid line of a trace."""
 
     line: int
     reason: str
 
     def __str__(self) -> str:
-        """Return the fault as operators read it."""
+        """Return the error as shown to operators."""
         return f"line {self.line}: {self.reason}"
 
 
-class TraceFaults(msgspec.Struct, frozen=True):
-    """All bad lines of a trace."""
+class TraceErrors(msgspec.Struct, frozen=True):
+    """All invalid lines of a trace."""
 
     path: str
-    faults: list[TraceFault]
+    errors: list[LineError]
 
     def __str__(self) -> str:
-        """Return the faults, a line each."""
-        return "\n".join(f"{self.path}, {fault}" for fault in self.faults)
+        """Return the errors, one per line."""
+        return "\n".join(f"{self.path}, {error}" for error in self.errors)
 
 
-def read_trace(path: str) -> Result[Trace, TraceFaults]:
-    """Return the trace in a file, or every bad line."""
+def read_trace(path: str) -> Result[Trace, TraceErrors]:
+    """Return the trace in a file, or all of its invalid lines."""
     try:
         lines = Path(path).read_bytes().splitlines()
     except OSError as exc:
-        fault = TraceFault(0, f"can't be read: {exc.strerror}")
-        return Failure(TraceFaults(path, [fault]))
+        error = LineError(0, f"cannot be read: {exc.strerror}")
+        return Failure(TraceErrors(path, [error]))
     return parse_trace(path, lines)
 
 
-def parse_trace(path: str, lines: list[bytes]) -> Result[Trace, TraceFaults]:
-    """Return the trace in ``lines``, or every bad line by number."""
-    faults: list[TraceFault] = []
-    head = _decode(1, lines[0] if lines else b"", Head, faults)
+def parse_trace(path: str, lines: list[bytes]) -> Result[Trace, TraceErrors]:
+    """Return the trace in ``lines``, or all invalid lines with their numbers."""
+    errors: list[LineError] = []
+    header = _decode(1, lines[0] if lines else b"", TraceHeader, errors)
     requests: list[TraceRequest] = []
     events: list[TraceEvent] = []
     for number, line in enumerate(lines[1:], start=2):
         if not line.strip():
             continue
         if b'"event"' in line:
-            event = _decode(number, line, TraceEvent, faults)
-            if event is not None and _check_event(number, event, faults):
+            event = _decode(number, line, TraceEvent, errors)
+            if event is not None and _check_event(number, event, errors):
                 events.append(event)
             continue
-        request = _decode(number, line, TraceRequest, faults)
-        if request is not None and _check_request(number, request, faults):
+        request = _decode(number, line, TraceRequest, errors)
+        if request is not None and _check_request(number, request, errors):
             requests.append(request)
-    if faults or head is None:
-        return Failure(TraceFaults(path, faults))
+    if errors or header is None:
+        return Failure(TraceErrors(path, errors))
     requests.sort(key=lambda item: item.at_ms)
     events.sort(key=lambda item: item.at_ms)
-    return Success(Trace(head.trace, head.expect, requests, events))
+    return Success(Trace(header.trace, header.expect, requests, events))
 
 
-def _decode(number: int, line: bytes, kind: type, faults: list[TraceFault]):
+def _decode(number: int, line: bytes, kind: type, errors: list[LineError]):
     try:
         return msgspec.json.decode(line, type=kind)
     except msgspec.DecodeError as exc:
-        faults.append(TraceFault(number, str(exc)))
+        errors.append(LineError(number, str(exc)))
         return None
 
 
-def _check_request(
-    number: int, request: TraceRequest, faults: list[TraceFault]
-) -> bool:
+def _check_request(number: int, request: TraceRequest, errors: list[LineError]) -> bool:
     reason = ""
-    if not 0 <= request.at_ms <= MAX_MS:
+    if not 0 <= request.at_ms <= MAX_TIME_MS:
         reason = "at_ms is out of range"
     elif not request.work:
         reason = f"a request of kind {request.kind} names its {request.kind}"
@@ -173,24 +171,26 @@
     ):
         reason = "a model request has prompt_tokens and output_tokens above 0"
     if reason:
-        faults.append(TraceFault(number, reason))
+        errors.append(LineError(number, reason))
     return not reason
 
 
-def _check_event(number: int, event: TraceEvent, faults: list[TraceFault]) -> bool:
-    whole_fleet = event.event in (EventKind.STORE_DOWN, EventKind.STORE_UP)
+def _check_event(number: int, event: TraceEvent, errors: list[LineError]) -> bool:
+    is_store_event = event.event in (EventKind.STORE_DOWN, EventKind.STORE_UP)
     reason = ""
-    if not event.who and not whole_fleet:
+    if not event.who and not is_store_event:
         reason = f"event {event.event} names who"
     elif event.event is EventKind.EDIT and not event.column:
         reason = "an edit names the column"
     if reason:
-        faults.append(TraceFault(number, reason))
+        errors.append(LineError(number, reason))
     return not reason
 
 
-def write_trace(path: Path, head: Head, items: list[TraceRequest | TraceEvent]) -> None:
-    """Write a trace, in order of time."""
+def write_trace(
+    path: Path, header: TraceHeader, items: list[TraceRequest | TraceEvent]
+) -> None:
+    """Write a trace, ordered by time."""
     ordered = sorted(items, key=lambda item: item.at_ms)
-    lines = [msgspec.json.encode(item) for item in (head, *ordered)]
+    lines = [msgspec.json.encode(item) for item in (header, *ordered)]
     path.write_bytes(b"\n".join(lines) + b"\n")
--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -1,12 +1,12 @@
-"""Replays on a virtual clock: callers, events and counts in one process."""
+"""Replays on a virtual clock, with callers, events and counts in one process."""
 
 import trio
 import trio.testing
 
 from berylshift.ids import ChangeId, CustomerName, FleetName, WorkName
-from berylshift.replay.determinism import fix_schedule
-from berylshift.replay.result import Fate, ReplayResult, RequestResult
-from berylshift.replay.runner import BookCounts, Progress, play
+from berylshift.replay.determinism import seed_scheduler
+from berylshift.replay.result import CallerOutcome, ReplayResult, RequestResult
+from berylshift.replay.runner import Progress, TargetCounts, replay_trace
 from berylshift.replay.trace import (
     EventKind,
     Kind,
@@ -20,7 +20,7 @@
     HostDownError,
     VirtualHost,
     VirtualWorld,
-    row_of,
+    find_row,
     trace_rows,
     with_cell,
 )
@@ -35,61 +35,63 @@
 from berylshift.version.diff import Edit
 from berylshift.version.rows import Row, RowKind
 
-TIMES_ASKED = 4
-ASK_AGAIN_PAUSE = 0.2
+MAX_ATTEMPTS = 4
+RETRY_PAUSE_SECONDS = 0.2
 GRACE_SECONDS = 60.0
-FATES = {
-    Outcome.COMPLETE: Fate.COMPLETE,
-    Outcome.NOT_RUN: Fate.NOT_RUN,
-    Outcome.UNKNOWN: Fate.UNKNOWN,
+CALLER_OUTCOMES = {
+    Outcome.COMPLETE: CallerOutcome.COMPLETE,
+    Outcome.NOT_RUN: CallerOutcome.NOT_RUN,
+    Outcome.UNKNOWN: CallerOutcome.UNKNOWN,
 }
 
 
-class _Sink:
-    """Takes one answer's text as its caller does."""
+class _TextSink:
+    """Collects the text of one response as its caller does."""
 
     def __init__(self) -> None:
-        self.parts: list[str] = []
-        self.first_at: float | None = None
+        self.texts: list[str] = []
+        self.first_token_at: float | None = None
 
     async def text(self, text: str) -> None:
-        if self.first_at is None:
-            self.first_at = trio.current_time()
-        self.parts.append(text)
+        if self.first_token_at is None:
+            self.first_token_at = trio.current_time()
+        self.texts.append(text)
 
 
 class VirtualFleet:
-    """Plays a trace's callers against a virtual world."""
+    """Simulates a trace's callers against a virtual world."""
 
     def __init__(self, world: VirtualWorld):
         """Send to the hosts of ``world``."""
         self.world = world
-        self._turn = 0
-        self._edits = 0
+        self._next_index = 0
+        self._edit_count = 0
 
     async def send(self, number: int, request: TraceRequest) -> RequestResult:
-        """Send one request; where its host died, ask again elsewhere."""
+        """Send one request; retry at another host if its host crashes."""
         start = trio.current_time()
         deadline = start + request.deadline_ms / 1000
-        result = RequestResult(Fate.LOST, 0.0, False, detail="no host answered")
+        result = RequestResult(
+            CallerOutcome.LOST, 0.0, False, detail="no host answered"
+        )
         with trio.move_on_at(deadline + GRACE_SECONDS):
-            for _ in range(TIMES_ASKED):
+            for _ in range(MAX_ATTEMPTS):
                 try:
-                    result = await self._ask(number, request, start, deadline)
+                    result = await self._send_once(number, request, start, deadline)
                     break
                 except HostDownError:
-                    await trio.sleep(ASK_AGAIN_PAUSE)
+                    await trio.sleep(RETRY_PAUSE_SECONDS)
         if not request.idempotent:
-            self.world.book.told(str(number), result.fate)
+            self.world.key_outcomes.record(str(number), result.outcome)
         return result
 
     def _pick(self) -> VirtualHost:
         ready = [host for host in self.world.hosts.values() if host.ready]
-        self._turn += 1
-        among = ready or list(self.world.hosts.values())
-        return among[self._turn % len(among)]
+        self._next_index += 1
+        candidates = ready or list(self.world.hosts.values())
+        return candidates[self._next_index % len(candidates)]
 
-    async def _ask(
+    async def _send_once(
         self, number: int, request: TraceRequest, start: float, deadline: float
     ) -> RequestResult:
         host = self._pick()
@@ -98,11 +100,15 @@
         with host.call() as app:
             caller = Caller(CustomerName(request.customer), FleetName(request.fleet))
             if request.kind is Kind.MODEL:
-                return await self._model(app, caller, number, request, start, deadline)
-            return await self._service(app, caller, number, request, start, deadline)
+                return await self._complete(
+                    app, caller, number, request, start, deadline
+                )
+            return await self._call_service(
+                app, caller, number, request, start, deadline
+            )
         raise HostDownError(host.name)
 
-    async def _model(
+    async def _complete(
         self, app, caller, number: int, request: TraceRequest, start, deadline
     ) -> RequestResult:
         prompt = make_prompt(
@@ -116,19 +122,23 @@
             max_tokens=request.output_tokens,
             deadline=deadline,
         )
-        sink = _Sink()
+        sink = _TextSink()
         ending = await app.handler.complete(call, sink)
         await self.world.network.awake(app.cfg.host.name)
-        fate = FATES[ending.outcome]
-        wanted = answer_text(prompt, request.output_tokens)
-        if fate is Fate.COMPLETE and "".join(sink.parts) != wanted:
-            fate = Fate.CUT
-        elif fate is not Fate.COMPLETE and sink.parts:
-            fate = Fate.CUT
-        first = sink.first_at - start if sink.first_at is not None else None
-        return _result(fate, start, deadline, first, f"{number}: {ending}")
+        outcome = CALLER_OUTCOMES[ending.outcome]
+        expected_text = answer_text(prompt, request.output_tokens)
+        if outcome is CallerOutcome.COMPLETE and "".join(sink.texts) != expected_text:
+            outcome = CallerOutcome.CUT
+        elif outcome is not CallerOutcome.COMPLETE and sink.texts:
+            outcome = CallerOutcome.CUT
+        first_token_seconds = (
+            sink.first_token_at - start if sink.first_token_at is not None else None
+        )
+        return _result(
+            outcome, start, deadline, first_token_seconds, f"{number}: {ending}"
+        )
 
-    async def _service(
+    async def _call_service(
         self, app, caller, number: int, request: TraceRequest, start, deadline
     ) -> RequestResult:
         body = str(number).encode()
@@ -144,21 +154,24 @@
             idempotent=request.idempotent,
             key="" if request.idempotent else str(number),
         )
-        found = await app.handler.call_service(call)
+        response = await app.handler.call_service(call)
         await self.world.network.awake(app.cfg.host.name)
-        fate = FATES[found.ending.outcome]
-        if fate is Fate.COMPLETE and service_echo(body).encode() not in found.body:
-            fate = Fate.CUT
-        return _result(fate, start, deadline, None, f"{number}: {found.ending}")
+        outcome = CALLER_OUTCOMES[response.ending.outcome]
+        if (
+            outcome is CallerOutcome.COMPLETE
+            and service_echo(body).encode() not in response.body
+        ):
+            outcome = CallerOutcome.CUT
+        return _result(outcome, start, deadline, None, f"{number}: {response.ending}")
 
-    async def close(self) -> BookCounts:
-        """Compare what callers were told with what the services ran."""
-        return self.world.book.check(self.world.ran, self.world.role_changes())
+    async def close(self) -> TargetCounts:
+        """Compare the callers' outcomes with what the services ran."""
+        return self.world.key_outcomes.check(self.world.ran, self.world.role_changes())
 
     # Events
 
-    async def act(self, event: TraceEvent) -> None:
-        """Bring an event about."""
+    async def apply_event(self, event: TraceEvent) -> None:
+        """Apply an event of the trace."""
         world = self.world
         match event.event:
             case EventKind.STORE_DOWN:
@@ -166,7 +179,7 @@
             case EventKind.STORE_UP:
                 world.platform.script.down = False
             case EventKind.CUT | EventKind.HEAL:
-                self._link(event)
+                self._set_link(event)
             case EventKind.PAUSE:
                 world.network.pause(event.who)
             case EventKind.KILL:
@@ -174,19 +187,19 @@
             case EventKind.RESUME:
                 self._resume(event.who)
             case EventKind.DRAIN | EventKind.WITHDRAW | EventKind.EDIT:
-                await self._mark(event)
+                await self._edit_table(event)
 
-    def _link(self, event: TraceEvent) -> None:
+    def _set_link(self, event: TraceEvent) -> None:
         world = self.world
         cut = event.event is EventKind.CUT
-        others = [event.to] if event.to else [STORE, *world.hosts, *world.engines]
-        for other in others:
-            if other == STORE and event.who in world.store_links:
+        peers = [event.to] if event.to else [STORE, *world.hosts, *world.engines]
+        for peer in peers:
+            if peer == STORE and event.who in world.store_links:
                 world.store_links[event.who].cut = cut
             elif cut:
-                world.network.cut(event.who, other)
+                world.network.cut(event.who, peer)
             else:
-                world.network.heal(event.who, other)
+                world.network.heal(event.who, peer)
 
     def _kill(self, name: str) -> None:
         world = self.world
@@ -207,42 +220,48 @@
         elif name in world.services:
             world.services[name].alive = True
 
-    async def _mark(self, event: TraceEvent) -> None:
+    async def _edit_table(self, event: TraceEvent) -> None:
         """Edit the table as operators do."""
         column, value = "state", "draining"
         if event.event is EventKind.WITHDRAW:
             value = "withdrawn"
         elif event.event is EventKind.EDIT:
             column, value = event.column, event.value
-        log = self.world.table_log()
-        table = await log.load()
+        table_log = self.world.table_log()
+        table = await table_log.load()
         if event.who in self.world.hosts:
             row = table.hosts.get(event.who) or host_row(event.who)
         else:
-            row = row_of(list(table.rows.values()), event.who)
-        self._edits += 1
+            row = find_row(list(table.rows.values()), event.who)
+        self._edit_count += 1
         edit = Edit(table.version, [with_cell(row, column, value)], [])
-        change_id = ChangeId(f"edit-{self._edits}")
-        (await log.commit(edit, change_id, "replay", "")).unwrap()
+        change_id = ChangeId(f"edit-{self._edit_count}")
+        (await table_log.commit(edit, change_id, "replay", "")).unwrap()
 
 
 def host_row(name: str) -> Row:
-    """Return the row of a host that has none yet."""
+    """Return a table row for a host that has none yet."""
     return Row(RowKind.HOST, name)
 
 
 def _result(
-    fate: Fate, start: float, deadline: float, first: float | None, detail: str
+    outcome: CallerOutcome,
+    start: float,
+    deadline: float,
+    first_token_seconds: float | None,
+    detail: str,
 ) -> RequestResult:
     now = trio.current_time()
-    return RequestResult(fate, now - start, now <= deadline, first, detail)
+    return RequestResult(
+        outcome, now - start, now <= deadline, first_token_seconds, detail
+    )
 
 
 async def _replay(trace: Trace, spec: FleetSpec, progress: Progress) -> ReplayResult:
     async with trio.open_nursery() as nursery:
         world = VirtualWorld(spec, trace_rows(trace, spec), nursery)
         await world.start()
-        result = await play(trace, VirtualFleet(world), progress)
+        result = await replay_trace(trace, VirtualFleet(world), progress)
         nursery.cancel_scope.cancel()
     return result
 
@@ -250,7 +269,7 @@
 def replay_virtual(
     trace: Trace, spec: FleetSpec, progress: Progress = lambda: None
 ) -> ReplayResult:
-    """Replay a trace on a virtual clock; the same each time for one seed."""
-    fix_schedule(spec.seed)
+    """Replay a trace on a virtual clock; results are reproducible for a seed."""
+    seed_scheduler(spec.seed)
     clock = trio.testing.MockClock(autojump_threshold=0)
     return trio.run(_replay, trace, spec, progress, clock=clock)
--- a/berylshift/replay/virtual_fleet.py
+++ b/berylshift/replay/virtual_fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet in one process on a virtual clock, for replays.
+"""A complete fleet in one process on a virtual clock, for replays.
 
-The entry hosts are the daemon's own application; only what lies outside it is in
-memory. A fresh fleet is built from the trace's own names.
+The entry hosts run the daemon's real application; everything outside it is simulated in
+memory. A new fleet is built for each replay, from the names in the trace.
 """
 
 import random
@@ -19,7 +19,7 @@
 from berylshift.ids import ChangeId
 from berylshift.metrics import NoMetrics
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.replay.keys import KeyBook
+from berylshift.replay.keys import KeyOutcomes
 from berylshift.replay.policies import policy_settings
 from berylshift.replay.trace import Kind, Trace
 from berylshift.settings import HostSettings, PolicySettings, Settings
@@ -50,13 +50,13 @@
 DOMAINS = 4
 STORE = "store"
 EPOCH = datetime(2026, 1, 1, tzinfo=UTC)
-STORE_WRITES = 300.0
-STORE_READS = 2000.0
+STORE_WRITES_PER_SECOND = 300.0
+STORE_READS_PER_SECOND = 2000.0
 
 
 @dataclass(frozen=True)
 class FleetSpec:
-    """What a virtual fleet is made of."""
+    """Configuration of a virtual fleet."""
 
     policy: str = "berylshift"
     seed: int = 1
@@ -70,38 +70,38 @@
 
 
 class HostDownError(Exception):
-    """A host was reached that does not run, or that died during the call."""
+    """The host is not running, or crashed during the call."""
 
 
 @dataclass
 class VirtualHost:
-    """One entry host; it can be killed, and started again."""
+    """One entry host, which can be killed and restarted."""
 
     name: str
     make_app: Callable[[], Application]
     nursery: trio.Nursery
     app: Application | None = None
     ready: bool = False
-    _scope: trio.CancelScope | None = None
-    _calls: set[trio.CancelScope] = field(default_factory=set)
+    _run_scope: trio.CancelScope | None = None
+    _call_scopes: set[trio.CancelScope] = field(default_factory=set)
 
     def start(self) -> None:
         """Start a new process on this host."""
         self.app = self.make_app()
-        self._scope = trio.CancelScope()
-        self.nursery.start_soon(self._run, self.app, self._scope)
+        self._run_scope = trio.CancelScope()
+        self.nursery.start_soon(self._run, self.app, self._run_scope)
 
     async def _run(self, app: Application, scope: trio.CancelScope) -> None:
         with scope:
             await app.run()
 
     def kill(self) -> None:
-        """End the process at once, with all calls in flight."""
+        """Kill the process, with all calls in flight."""
         if self.app is None:
             return
         self.app, self.ready = None, False
-        self._scope.cancel()
-        for scope in list(self._calls):
+        self._run_scope.cancel()
+        for scope in list(self._call_scopes):
             scope.cancel()
 
     async def stop(self) -> None:
@@ -115,16 +115,16 @@
 
     @contextmanager
     def call(self):
-        """Run a call in the block; raise ``HostDownError`` if the host dies."""
+        """Run a call in the block; raise ``HostDownError`` if the host crashes."""
         if self.app is None:
             raise HostDownError(self.name)
         scope = trio.CancelScope()
-        self._calls.add(scope)
+        self._call_scopes.add(scope)
         try:
             with scope:
                 yield self.app
         finally:
-            self._calls.discard(scope)
+            self._call_scopes.discard(scope)
         if scope.cancelled_caught:
             raise HostDownError(self.name)
 
@@ -133,7 +133,7 @@
     """Platform, targets, network and hosts of one replay."""
 
     def __init__(self, spec: FleetSpec, rows: list[Row], nursery: trio.Nursery):
-        """Make everything; ``start`` runs it."""
+        """Create all parts; ``start`` runs them."""
         self.spec = spec
         self.rows = rows
         self.clock = LoopClock(EPOCH)
@@ -141,7 +141,8 @@
         self.platform = FakePlatform(
             self.clock,
             PlatformScript(
-                writes_per_second=STORE_WRITES, reads_per_second=STORE_READS
+                writes_per_second=STORE_WRITES_PER_SECOND,
+                reads_per_second=STORE_READS_PER_SECOND,
             ),
         )
         self.hub = PeerHub(self.network)
@@ -151,9 +152,9 @@
         self.replicas: dict[str, FakeService] = {}
         self.services: dict[str, FakeService] = {}
         self.store_links: dict[str, MemoryPlatform] = {}
-        self.book = KeyBook()
+        self.key_outcomes = KeyOutcomes()
         self._nursery = nursery
-        self._starts = 0
+        self._start_count = 0
         for number, row in enumerate(rows):
             self._make_target(number, row)
         self.hosts = {
@@ -188,8 +189,8 @@
         cfg = Settings(host=host, policy=policy)
 
         def make_app() -> Application:
-            self._starts += 1
-            rng = random.Random(f"{self.spec.seed}/{name}/{self._starts}")
+            self._start_count += 1
+            rng = random.Random(f"{self.spec.seed}/{name}/{self._start_count}")
             return self._make_app(cfg, rng)
 
         return VirtualHost(name, make_app, self._nursery)
@@ -219,7 +220,7 @@
         return app
 
     def table_log(self) -> TableLog:
-        """Return the operators' way to the table."""
+        """Return access to the operators' table."""
         rng = random.Random(self.spec.seed)
         store = MemoryPlatform(self.platform)
         budget = StoreBudget(1000.0, rng)
@@ -227,7 +228,7 @@
         return TableLog(gate, store)
 
     async def start(self) -> None:
-        """Put the first table in force and start all parts."""
+        """Commit the first table, start all parts and wait for all hosts to be ready."""
         await self.table_log().commit(
             Edit(0, self.rows, []), ChangeId("first"), "replay", ""
         )
@@ -240,22 +241,22 @@
             await trio.sleep(0.1)
 
     async def _check_health(self) -> None:
-        """Look at the hosts as the platform's balancer does."""
+        """Check the hosts' readiness as the platform's load balancer does."""
         while True:
             for host in self.hosts.values():
-                awake = host.name not in self.network.paused
+                is_awake = host.name not in self.network.paused
                 host.ready = (
-                    awake and host.app is not None and host.app.readiness.is_ready()
+                    is_awake and host.app is not None and host.app.readiness.is_ready()
                 )
             await trio.sleep(0.5)
 
     def role_changes(self) -> int:
-        """Return how many role changes the engines made."""
+        """Return the number of role changes of all engines."""
         return sum(engine.role_changes for engine in self.engines.values())
 
 
 def trace_rows(trace: Trace, spec: FleetSpec) -> list[Row]:
-    """Return a table that allows each target to each of the trace's fleets."""
+    """Return table rows that allow each of the trace's fleets to use each target."""
     fleets = sorted({item.fleet for item in trace.requests})
     models = sorted({r.model for r in trace.requests if r.kind is Kind.MODEL})
     services = sorted({r.service for r in trace.requests if r.kind is Kind.SERVICE})
@@ -272,14 +273,14 @@
                 orders=spec.orders,
             )
         )
-    for place, service in enumerate(services):
+    for index, service in enumerate(services):
         for number in range(spec.replicas):
             rows.append(
                 Row(
                     RowKind.SERVICE,
                     f"{service}-{number + 1}",
                     serves=service,
-                    address=f"10.0.{place + 1}.{number + 1}:8000",
+                    address=f"10.0.{index + 1}.{number + 1}:8000",
                     domain=f"domain-{number % DOMAINS + 1}",
                 )
             )
@@ -293,8 +294,8 @@
     return [*rows, *routes, *customers]
 
 
-def row_of(rows: list[Row], target: str) -> Row:
-    """Return the row of a target, of whatever kind."""
+def find_row(rows: list[Row], target: str) -> Row:
+    """Return the row of a target of any kind; raise ``KeyError``."""
     for row in rows:
         if row.target == target and row.kind is not RowKind.ROUTE:
             return row
--- a/berylshift/replay/workloads.py
+++ b/berylshift/replay/workloads.py
@@ -1,4 +1,4 @@
-"""Workloads that traces are made of: phases with rates and sizes, fixed seeds."""
+"""Generation of synthetic traces from phases with rates and sizes, by fixed seeds."""
 
 import random
 from dataclasses import dataclass
@@ -11,17 +11,21 @@
     TraceRequest,
 )
 
-SECONDS_A_TOKEN = 0.025
-PREFILL_RATE = 8000
+SECONDS_PER_TOKEN = 0.025
+PREFILL_TOKENS_PER_SECOND = 8000
 SLACK_SECONDS = 2.0
 SLACK_FACTOR = 2.0
 SERVICE_DEADLINE_MS = 3000
-SPREAD = 0.5
+SIZE_SPREAD = 0.5
 
 
 @dataclass(frozen=True)
 class Mixture:
-    """Sizes of a phase's model calls in tokens, and the share of plain calls."""
+    """Mean sizes of model calls in tokens, and the fractions of other calls.
+
+    ``plain_share`` of all calls go to the plain service; ``confirm_share`` of these are
+    not idempotent.
+    """
 
     prompt: int
     output: int
@@ -31,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Phase:
-    """Some seconds at a rate; the mixture moves evenly from ``start`` to ``end``."""
+    """Requests at a constant rate; the mixture changes linearly to ``end``."""
 
     seconds: float
     rate: float
@@ -39,11 +43,11 @@
     end: Mixture | None = None
 
     def at(self, share: float) -> Mixture:
-        """Return the mixture after ``share`` of the phase."""
+        """Return the mixture after a fraction ``share`` of the phase."""
         end = self.end or self.start
         return Mixture(
-            prompt=_between(self.start.prompt, end.prompt, share),
-            output=_between(self.start.output, end.output, share),
+            prompt=_interpolate(self.start.prompt, end.prompt, share),
+            output=_interpolate(self.start.output, end.output, share),
             plain_share=self.start.plain_share,
             confirm_share=self.start.confirm_share,
         )
@@ -51,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """Who asks what: one of the two users."""
+    """Fleet, targets and callers of one of the two users."""
 
     fleet: str
     model: str
@@ -74,8 +78,8 @@
 )
 
 
-def _between(one: int, other: int, share: float) -> int:
-    return int(one + (other - one) * share)
+def _interpolate(first: int, last: int, share: float) -> int:
+    return int(first + (last - first) * share)
 
 
 def make_trace(
@@ -86,7 +90,7 @@
     events: list[TraceEvent] = (),
     seed: int = 1,
 ) -> Trace:
-    """Return a trace with arrivals at random, the same for one seed."""
+    """Return a trace with random arrivals, reproducible for a seed."""
     rng = random.Random(f"{name}/{seed}")
     requests: list[TraceRequest] = []
     start = 0.0
@@ -107,7 +111,7 @@
     mixture: Mixture,
     rng: random.Random,
 ) -> TraceRequest:
-    common = {
+    common_fields = {
         "at_ms": int(at * 1000),
         "caller": f"{deployment.caller}-{number % 997}",
         "customer": rng.choice(deployment.customers),
@@ -115,16 +119,16 @@
     }
     if rng.random() < mixture.plain_share:
         return TraceRequest(
-            **common,
+            **common_fields,
             kind=Kind.SERVICE,
             service=deployment.service,
             deadline_ms=SERVICE_DEADLINE_MS,
             idempotent=rng.random() >= mixture.confirm_share,
         )
-    prompt = _spread(mixture.prompt, rng)
-    output = _spread(mixture.output, rng)
+    prompt = _random_size(mixture.prompt, rng)
+    output = _random_size(mixture.output, rng)
     return TraceRequest(
-        **common,
+        **common_fields,
         kind=Kind.MODEL,
         model=deployment.model,
         prefix=f"{deployment.fleet}-{rng.randrange(deployment.prefixes)}",
@@ -134,11 +138,11 @@
     )
 
 
-def _spread(mean: int, rng: random.Random) -> int:
-    return max(8, int(mean * rng.uniform(1 - SPREAD, 1 + SPREAD)))
+def _random_size(mean: int, rng: random.Random) -> int:
+    return max(8, int(mean * rng.uniform(1 - SIZE_SPREAD, 1 + SIZE_SPREAD)))
 
 
 def deadline_ms(prompt: int, output: int) -> int:
-    """Return a deadline that leaves a factor of two over an idle engine."""
-    alone = prompt / PREFILL_RATE + output * SECONDS_A_TOKEN
-    return int(1000 * (SLACK_SECONDS + SLACK_FACTOR * alone))
+    """Return a deadline in milliseconds: twice an idle engine's time, plus slack."""
+    idle_seconds = prompt / PREFILL_TOKENS_PER_SECOND + output * SECONDS_PER_TOKEN
+    return int(1000 * (SLACK_SECONDS + SLACK_FACTOR * idle_seconds))
--- a/berylshift/tests/support.py
+++ b/berylshift/tests/support.py
@@ -13,7 +13,7 @@
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.throttle import Throttle
-from berylshift.replay.determinism import fix_schedule
+from berylshift.replay.determinism import seed_scheduler
 from berylshift.version.rows import OrderCheck, Row, RowKind
 from berylshift.version.table import Table
 
@@ -78,7 +78,7 @@
 
 def run_virtual(task: Callable[..., Awaitable], *args):
     """Run a task on a virtual clock that jumps over waits; always in one order."""
-    fix_schedule(SEED)
+    seed_scheduler(SEED)
     return trio.run(task, *args, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -70,7 +70,7 @@
 
 async def mark(world, event: EventKind, who: str) -> float:
     """Mark a target or host; return when that was accepted."""
-    await VirtualFleet(world).act(TraceEvent(0, event, who))
+    await VirtualFleet(world).apply_event(TraceEvent(0, event, who))
     return trio.current_time()
 
 
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -8,7 +8,7 @@
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.connection.http_server import HttpServer
 from berylshift.replay.http_fleet import _read_stream
-from berylshift.replay.result import Fate
+from berylshift.replay.result import CallerOutcome
 from berylshift.settings import Credential
 from berylshift.stand_ins.text import answer_text, make_prompt
 from berylshift.tests.support import FLEET, MODEL, VirtualTestCase
@@ -89,7 +89,7 @@
                 return await _read_stream(resp)
 
         received = self.with_callers(use)
-        self.assertIs(received.fate, Fate.COMPLETE)
+        self.assertIs(received.outcome, CallerOutcome.COMPLETE)
         self.assertEqual(received.text, answer_text(prompt, 256))
 
     def test_unfinished_stream_has_no_end_marker(self):
@@ -113,7 +113,7 @@
                     return await _read_stream(resp)
 
         received = self.with_callers(use)
-        self.assertIs(received.fate, Fate.CUT)
+        self.assertIs(received.outcome, CallerOutcome.CUT)
 
     def test_bad_requests_get_400(self):
         async def use(callers, world):
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -203,7 +203,7 @@
                             event = TraceEvent(
                                 0, EventKind.EDIT, name, column="state", value=state
                             )
-                            await VirtualFleet(world).act(event)
+                            await VirtualFleet(world).apply_event(event)
                     ending, text = found[0]
                     return ending.outcome, text == wanted(call)
 
--- a/berylshift/tools/demo.py
+++ b/berylshift/tools/demo.py
@@ -16,7 +16,7 @@
 from berylshift.connection.http_client import HttpClient
 from berylshift.replay.http_fleet import HttpBalancer, HttpFleet
 from berylshift.replay.result import ReplayResult
-from berylshift.replay.runner import play
+from berylshift.replay.runner import replay_trace
 from berylshift.replay.trace import (
     EventKind,
     Expect,
@@ -84,7 +84,7 @@
 
 
 async def run_demo(directory: Path) -> ReplayResult:
-    """Start the fleet, play the trace, end the fleet."""
+    """Start the fleet, replay_trace the trace, end the fleet."""
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         try:
@@ -99,7 +99,7 @@
             replay = HttpFleet(
                 client, balancer, tokens, fleet.engines, fleet.replicas, fleet
             )
-            return await play(make_trace(), replay)
+            return await replay_trace(make_trace(), replay)
         except Exception:
             _print_logs(directory)
             raise
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -155,7 +155,7 @@
         await self.programs.start(name, "berylshift.daemon", "--config", str(path))
         self.entries.append(address)
 
-    async def act(self, event: TraceEvent) -> None:
+    async def apply_event(self, event: TraceEvent) -> None:
         """Bring an event of the demonstration about."""
         sys.stdout.write(f"{event.at_ms / 1000:5.1f} s  {event.event} {event.who}\n")
         sys.stdout.flush()
--- a/berylshift/tools/make_traces.py
+++ b/berylshift/tools/make_traces.py
@@ -6,9 +6,9 @@
 from berylshift.replay.trace import (
     EventKind,
     Expect,
-    Head,
     Trace,
     TraceEvent,
+    TraceHeader,
     write_trace,
 )
 from berylshift.replay.workloads import (
@@ -71,7 +71,7 @@
     for trace in (nestwatch(), consorcio()):
         items = [*trace.requests, *trace.events]
         path = directory / f"{trace.name}.jsonl"
-        write_trace(path, Head(trace.name, trace.expect), items)
+        write_trace(path, TraceHeader(trace.name, trace.expect), items)
         sys.stdout.write(f"{path}: {len(items)} lines\n")
 
 
--- a/berylshift/tools/replay_command.py
+++ b/berylshift/tools/replay_command.py
@@ -13,7 +13,7 @@
 from berylshift.replay.http_fleet import HttpBalancer, HttpFleet
 from berylshift.replay.policies import POLICIES
 from berylshift.replay.result import ReplayResult
-from berylshift.replay.runner import play
+from berylshift.replay.runner import replay_trace
 from berylshift.replay.trace import Trace, read_trace
 from berylshift.replay.virtual import replay_virtual
 from berylshift.replay.virtual_fleet import FleetSpec
@@ -115,7 +115,7 @@
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.balancer.run)
-            result = await play(trace, fleet, progress)
+            result = await replay_trace(trace, fleet, progress)
             nursery.cancel_scope.cancel()
         return result
 
