--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -411,7 +411,7 @@
     async def _wait_until_responses_sent(self) -> None:
         while self.handler.in_flight:
             await trio.sleep(DRAIN_POLL_SECONDS)
-        await self.server.wait_until_quiet(0)
+        await self.server.wait_until_idle(0)
         # Last, since nothing may be awaited between its final check and the exit.
         await self.server.finish()
 
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -1,14 +1,11 @@
 """One attempt of a model call at an engine, with its load and health accounting."""
 
-from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import AsyncExitStack, aclosing
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
-from berylshift.ids import PoolName, TargetName
+from berylshift.connection.read_timeout import NEVER
+from berylshift.connection.read_timeout import ReadTimeout
+from berylshift.connection.read_timeout import ReadTimeoutError
+from berylshift.ids import PoolName
+from berylshift.ids import TargetName
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
@@ -16,18 +13,26 @@
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import ModelCall
-from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
-from berylshift.request.router import Router, RoutingContext
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.request.retry_policy import outcome_of
+from berylshift.request.retry_policy import retry_after_of
+from berylshift.request.router import Router
+from berylshift.request.router import RoutingContext
 from berylshift.settings import TargetSettings
-from berylshift.targets import (
-    EngineCall,
-    EngineChunk,
-    EngineClient,
-    TargetBrokenError,
-    TargetError,
-)
+from berylshift.targets import EngineCall
+from berylshift.targets import EngineChunk
+from berylshift.targets import EngineClient
+from berylshift.targets import TargetBrokenError
+from berylshift.targets import TargetError
 from berylshift.version.rows import Row
 from berylshift.version.table import Table
+from collections.abc import AsyncIterator
+from collections.abc import Awaitable
+from collections.abc import Callable
+from contextlib import AsyncExitStack
+from contextlib import aclosing
+from dataclasses import dataclass
+import trio
 
 Chunks = list[EngineChunk]
 OnChunks = Callable[[Chunks], Awaitable[bool]]
@@ -117,15 +122,15 @@
     async def _receive(self, on_chunks: OnChunks) -> None:
         cfg = self._deps.cfg
         name = self._row.name
-        limit = SilenceLimit(NEVER)
-        limit.allow(cfg.first_token_timeout)
+        limit = ReadTimeout(NEVER)
+        limit.restart(cfg.first_token_timeout)
         call = self._deps.client.generate(self._row.address, self._call)
         try:
             async with AsyncExitStack() as stack:
-                batches = await limit.bound(stack.enter_async_context(call))
+                batches = await limit.wait_for(stack.enter_async_context(call))
                 async with aclosing(batches):
                     await self._consume(batches, on_chunks, limit)
-        except SilentError as exc:
+        except ReadTimeoutError as exc:
             raise AttemptFailedError(name, AttemptOutcome.SILENT) from exc
         except TargetError as exc:
             health = self._deps.context.health
@@ -133,15 +138,15 @@
             raise AttemptFailedError(name, outcome_of(exc)) from exc
 
     async def _consume(
-        self, batches: AsyncIterator[Chunks], on_chunks: OnChunks, limit: SilenceLimit
+        self, batches: AsyncIterator[Chunks], on_chunks: OnChunks, limit: ReadTimeout
     ) -> None:
         """Pass chunks to ``on_chunks``; ``limit`` bounds the wait for each batch."""
-        while chunks := await limit.bound(anext(batches, None)):
+        while chunks := await limit.wait_for(anext(batches, None)):
             self._record_first_chunk()
             if await on_chunks(chunks):
                 return
             # The time that the caller took to read does not count as silence.
-            limit.allow(self._deps.cfg.token_timeout)
+            limit.restart(self._deps.cfg.token_timeout)
         raise TargetBrokenError("engine ended the stream before the last chunk")
 
     def _record_first_chunk(self) -> None:
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -1,18 +1,16 @@
 """The stand-in platform as an HTTP server."""
 
-import msgspec
-import trio
-
 from berylshift.connection.http_request import HttpRequest
 from berylshift.connection.responder import Responder
-from berylshift.stand_ins.fake_platform import FakePlatform, PlatformScript
-from berylshift.store.interfaces import (
-    HostEntry,
-    ResponseLostError,
-    StoreThrottledError,
-    StoreUnavailableError,
-    Transaction,
-)
+from berylshift.stand_ins.fake_platform import FakePlatform
+from berylshift.stand_ins.fake_platform import PlatformScript
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import ResponseLostError
+from berylshift.store.interfaces import StoreThrottledError
+from berylshift.store.interfaces import StoreUnavailableError
+from berylshift.store.interfaces import Transaction
+import msgspec
+import trio
 
 JSON_TYPE = {"content-type": "application/json"}
 STATUS_OK = 200
@@ -60,7 +58,7 @@
     def _rows(self, req: HttpRequest) -> object:
         fake = self._fake
         if req.path == "/rows":
-            return fake.read(req.multi("key"))
+            return fake.read(req.query_values("key"))
         if req.path == "/scan":
             limit = int(req.query["limit"])
             return fake.scan(req.query["prefix"], req.query.get("after", ""), limit)
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -1,15 +1,19 @@
 """HTTP client of the platform's store, with time limits."""
 
-from contextlib import AsyncExitStack, aclosing
-
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.http_client import HttpClient
+from berylshift.connection.http_client import Outgoing
+from berylshift.connection.read_timeout import NEVER
+from berylshift.connection.read_timeout import ReadTimeout
+from berylshift.connection.read_timeout import ReadTimeoutError
+from berylshift.store.interfaces import ResponseLostError
+from berylshift.store.interfaces import StoreUnavailableError
+from contextlib import AsyncExitStack
+from contextlib import aclosing
 import msgspec
 import trio
 
-from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
-from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.connection.silence import NEVER, SilenceLimit, SilentError
-from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
-
 # Upper bound on a read beyond its wait, even while data keeps arriving: a change must
 # be in force 11 s after it was acknowledged.
 MAX_READ_SECONDS = 10.0
@@ -44,7 +48,7 @@
         time out again.
         """
         out = Outgoing(self._address, "GET", path, {})
-        limit = SilenceLimit(trio.current_time() + wait_seconds + self._timeout_seconds)
+        limit = ReadTimeout(trio.current_time() + wait_seconds + self._timeout_seconds)
         return await self._call(out, wait_seconds + MAX_READ_SECONDS, limit)
 
     async def post(self, path: str, body: bytes) -> StoreResponse:
@@ -54,10 +58,10 @@
         write is sent, and then its outcome is unknown.
         """
         out = Outgoing(self._address, "POST", path, JSON_TYPE, body, reuse=False)
-        return await self._call(out, self._timeout_seconds, SilenceLimit(NEVER))
+        return await self._call(out, self._timeout_seconds, ReadTimeout(NEVER))
 
     async def _call(
-        self, out: Outgoing, seconds: float, limit: SilenceLimit
+        self, out: Outgoing, seconds: float, limit: ReadTimeout
     ) -> StoreResponse:
         """Complete a call within ``seconds`` in total.
 
@@ -68,7 +72,7 @@
         with trio.move_on_after(seconds):
             try:
                 return await self._exchange(out, limit)
-            except SilentError:
+            except ReadTimeoutError:
                 reason = f"no data received for {self._timeout_seconds:.1f} s"
             except ConnectFailedError as exc:
                 raise StoreUnavailableError(str(exc)) from exc
@@ -77,13 +81,13 @@
         self._client.close()
         raise ResponseLostError(reason)
 
-    async def _exchange(self, out: Outgoing, limit: SilenceLimit) -> StoreResponse:
+    async def _exchange(self, out: Outgoing, limit: ReadTimeout) -> StoreResponse:
         async with AsyncExitStack() as stack:
             request = self._client.request(out)
-            resp = await limit.bound(stack.enter_async_context(request))
+            resp = await limit.wait_for(stack.enter_async_context(request))
             chunks = await stack.enter_async_context(aclosing(resp.chunks()))
             received = []
-            while (chunk := await limit.bound(anext(chunks, None))) is not None:
+            while (chunk := await limit.wait_for(anext(chunks, None))) is not None:
                 received.append(chunk)
-                limit.allow(self._timeout_seconds)
+                limit.restart(self._timeout_seconds)
             return StoreResponse(resp.status, b"".join(received), resp.headers)
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -112,9 +112,9 @@
             if link is not self and link._on_digest is not None:
                 link._on_digest(message)
 
-    async def receive(self, take) -> None:
+    async def receive(self, on_message) -> None:
         """Deliver digests to ``take`` until cancelled."""
-        self._on_digest = take
+        self._on_digest = on_message
         await trio.sleep_forever()
 
 
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -1,22 +1,19 @@
 """End-to-end tests of entry hosts: routes, replicas, store outages, engine phases."""
 
-import unittest
-
-import trio
-
 from berylshift.messages.replicas import EnginePhase
-from berylshift.tests.entry_world import (
-    ENGINES,
-    PLAIN,
-    EntryWorld,
-    prompt_headers,
-    route,
-    routes,
-    run_entry,
-    stream_body,
-)
+from berylshift.tests.entry_world import ENGINES
+from berylshift.tests.entry_world import EntryWorld
+from berylshift.tests.entry_world import PLAIN
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import route
+from berylshift.tests.entry_world import routes
+from berylshift.tests.entry_world import run_entry
+from berylshift.tests.entry_world import stream_body
 from berylshift.tests.support import run_virtual
-from berylshift.version.routes import RouteKind, RouteTable
+from berylshift.version.routes import RouteKind
+from berylshift.version.routes import RouteTable
+import trio
+import unittest
 
 # The platform's time limits for a change to be in force, and for a draining replica to
 # get no more new work.
@@ -221,7 +218,7 @@
                 world.directory.remove_replica(replica.instance)
                 await trio.sleep(0.3)
             app = world.hosts[0]
-            return len(app.loads), app.ports.client.kept_targets
+            return len(app.loads), app.ports.client.pooled_targets
 
         self.assertEqual(run_entry(task), (2, 2))
 
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -1,6 +1,6 @@
 """Tests of connections that a host closes while callers use them."""
 
-from berylshift.connection.server_link import MOST_EARLY_BYTES
+from berylshift.connection.server_connection import MAX_EARLY_BYTES
 from berylshift.tests.entry_world import route
 from berylshift.tests.entry_world import routes
 from berylshift.tests.socket_world import DelayedReadSocket
@@ -138,7 +138,7 @@
             link = process.connect(near_type=DelayedReadSocket)
             await link.send("/book/x", "r1")
             await trio.sleep(0.3)
-            await link.send("/book/x", "r2", body=b"x" * 2 * MOST_EARLY_BYTES)
+            await link.send("/book/x", "r2", body=b"x" * 2 * MAX_EARLY_BYTES)
             reply = await link.read()
             return reply.status, reply.whole
 
@@ -194,7 +194,7 @@
             await trio.sleep(0.1)
             process.stop.set()
             await trio.sleep(1)
-            rest = request_bytes("/long/x", "r2", body=b"x" * 32 * MOST_EARLY_BYTES)
+            rest = request_bytes("/long/x", "r2", body=b"x" * 32 * MAX_EARLY_BYTES)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(link.stream.send_all, rest)
                 await process.ended.wait()
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -1,14 +1,15 @@
 """End-to-end tests of engines that restart under the same name."""
 
-import unittest
-
-import trio
-
-from berylshift.ids import InstanceId, PartId
+from berylshift.ids import InstanceId
+from berylshift.ids import PartId
 from berylshift.messages.engine_control import OrderAnswer
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.targets.target_load import SEVERE_FAILURE
-from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
+from berylshift.tests.entry_world import ENGINES
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_009_000
 FEED_DELAY_SECONDS = 1.0
@@ -61,7 +62,7 @@
             before = world.dials
             await self.start(world, engine, SECOND_START_MS)
             await world.ask("/note/x", "r2", headers=prompt_headers(prefix_tokens=0))
-            return world.dials - before, world.hosts[0].ports.client.kept_targets
+            return world.dials - before, world.hosts[0].ports.client.pooled_targets
 
         self.assertEqual(run_entry(task, plain=0, engines="d"), (1, 1))
 
