--- a/berylshift/stand_ins/fake_duties.py
+++ b/berylshift/stand_ins/fake_leader_calls.py
@@ -1,4 +1,4 @@
-"""The platform's duties in memory: what was reported, by whom, under which fence."""
+"""The platform calls of leader tasks in memory, recorded with their lease holder."""
 
 from dataclasses import dataclass
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class UsageCall:
-    """One report as it arrived."""
+    """One usage report, who sent it and when it arrived."""
 
     report: UsageReport
     holder: LeaseHolder
@@ -22,7 +22,7 @@
 
 
 class FakeUsageRows:
-    """Settled reports in memory, with scripted faults."""
+    """Settled usage reports in memory, with scripted faults."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -32,18 +32,18 @@
         self.lose_answers = 0
 
     def restore(self) -> None:
-        """Come back from a copy that has no report."""
+        """Restore the store from a snapshot without reports, in a new era."""
         self._rows.clear()
         self.era = StoreEra(self.era + 1)
 
     async def read(self, window: int) -> SettledUsage | None:
-        """Return what was settled of a window."""
+        """Return the settled usage of a window, or ``None``."""
         self._check()
         report = self._rows.get(window)
         return None if report is None else SettledUsage(report, self.era)
 
     async def settle(self, report: UsageReport) -> SettledUsage:
-        """Settle a report, unless one was settled before."""
+        """Store a report unless its window is settled; return the settled one."""
         self._check()
         found = self._rows.setdefault(report.window, report)
         if self.lose_answers:
@@ -57,7 +57,7 @@
 
 
 class FakeScaleRows:
-    """How many replicas services need, in memory."""
+    """Replica counts that services need, in memory."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -65,14 +65,14 @@
         self.down = False
 
     async def get_or_set_needed(self, service: ServiceName, needed: int) -> int:
-        """Keep a number, unless there is one; return the one that holds."""
+        """Store a count unless the service has one; return the stored count."""
         if self.down:
             raise StoreUnavailableError("down")
         return self.needed.setdefault(service, needed)
 
 
-class FakeDuties:
-    """Takes duties' calls; ``answers`` are used up one a call."""
+class FakeLeaderCalls:
+    """Records leader tasks' calls; each call consumes one of ``answers``."""
 
     def __init__(self) -> None:
         """Start without calls."""
@@ -83,14 +83,14 @@
     async def report_usage(
         self, report: UsageReport, holder: LeaseHolder
     ) -> CallResult:
-        """Take a report, unless another answer is due."""
+        """Record a report, unless a scripted answer rejects it."""
         answer = self.answers.pop(0) if self.answers else CallResult.DONE
         if answer in (CallResult.DONE, CallResult.UNKNOWN):
             self.usage.append(UsageCall(report, holder, trio.current_time()))
         return answer
 
     async def scale(self, order: ScaleOrder, holder: LeaseHolder) -> CallResult:
-        """Take an order, unless another answer is due."""
+        """Record an order, unless a scripted answer rejects it."""
         answer = self.answers.pop(0) if self.answers else CallResult.DONE
         if answer in (CallResult.DONE, CallResult.UNKNOWN):
             self.orders.append(order)
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -31,8 +31,8 @@
     FakeHostRows,
     FakeLeaseRows,
 )
-from berylshift.stand_ins.fake_duties import (
-    FakeDuties,
+from berylshift.stand_ins.fake_leader_calls import (
+    FakeLeaderCalls,
     FakeScaleRows,
     FakeUsageRows,
 )
@@ -148,7 +148,7 @@
     crash_rows: FakeCrashRows = field(default_factory=FakeCrashRows)
     usage_rows: FakeUsageRows = field(default_factory=FakeUsageRows)
     scale_rows: FakeScaleRows = field(default_factory=FakeScaleRows)
-    duties: FakeDuties = field(default_factory=FakeDuties)
+    duties: FakeLeaderCalls = field(default_factory=FakeLeaderCalls)
     replicas: dict[str, EntryReplica] = field(default_factory=dict)
     hosts: list[EntryApplication] = field(default_factory=list)
     links: list[MemoryLink] = field(default_factory=list)
--- a/berylshift/tests/test_scaling_loop.py
+++ b/berylshift/tests/test_scaling_loop.py
@@ -14,7 +14,7 @@
 from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.scaling.scale_loop import RANK_DELAY_SECONDS, ScaleLoop
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
-from berylshift.stand_ins.fake_duties import FakeDuties, FakeScaleRows
+from berylshift.stand_ins.fake_leader_calls import FakeLeaderCalls, FakeScaleRows
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import DomainPrice, Scaling, Service
 
@@ -30,7 +30,7 @@
 
     def __init__(self, nursery: trio.Nursery, service: Service, hosts: int = 2):
         self.leases = FakeLeaseRows(trio.current_time)
-        self.duties = FakeDuties()
+        self.duties = FakeLeaderCalls()
         self.rows = FakeScaleRows()
         self.holders: list[str] = []
         self.scopes: list[trio.CancelScope] = []
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -16,7 +16,7 @@
 from berylshift.process.usage.usage_loop import UsageLoop
 from berylshift.process.usage.windows import UsageWindows
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
-from berylshift.stand_ins.fake_duties import FakeDuties, FakeUsageRows
+from berylshift.stand_ins.fake_leader_calls import FakeLeaderCalls, FakeUsageRows
 from berylshift.tests.usage_support import SCHEDULE
 
 HOLDER_GAP_SECONDS = 3.0
@@ -47,7 +47,7 @@
         self.rng = random.Random(seed)
         self.leases = FakeLeaseRows(trio.current_time)
         self.rows = FakeUsageRows()
-        self.duties = FakeDuties()
+        self.duties = FakeLeaderCalls()
         self.hosts: list[UsageHost] = []
         self.truth: dict[tuple[int, str], int] = {}
         self.starts = 0
