--- a/berylshift/replay/http_fleet.py
+++ b/berylshift/replay/http_fleet.py
@@ -22,7 +22,7 @@
     OUTCOME_HEADER,
 )
 from berylshift.stand_ins.fake_service import service_echo
-from berylshift.stand_ins.text import answer_text, make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 
 HEALTH_INTERVAL = 0.5
 HEALTH_TIMEOUT = 0.5
@@ -202,7 +202,7 @@
                 return _refused(resp)
             received = await _read_stream(resp)
         if received.fate is Fate.COMPLETE:
-            if received.text != answer_text(prompt, request.output_tokens):
+            if received.text != completion_text(prompt, request.output_tokens):
                 return _Received(Fate.CUT, detail=f"request {number}: wrong text")
         return received
 
--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -31,7 +31,7 @@
     PlainCall,
 )
 from berylshift.stand_ins.fake_service import service_echo
-from berylshift.stand_ins.text import answer_text, make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.version.diff import Edit
 from berylshift.version.rows import Row, RowKind
 
@@ -120,7 +120,7 @@
         ending = await app.handler.complete(call, sink)
         await self.world.network.awake(app.cfg.host.name)
         fate = FATES[ending.outcome]
-        wanted = answer_text(prompt, request.output_tokens)
+        wanted = completion_text(prompt, request.output_tokens)
         if fate is Fate.COMPLETE and "".join(sink.parts) != wanted:
             fate = Fate.CUT
         elif fate is not Fate.COMPLETE and sink.parts:
--- a/berylshift/stand_ins/__main__.py
+++ b/berylshift/stand_ins/__main__.py
@@ -1,6 +1,6 @@
-"""The stand-ins as programs: ``python -m berylshift.stand_ins NAME``.
+"""Command-line programs of the stand-ins: ``python -m berylshift.stand_ins NAME``.
 
-Each prints ``listening IP:PORT`` once it serves, and ends on SIGTERM.
+Each prints ``listening IP:PORT`` once it accepts connections, and exits on SIGTERM.
 """
 
 import os
@@ -29,14 +29,14 @@
 from berylshift.stand_ins.store_server import StoreServer
 
 EXIT_BAD_INPUT = 2
-# How a process ends that a request has crashed.
+# Exit code of a replica that a request has crashed.
 EXIT_CRASHED = 70
 ADDRESS = option("address", "a", "IP:PORT to listen on.", flag=False)
 NAME = option("name", None, "The stand-in's name.", flag=False, default="engine-1")
 
 
 async def serve(address: str, make_handler, *background) -> None:
-    """Serve until SIGTERM."""
+    """Serve HTTP until SIGTERM, next to the tasks in ``background``."""
     listener = open_listener(address)
     async with trio.open_nursery() as nursery:
         handler: Handler = make_handler(bound_address(listener))
@@ -51,11 +51,11 @@
                 return
 
 
-async def serve_streams(address: str, make_server) -> None:
+async def serve_connections(address: str, make_connection_handler) -> None:
     """Serve raw connections until SIGTERM."""
     listener = open_listener(address)
     async with trio.open_nursery() as nursery:
-        server = make_server(bound_address(listener))
+        server = make_connection_handler(bound_address(listener))
         nursery.start_soon(trio.serve_listeners, server, [listener])
         sys.stdout.write(f"listening {bound_address(listener)}\n")
         sys.stdout.flush()
@@ -66,7 +66,7 @@
 
 
 class StoreCommand(Command):
-    """Runs the store that the entry hosts follow."""
+    """Runs the store whose feeds the entry hosts read."""
 
     name = "store"
     description = "The platform's store: rows, conditions, feeds."
@@ -88,18 +88,18 @@
         ADDRESS,
         NAME,
         option("phase", None, "prefill, decode or nothing.", flag=False, default=""),
-        option("crashes-on", None, "End on a request with this path.", flag=False),
+        option("crashes-on", None, "Crash on a request with this path.", flag=False),
     ]
 
     def handle(self) -> int:
-        """Serve until SIGTERM, or until a request ends the process."""
+        """Serve until SIGTERM, or until a request crashes the process."""
         phase = EnginePhase(self.option("phase"))
         instance = self.option("name")
         kept = AnyKept(on_crash=lambda: os._exit(EXIT_CRASHED))
         if self.option("crashes-on"):
             kept.crashing.add(self.option("crashes-on"))
         trio.run(
-            serve_streams,
+            serve_connections,
             self.option("address"),
             lambda address: EntryReplica(instance, address, kept, phase).serve,
         )
@@ -129,12 +129,12 @@
         return 0
 
 
-def read_cost(words: list[str]) -> EngineCosts:
-    """Return the cost model with the named values changed."""
-    values = dict(word.split("=", 1) for word in words)
+def parse_costs(assignments: list[str]) -> EngineCosts:
+    """Return the cost model with ``NAME=VALUE`` assignments applied."""
+    values = dict(assignment.split("=", 1) for assignment in assignments)
     unknown = set(values) - set(EngineCosts.__dataclass_fields__)
     if unknown:
-        raise ValueError(f"unknown: {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown names: {', '.join(sorted(unknown))}")
     return msgspec.convert(values, EngineCosts, strict=False)
 
 
@@ -147,7 +147,7 @@
         ADDRESS,
         NAME,
         option("model", None, "The model served.", flag=False, default="match-note"),
-        option("ignores-old", None, "Ignore old fencing numbers."),
+        option("ignores-old", None, "Accept orders with a stale order number."),
         option(
             "cost", None, "NAME=VALUE of the cost model.", flag=False, multiple=True
         ),
@@ -156,14 +156,14 @@
     def handle(self) -> int:
         """Serve until SIGTERM."""
         try:
-            cost = read_cost(self.option("cost"))
+            cost = parse_costs(self.option("cost"))
         except (ValueError, msgspec.ValidationError) as exc:
             known = ", ".join(EngineCosts.__dataclass_fields__)
             self.line_error(f"--cost takes NAME=VALUE ({exc}); there are {known}")
             return EXIT_BAD_INPUT
-        refuses = not self.option("ignores-old")
+        rejects_stale_orders = not self.option("ignores-old")
         engine = FakeEngine(
-            self.option("name"), "", cost, refuses, self.option("model")
+            self.option("name"), "", cost, rejects_stale_orders, self.option("model")
         )
         runner = EngineRunner(engine)
 
@@ -190,7 +190,7 @@
 
 
 def main() -> None:
-    """Run one stand-in."""
+    """Run the command line."""
     cli = CommandLine("berylshift-stand-in")
     commands = (PlatformCommand(), EngineCommand(), ServiceCommand())
     for command in (*commands, StoreCommand(), ReplicaCommand()):
--- a/berylshift/stand_ins/engine_costs.py
+++ b/berylshift/stand_ins/engine_costs.py
@@ -1,11 +1,11 @@
-"""What the stand-in engine costs, and the faults that a test sets."""
+"""Cost model of the fake engine, and the faults that a test can script."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class EngineCosts:
-    """Costs of an engine; times in seconds, sizes in tokens."""
+    """Cost model of an engine; times in seconds, sizes in tokens, rates a second."""
 
     prefill_rate: float = 8000.0
     step_base: float = 0.020
@@ -25,7 +25,7 @@
 
 @dataclass
 class EngineScript:
-    """Faults of an engine that a test sets."""
+    """Faults of an engine that a test scripts."""
 
     fail_fast: bool = False
     nonsense: bool = False
--- a/berylshift/stand_ins/engine_runner.py
+++ b/berylshift/stand_ins/engine_runner.py
@@ -1,4 +1,4 @@
-"""Runs a fake engine on the event loop and lets readers follow their streams."""
+"""Runs a fake engine on the event loop and delivers its streams to readers."""
 
 from collections.abc import AsyncIterator
 
@@ -10,53 +10,53 @@
 
 
 class EngineRunner:
-    """Moves one engine along with the loop's clock."""
+    """Advances one engine with the event loop's clock."""
 
     def __init__(self, engine: FakeEngine):
         """Run ``engine``."""
         self.engine = engine
-        self._poke = trio.Event()
+        self._wakeup = trio.Event()
 
     async def run(self) -> None:
         """Run the engine until cancelled."""
         while True:
             at = self.engine.next_event()
             with trio.move_on_at(float("inf") if at is None else at):
-                await self._poke.wait()
-            self._poke = trio.Event()
+                await self._wakeup.wait()
+            self._wakeup = trio.Event()
             self.engine.advance(trio.current_time())
 
-    def poke(self) -> None:
-        """Have the engine looked at again: something came in."""
-        self._poke.set()
+    def notify(self) -> None:
+        """Reschedule the engine after a call has changed its state."""
+        self._wakeup.set()
 
     def submit(self, call: EngineCall) -> "StreamReader":
-        """Give the engine an attempt; raise ``TargetRefusedError``."""
+        """Submit an attempt to the engine; raise ``TargetRefusedError``."""
         reader = StreamReader()
         reader.stream = self.engine.submit(call, trio.current_time(), reader.wake)
-        self.poke()
+        self.notify()
         return reader
 
     def cancel(self, call: EngineCall) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         self.engine.cancel(call.attempt, trio.current_time())
-        self.poke()
+        self.notify()
 
 
 class StreamReader:
-    """Gives a stream's chunks as they come."""
+    """Yields a stream's chunks as they are produced."""
 
     def __init__(self) -> None:
-        """Start with nothing to read."""
+        """Start without a stream; the engine sets it on submission."""
         self.stream: Stream | None = None
         self._ready = trio.Event()
 
     def wake(self) -> None:
-        """Note that there may be something to read."""
+        """Signal that chunks or the end of the stream may be available."""
         self._ready.set()
 
     async def batches(self) -> AsyncIterator[list[EngineChunk]]:
-        """Yield what has come, until the end; raise ``TargetBrokenError``."""
+        """Yield batches of chunks until the end; raise ``TargetBrokenError``."""
         stream = self.stream
         while True:
             chunks, stream.outbox = stream.outbox, []
--- a/berylshift/stand_ins/engine_server.py
+++ b/berylshift/stand_ins/engine_server.py
@@ -1,4 +1,4 @@
-"""The stand-in engine as an HTTP server."""
+"""The fake engine as an HTTP server."""
 
 import msgspec
 import trio
@@ -31,7 +31,7 @@
 
 
 class EngineCounts(msgspec.Struct, frozen=True):
-    """What an engine did since it started."""
+    """Counters of an engine since it started."""
 
     role_changes: int
     conflicts: int
@@ -41,7 +41,7 @@
 
 
 class EngineServer:
-    """Answers the engine's published interface; see docs/targets.md."""
+    """Serves the engine's published HTTP API; see docs/targets.md."""
 
     def __init__(self, runner: EngineRunner):
         """Serve the engine of ``runner``."""
@@ -53,30 +53,30 @@
         """Answer one request."""
         path, method = req.path, req.method
         if (method, path) == ("POST", "/v1/generate"):
-            await self._generate(req, responder)
+            await self._handle_generate(req, responder)
         elif path.endswith("/cancel"):
             attempt = AttemptId(path.split("/")[3])
             self._engine.cancel(attempt, trio.current_time())
-            self._runner.poke()
+            self._runner.notify()
             await responder.full(STATUS_OK, JSON_TYPE, b"{}")
         elif (method, path) == ("POST", "/v1/orders"):
-            await self._order(req, responder)
+            await self._handle_order(req, responder)
         elif method == "GET":
-            await self._get(req, responder)
+            await self._handle_get(req, responder)
         elif path == "/script":
             self._engine.script = msgspec.json.decode(req.body, type=EngineScript)
             await responder.full(STATUS_OK, JSON_TYPE, b"{}")
         else:
             await responder.full(STATUS_NOT_FOUND, JSON_TYPE, b"{}")
 
-    async def _get(self, req: HttpRequest, responder: Responder) -> None:
+    async def _handle_get(self, req: HttpRequest, responder: Responder) -> None:
         now = trio.current_time()
         engine = self._engine
         if req.path == "/v1/load":
-            await _json(responder, engine.report(now))
+            await _send_json(responder, engine.report(now))
         elif req.path == "/v1/cache-events":
             after = int(req.query.get("after", 0))
-            await _json(responder, engine.cache.events(after, now))
+            await _send_json(responder, engine.cache.events(after, now))
         elif req.path.startswith("/v1/kv/"):
             tokens = engine.export_kv(req.path.removeprefix("/v1/kv/"))
             status = STATUS_OK if tokens is not None else STATUS_NOT_FOUND
@@ -89,11 +89,11 @@
                 engine.tokens_made,
                 int(engine.tokens_prefilled),
             )
-            await _json(responder, counts)
+            await _send_json(responder, counts)
         else:
             await responder.full(STATUS_NOT_FOUND, JSON_TYPE, b"{}")
 
-    async def _order(self, req: HttpRequest, responder: Responder) -> None:
+    async def _handle_order(self, req: HttpRequest, responder: Responder) -> None:
         order = msgspec.json.decode(req.body, type=Order)
         status = STATUS_OK
         try:
@@ -104,10 +104,10 @@
             status = STATUS_BUSY
         except TargetRefusedError:
             status = STATUS_REFUSED
-        self._runner.poke()
+        self._runner.notify()
         await responder.full(status, JSON_TYPE, b"{}")
 
-    async def _generate(self, req: HttpRequest, responder: Responder) -> None:
+    async def _handle_generate(self, req: HttpRequest, responder: Responder) -> None:
         call = msgspec.json.decode(req.body, type=EngineCall)
         if call.kv is not None and not await self._fetch_kv(call.kv):
             await responder.full(STATUS_REFUSED, JSON_TYPE, b"{}")
@@ -135,21 +135,21 @@
     async def _stream(self, reader: StreamReader, responder: Responder) -> None:
         await responder.start(STATUS_OK, LINES_TYPE)
         script = self._engine.script
-        sent = 0
+        sent_tokens = 0
         try:
             async for chunks in reader.batches():
                 for chunk in chunks:
-                    sent += len(chunk.texts)
-                    await responder.send(self._line(chunk))
+                    sent_tokens += len(chunk.texts)
+                    await responder.send(self._chunk_line(chunk))
                     if script.repeat_chunks:
-                        await responder.send(self._line(chunk))
-                if script.cut_after_tokens and sent >= script.cut_after_tokens:
+                        await responder.send(self._chunk_line(chunk))
+                if script.cut_after_tokens and sent_tokens >= script.cut_after_tokens:
                     return
         except TargetBrokenError:
             return
         await responder.end()
 
-    def _line(self, chunk: EngineChunk) -> bytes:
+    def _chunk_line(self, chunk: EngineChunk) -> bytes:
         if self._engine.script.nonsense:
             return b"not a chunk\n"
         if self._engine.script.wrong_attempt:
@@ -157,5 +157,5 @@
         return msgspec.json.encode(chunk) + b"\n"
 
 
-async def _json(responder: Responder, value: object) -> None:
+async def _send_json(responder: Responder, value: object) -> None:
     await responder.full(STATUS_OK, JSON_TYPE, msgspec.json.encode(value))
--- a/berylshift/stand_ins/engine_stream.py
+++ b/berylshift/stand_ins/engine_stream.py
@@ -1,4 +1,4 @@
-"""One attempt at the stand-in engine."""
+"""The output stream of one attempt at the fake engine."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class StreamState(Enum):
-    """Where a stream stands."""
+    """The state of a stream."""
 
     WAITING = "waiting"
     IMPORTING = "importing"
@@ -20,28 +20,30 @@
 
 @dataclass
 class Stream:
-    """One attempt at the engine, with the chunks not yet taken by its reader."""
+    """One attempt at the engine, with the chunks that its reader has not fetched."""
 
     call: EngineCall
     seed: int
-    total: int
-    uncached: int
-    hashes: list[int]
-    produced: int
-    kv_size: int
+    total_tokens: int
+    uncached_tokens: int
+    block_hashes: list[int]
+    produced_tokens: int
+    kv_tokens: int
     wake: Callable[[], None]
     ready_at: float = 0.0
     state: StreamState = StreamState.WAITING
     outbox: list[EngineChunk] = field(default_factory=list)
-    sent: int = 0
+    sent_tokens: int = 0
 
     def flush(self) -> None:
-        """Move the produced tokens to the outbox."""
-        if self.produced > self.sent:
-            texts = token_texts(self.seed, self.sent, self.produced - self.sent)
-            self.outbox.append(EngineChunk(self.call.attempt, self.sent, texts))
-            self.sent = self.produced
-        if self.produced == self.total and not self.call.prefill_only:
+        """Move the produced tokens to the outbox; end a stream that has all of them."""
+        if self.produced_tokens > self.sent_tokens:
+            texts = token_texts(
+                self.seed, self.sent_tokens, self.produced_tokens - self.sent_tokens
+            )
+            self.outbox.append(EngineChunk(self.call.attempt, self.sent_tokens, texts))
+            self.sent_tokens = self.produced_tokens
+        if self.produced_tokens == self.total_tokens and not self.call.prefill_only:
             self.state = StreamState.ENDED
-            self.outbox.append(EngineChunk(self.call.attempt, end=self.total))
+            self.outbox.append(EngineChunk(self.call.attempt, end=self.total_tokens))
         self.wake()
--- a/berylshift/stand_ins/memory_targets.py
+++ b/berylshift/stand_ins/memory_targets.py
@@ -77,7 +77,7 @@
         except TargetNotReachedError:
             return
         runner.engine.cancel(attempt, trio.current_time())
-        runner.poke()
+        runner.notify()
 
     async def report(self, address: str) -> LoadReport:
         """Return the engine's load report."""
@@ -88,7 +88,7 @@
         """Have an order carried out."""
         runner = await self._reach(address)
         runner.engine.order(order, trio.current_time())
-        runner.poke()
+        runner.notify()
         if not await self._network.hop(runner.engine.name, self._host):
             raise TargetBrokenError("the answer was lost")
 
--- a/berylshift/tests/order_simulation.py
+++ b/berylshift/tests/order_simulation.py
@@ -341,7 +341,7 @@
 
     def check(self) -> None:
         """Check the invariants as seen by the engine."""
-        numbers = [order.number for order in self.engine.orders_taken]
+        numbers = [order.number for order in self.engine.accepted_orders]
         assert self.engine.conflicts == 0, "two conflicting orders at once"
         assert numbers == sorted(numbers), f"an old order after a new one: {numbers}"
         holders = [p.host for p in self.contenders if p.lease.holds(self.now)]
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -124,7 +124,7 @@
         # Another controller orders the engine to change its role in mid-stream. The
         # broken stream is resumed; the caller sees a pause.
         async def fail(world, engine):
-            engine._begin_change(role_order(Role.MIXED), trio.current_time())
+            engine._start_change(role_order(Role.MIXED), trio.current_time())
 
         self.assert_whole(self.one_call(fail))
 
--- a/berylshift/tests/test_crashing_calls.py
+++ b/berylshift/tests/test_crashing_calls.py
@@ -54,7 +54,7 @@
                 while True:
                     await trio.sleep(CRASH_DELAY_SECONDS)
                     for engine in world.engines.values():
-                        if engine.alive and engine.runs(bad.prompt):
+                        if engine.alive and engine.is_decoding(bad.prompt):
                             crashes.append(engine.name)
                             engine.crash(trio.current_time())
                             nursery.start_soon(restart, engine)
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -10,7 +10,7 @@
 from berylshift.replay.http_fleet import _read_stream
 from berylshift.replay.result import Fate
 from berylshift.settings import Credential
-from berylshift.stand_ins.text import answer_text, make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.tests.support import FLEET, MODEL, VirtualTestCase
 from berylshift.tests.world import SERVICE, run_world
 
@@ -75,7 +75,7 @@
         self.assertEqual(headers["berylshift-outcome"], "complete")
         self.assertTrue(headers["berylshift-request"])
         text = msgspec.json.decode(body)["choices"][0]["text"]
-        self.assertEqual(text, answer_text(prompt, 30))
+        self.assertEqual(text, completion_text(prompt, 30))
 
     def test_stream_ends_with_its_outcome(self):
         prompt = make_prompt("f", "1", 200, 60)
@@ -90,7 +90,7 @@
 
         received = self.with_callers(use)
         self.assertIs(received.fate, Fate.COMPLETE)
-        self.assertEqual(received.text, answer_text(prompt, 256))
+        self.assertEqual(received.text, completion_text(prompt, 256))
 
     def test_unfinished_stream_has_no_end_marker(self):
         # All engines crash in mid-stream and stay down. The last event has the outcome
--- a/berylshift/tests/test_orders.py
+++ b/berylshift/tests/test_orders.py
@@ -153,7 +153,7 @@
         world = OrderWorld(refuses=False)
         self.play(world)
         self.assertEqual(
-            [order.role for order in world.engine.orders_taken], ["prefill"]
+            [order.role for order in world.engine.accepted_orders], ["prefill"]
         )
 
     def test_next_order_is_sent_once_the_paused_process_has_settled(self):
@@ -250,7 +250,7 @@
             for index in range(3):
                 world.tick(index, Role.PREFILL)
         self.assertFalse([p for p in world.contenders if p.lease.holds(world.now)])
-        self.assertEqual(world.engine.orders_taken, [])
+        self.assertEqual(world.engine.accepted_orders, [])
 
     def test_stale_holder_can_not_journal(self):
         world = OrderWorld(refuses=True)
--- a/berylshift/tests/test_process_pools.py
+++ b/berylshift/tests/test_process_pools.py
@@ -306,7 +306,7 @@
                 pool.reconciler.planner = OneChangePlanner(
                     RoleChange("engine-1", Role.PREFILL, "test")
                 )
-            while not world.engines["engine-1"].orders_taken:
+            while not world.engines["engine-1"].accepted_orders:
                 await trio.sleep(0.1)
             holder.kill()
             await trio.sleep(60)
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -11,7 +11,7 @@
     PlainCall,
     PlainEnding,
 )
-from berylshift.stand_ins.text import answer_text, make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.tests.support import (
     FLEET,
     MODEL,
@@ -72,7 +72,7 @@
 
 def wanted(call: ModelCall) -> str:
     """Return the answer that a call must get."""
-    return answer_text(call.prompt, call.max_tokens)
+    return completion_text(call.prompt, call.max_tokens)
 
 
 async def complete(host: VirtualHost, call: ModelCall) -> tuple[Ending, str]:
