--- a/berylshift/stand_ins/__main__.py
+++ b/berylshift/stand_ins/__main__.py
@@ -20,7 +20,7 @@
 from berylshift.stand_ins.engine_costs import EngineCosts
 from berylshift.stand_ins.engine_runner import EngineRunner
 from berylshift.stand_ins.engine_server import EngineServer
-from berylshift.stand_ins.entry_replica import AnyKept, EntryReplica
+from berylshift.stand_ins.entry_replica import EntryReplica, PermissiveFleetState
 from berylshift.stand_ins.fake_engine import FakeEngine
 from berylshift.stand_ins.fake_platform import FakePlatform, PlatformScript
 from berylshift.stand_ins.fake_service import FakeService
@@ -95,13 +95,13 @@
         """Serve until SIGTERM, or until a request crashes the process."""
         phase = EnginePhase(self.option("phase"))
         instance = self.option("name")
-        kept = AnyKept(on_crash=lambda: os._exit(EXIT_CRASHED))
+        fleet_state = PermissiveFleetState(on_crash=lambda: os._exit(EXIT_CRASHED))
         if self.option("crashes-on"):
-            kept.crashing.add(self.option("crashes-on"))
+            fleet_state.crash_paths.add(self.option("crashes-on"))
         trio.run(
             serve_connections,
             self.option("address"),
-            lambda address: EntryReplica(instance, address, kept, phase).serve,
+            lambda address: EntryReplica(instance, address, fleet_state, phase).serve,
         )
         return 0
 
--- a/berylshift/stand_ins/entry_replica.py
+++ b/berylshift/stand_ins/entry_replica.py
@@ -1,6 +1,7 @@
-"""A replica that speaks the platform's protocol, with scripted faults.
+"""A fake replica that speaks the platform's protocol, with scripted faults.
 
-It serves plain calls and streams, reads prompts apart, and keeps a record of what ran.
+It serves plain calls and streams, runs disaggregated prefills, and records the requests
+that ran.
 """
 
 from collections.abc import Callable
@@ -16,19 +17,19 @@
 from berylshift.stand_ins.pipes import Pipe
 
 READ_BYTES = 65536
-# Not the platform's: tells a test which requests have run here.
+# Not part of the platform's protocol: returns the requests that ran, for tests.
 RUNS_PATH = "/stand-in/runs"
 WRONG_INSTANCE = 421
 
 
-# A late answer comes when its connection is idle again.
-LATE_SECONDS = 0.05
-# From the beginning of a run until it ends its replica.
-CRASH_SECONDS = 0.05
+# An unsolicited response is sent after this delay, when the connection is idle again.
+LATE_RESPONSE_DELAY_SECONDS = 0.05
+# Time from the start of a run until it crashes its replica.
+CRASH_DELAY_SECONDS = 0.05
 
 
 class Fault(StrEnum):
-    """What goes wrong with a request."""
+    """A fault injected into the handling of a request."""
 
     REFUSE = "refuse"
     RESET = "reset"
@@ -46,7 +47,7 @@
 
 
 class PhaseBody(msgspec.Struct):
-    """The part of an order that concerns the phase."""
+    """The fields of an order that set the phase."""
 
     phase: str
     fencing_token: int
@@ -55,19 +56,19 @@
 
 @dataclass
 class Run:
-    """One request that began to run."""
+    """One request whose execution started."""
 
     request: str
     headers: dict[bytes, bytes]
     body: bytes
     started: float
     ended: float | None = None
-    whole: bool = False
+    completed: bool = False
 
 
 @dataclass
 class Arrival:
-    """A call that reached a replica, whatever it asks for."""
+    """A call of any kind that reached a replica."""
 
     at: float
     host: str
@@ -75,7 +76,7 @@
 
 @dataclass
 class Backoff:
-    """A host was turned away and asked to send nothing for ``seconds``."""
+    """A rejection that asked a host to send nothing for ``seconds``."""
 
     host: str
     at: float
@@ -84,7 +85,7 @@
 
 @dataclass
 class Crash:
-    """A replica that ended, and when; ``path``: of the request that ended it."""
+    """A replica crash; ``path`` is that of the request that caused it."""
 
     address: str
     path: str
@@ -92,83 +93,83 @@
 
 
 @dataclass
-class Kept:
-    """What all replicas of a stand-in fleet share.
+class FleetState:
+    """State that all replicas of a fake fleet share.
 
-    KV caches by handle; ``crashing`` are the paths of requests that end each replica
-    which begins to run them.
+    ``handles`` maps KV cache handles to their owners; ``crash_paths`` are the paths of
+    requests that crash each replica on which they start to run.
     """
 
     handles: dict[str, str] = field(default_factory=dict)
     released: list[str] = field(default_factory=list)
-    crashing: set[str] = field(default_factory=set)
+    crash_paths: set[str] = field(default_factory=set)
     crashes: list[Crash] = field(default_factory=list)
-    # Called as a replica ends; a process of its own ends here.
+    # Called when a replica crashes; a replica in its own process exits here.
     on_crash: Callable[[], None] = lambda: None
 
 
-class AnyKept(Kept):
-    """Takes every handle: replicas in processes of their own share no memory."""
+class PermissiveFleetState(FleetState):
+    """Accepts every handle: replicas in separate processes share no memory."""
 
     def __init__(self, on_crash: Callable[[], None] = lambda: None) -> None:
-        """Hand out each handle as if it were kept."""
+        """Treat each handle as one of a cached prefill."""
         super().__init__(handles=_AnyHandle(), on_crash=on_crash)
 
 
 class _AnyHandle(dict):
-    """Has every handle once it is asked for."""
+    """A dictionary whose ``pop`` finds every handle."""
 
     def pop(self, handle: str, default=None) -> str:
-        """Return an engine for any handle."""
+        """Return the owner of any handle."""
         return super().pop(handle, "elsewhere")
 
 
 class EntryReplica:
-    """One replica; ``faults`` are used up one a request."""
+    """One replica; each request consumes one of ``faults``."""
 
     def __init__(
         self,
         instance: str,
         address: str,
-        kept: Kept | None = None,
+        fleet_state: FleetState | None = None,
         phase: EnginePhase = EnginePhase.NONE,
     ):
-        """Answer as ``instance`` at ``address``."""
+        """Respond as ``instance`` at ``address``."""
         self.instance = instance
         self.address = address
         self.phase = phase
-        self.kept = kept or Kept()
+        self.fleet_state = fleet_state or FleetState()
         self.faults: list[Fault] = []
         self.runs: list[Run] = []
         self.arrivals: list[str] = []
-        self.reads: list[str] = []
-        self.read_headers: list[dict[bytes, bytes]] = []
+        self.prefills: list[str] = []
+        self.prefill_headers: list[dict[bytes, bytes]] = []
         self.orders: list[PhaseBody] = []
         self.work_seconds = 0.02
-        self.read_seconds = 0.05
-        self.pieces = 4
-        self.piece_seconds = 0.05
+        self.prefill_seconds = 0.05
+        self.event_count = 4
+        self.event_seconds = 0.05
         self.alive = True
         self.started_ms: int | None = None
-        self.loses_caches = False
+        self.drops_kv_caches = False
         self.connections = 0
         self.open_sessions: set[_Session] = set()
         self.body_bytes = 0
-        self.read_pause = 0.0
-        # Requests a second that its answers name as its limit.
+        self.body_read_delay_seconds = 0.0
+        # Rate limit that its responses announce, in requests a second.
         self.rate_limit: float | None = None
         self.calls: list[Arrival] = []
-        # When each host was first told of the limit.
-        self.told_limit: dict[str, float] = {}
-        # Seconds for which it asks a host that it turns away to send nothing.
+        # When the limit was first sent to each host.
+        self.rate_limit_sent_at: dict[str, float] = {}
+        # If set, it rejects requests and asks hosts to send nothing for that long.
         self.retry_after: float | None = None
         self.backoffs: list[Backoff] = []
-        # Whether its answers say that it leaves, and when each host was first told.
-        self.says_leaving = False
-        self.told_leaving: dict[str, float] = {}
+        # Whether its responses announce draining, and when each host first got that.
+        self.announces_draining = False
+        self.draining_sent_at: dict[str, float] = {}
 
     async def serve(self, stream: trio.abc.Stream, host: str = "") -> None:
-        """Serve one connection of ``host`` until either side ends it."""
+        """Serve one connection of ``host`` until either side closes it."""
         self.connections += 1
         session = _Session(self, stream, host)
         self.open_sessions.add(session)
@@ -186,30 +187,30 @@
             await trio.aclose_forcefully(stream)
 
     async def crash(self, path: str) -> None:
-        """End at once, with all that runs here."""
+        """Crash: reset all connections, with the requests that run on them."""
         if not self.alive:
             return
         self.alive = False
-        self.kept.on_crash()
-        self.kept.crashes.append(Crash(self.address, path, trio.current_time()))
+        self.fleet_state.on_crash()
+        self.fleet_state.crashes.append(Crash(self.address, path, trio.current_time()))
         for session in list(self.open_sessions):
             await session.reset()
 
-    def start_again(self, started_ms: int) -> None:
-        """Start anew under the same name, knowing nothing of before."""
+    def restart(self, started_ms: int) -> None:
+        """Restart under the same name, without orders and KV caches."""
         self.started_ms = started_ms
         self.orders.clear()
-        for handle, owner in list(self.kept.handles.items()):
+        for handle, owner in list(self.fleet_state.handles.items()):
             if owner == self.instance:
-                del self.kept.handles[handle]
+                del self.fleet_state.handles[handle]
 
-    def take_fault(self) -> Fault | None:
-        """Return the next request's fault."""
+    def next_fault(self) -> Fault | None:
+        """Return and consume the next request's fault."""
         return self.faults.pop(0) if self.faults else None
 
 
 class _Session:
-    """One connection."""
+    """One connection to a replica."""
 
     def __init__(self, replica: EntryReplica, stream: trio.abc.Stream, host: str):
         self.replica = replica
@@ -219,18 +220,18 @@
         self.path = ""
 
     async def serve_one(self) -> bool:
-        """Serve one request; return whether the connection goes on."""
-        head = await self._event()
+        """Serve one request; return whether the connection stays open."""
+        head = await self._next_event()
         if not isinstance(head, h11.Request) or not self.replica.alive:
             return False
         headers = dict(head.headers)
         self.path = path = head.target.decode()
-        fault = None if path.startswith("/v1/") else self.replica.take_fault()
+        fault = None if path.startswith("/v1/") else self.replica.next_fault()
         if fault is Fault.EARLY:
-            await self._answer(413, b"too long", headers)
+            await self._send_response(413, b"too long", headers)
             await trio.sleep(0.2)
         if fault is Fault.RESET_EARLY:
-            await self._event()
+            await self._next_event()
             await self.reset()
             return False
         body = await self._read_body()
@@ -243,37 +244,42 @@
 
     async def _read_body(self) -> bytes:
         body = b""
-        while isinstance(event := await self._event(), h11.Data):
+        while isinstance(event := await self._next_event(), h11.Data):
             body += bytes(event.data)
             self.replica.body_bytes += len(event.data)
-            await trio.sleep(self.replica.read_pause)
+            await trio.sleep(self.replica.body_read_delay_seconds)
         if not isinstance(event, h11.EndOfMessage):
-            raise trio.BrokenResourceError("the body broke off")
+            raise trio.BrokenResourceError("request body ended early")
         return body
 
     async def _route(self, head, headers, body: bytes, fault) -> None:
         path = head.target.decode()
-        named = headers.get(names.TARGET_INSTANCE)
-        if named is not None and named.decode() != self.replica.instance:
-            await self._answer(WRONG_INSTANCE, b"", headers, signed=False)
+        requested_instance = headers.get(names.TARGET_INSTANCE)
+        if (
+            requested_instance is not None
+            and requested_instance.decode() != self.replica.instance
+        ):
+            await self._send_response(WRONG_INSTANCE, b"", headers, signed=False)
             return
         self.replica.calls.append(Arrival(trio.current_time(), self.host))
         if path.startswith(names.KV_HANDLE_PATH):
             handle = path.removeprefix(names.KV_HANDLE_PATH)
-            self.replica.kept.handles.pop(handle, None)
-            self.replica.kept.released.append(handle)
-            await self._answer(200, b"", headers, signed=False)
+            self.replica.fleet_state.handles.pop(handle, None)
+            self.replica.fleet_state.released.append(handle)
+            await self._send_response(200, b"", headers, signed=False)
         elif path == RUNS_PATH:
             runs = [run.request for run in self.replica.runs]
-            await self._answer(200, msgspec.json.encode(runs), headers, signed=False)
+            await self._send_response(
+                200, msgspec.json.encode(runs), headers, signed=False
+            )
         elif path == names.REPORT_PATH.decode():
-            await self._report(headers)
+            await self._send_report(headers)
         elif path == names.ORDER_PATH.decode():
-            await self._order(headers, body)
+            await self._handle_order(headers, body)
         else:
             await self._request(headers, body, fault)
 
-    async def _report(self, headers) -> None:
+    async def _send_report(self, headers) -> None:
         report = {
             "phase": self.replica.phase,
             "busy": False,
@@ -281,180 +287,195 @@
         }
         if self.replica.started_ms is not None:
             report["born"] = self.replica.started_ms
-        await self._answer(200, msgspec.json.encode(report), headers, signed=False)
+        await self._send_response(
+            200, msgspec.json.encode(report), headers, signed=False
+        )
 
-    async def _order(self, headers, body: bytes) -> None:
+    async def _handle_order(self, headers, body: bytes) -> None:
         order = msgspec.json.decode(body, type=PhaseBody)
         if order.precondition not in (None, len(self.replica.orders)):
-            await self._answer(409, b"", headers, signed=False)
+            await self._send_response(409, b"", headers, signed=False)
             return
         self.replica.orders.append(order)
         self.replica.phase = EnginePhase(order.phase)
-        await self._answer(202, b"", headers, signed=False)
+        await self._send_response(202, b"", headers, signed=False)
 
     async def _request(self, headers, body: bytes, fault) -> None:
         request = headers.get(names.ATTEMPT_ID, b"").decode()
         self.replica.arrivals.append(request)
         if self.replica.retry_after is not None:
-            await self._ask_to_back_off(headers, self.replica.retry_after)
+            await self._request_backoff(headers, self.replica.retry_after)
         elif fault is Fault.REFUSE:
-            await self._answer(
-                503, b"", headers, signed=False, more=[(names.NOT_RUN, b"1")]
+            await self._send_response(
+                503, b"", headers, signed=False, extra_headers=[(names.NOT_RUN, b"1")]
             )
         elif headers.get(names.PHASE) == b"prefill":
-            await self._prefill(request, headers, fault)
-        elif not self._takes_source(headers):
-            await self._answer(
-                503, b"", headers, signed=False, more=[(names.NOT_RUN, b"1")]
+            await self._run_prefill(request, headers, fault)
+        elif not self._claim_kv_source(headers):
+            await self._send_response(
+                503, b"", headers, signed=False, extra_headers=[(names.NOT_RUN, b"1")]
             )
         else:
             await self._run(request, headers, body, fault)
 
-    async def _ask_to_back_off(self, headers, seconds: float) -> None:
+    async def _request_backoff(self, headers, seconds: float) -> None:
         backoff = Backoff(self.host, trio.current_time(), seconds)
         self.replica.backoffs.append(backoff)
-        more = [(names.NOT_RUN, b"1"), (b"retry-after", b"%.1f" % seconds)]
-        await self._answer(503, b"", headers, signed=False, more=more)
+        extra_headers = [(names.NOT_RUN, b"1"), (b"retry-after", b"%.1f" % seconds)]
+        await self._send_response(
+            503, b"", headers, signed=False, extra_headers=extra_headers
+        )
 
-    def _takes_source(self, headers) -> bool:
+    def _claim_kv_source(self, headers) -> bool:
         source = headers.get(names.KV_SOURCE)
         if source is None:
             return True
         handle = source.decode().rpartition("/")[2]
-        return self.replica.kept.handles.pop(handle, None) is not None
+        return self.replica.fleet_state.handles.pop(handle, None) is not None
 
-    async def _prefill(self, request: str, headers, fault) -> None:
-        await self._break(fault)
-        self.replica.reads.append(request)
-        self.replica.read_headers.append(headers)
-        await trio.sleep(self.replica.read_seconds)
+    async def _run_prefill(self, request: str, headers, fault) -> None:
+        await self._apply_connection_fault(fault)
+        self.replica.prefills.append(request)
+        self.replica.prefill_headers.append(headers)
+        await trio.sleep(self.replica.prefill_seconds)
         handle = f"kv-{request}-{len(self.replica.arrivals)}"
-        if not self.replica.loses_caches:
-            self.replica.kept.handles[handle] = self.replica.instance
+        if not self.replica.drops_kv_caches:
+            self.replica.fleet_state.handles[handle] = self.replica.instance
         body = msgspec.json.encode({"kv_handle": handle, "tokens": 1, "version": 1})
-        await self._answer(200, body, headers, signed=False)
+        await self._send_response(200, body, headers, signed=False)
 
     async def _run(self, request: str, headers, body: bytes, fault) -> None:
         run = Run(request, headers, body, trio.current_time())
         self.replica.runs.append(run)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._watch, nursery.cancel_scope)
+            nursery.start_soon(self._cancel_on_disconnect, nursery.cancel_scope)
             try:
-                await self._break(fault)
-                if self.path in self.replica.kept.crashing:
-                    await trio.sleep(CRASH_SECONDS)
+                await self._apply_connection_fault(fault)
+                if self.path in self.replica.fleet_state.crash_paths:
+                    await trio.sleep(CRASH_DELAY_SECONDS)
                     await self.replica.crash(self.path)
                 if b"x-pieces" in headers:
-                    await self._stream(headers, fault)
+                    await self._send_stream(headers, fault)
                 else:
-                    await self._plain(headers, fault)
-                run.whole = True
+                    await self._send_plain(headers, fault)
+                run.completed = True
             finally:
                 run.ended = trio.current_time()
             nursery.cancel_scope.cancel()
 
-    async def _watch(self, scope: trio.CancelScope) -> None:
-        """Drop the request when its connection closes."""
+    async def _cancel_on_disconnect(self, scope: trio.CancelScope) -> None:
+        """Cancel the request when its connection closes."""
         while data := await self._receive():
             self.conn.receive_data(data)
         scope.cancel()
 
-    async def _break(self, fault) -> None:
+    async def _apply_connection_fault(self, fault) -> None:
         if fault is Fault.MUTE:
             await trio.sleep_forever()
         if fault is Fault.RESET:
             await self.reset()
-            raise trio.BrokenResourceError("reset")
+            raise trio.BrokenResourceError("connection reset")
 
     async def reset(self) -> None:
-        """Break the connection; over TCP a plain close stands for it."""
+        """Reset the connection; over TCP it is closed instead."""
         if isinstance(self.stream, Pipe):
             self.stream.reset()
         else:
             await trio.aclose_forcefully(self.stream)
 
-    async def _plain(self, headers, fault) -> None:
+    async def _send_plain(self, headers, fault) -> None:
         await trio.sleep(self.replica.work_seconds)
         body = b"body of " + headers[names.ATTEMPT_ID]
         if fault is Fault.ERROR:
-            await self._answer(500, b"failed", headers)
+            await self._send_response(500, b"failed", headers)
         elif fault is Fault.UNSIGNED:
-            await self._answer(200, body, headers, signed=False)
+            await self._send_response(200, body, headers, signed=False)
         elif fault is Fault.ENCODED:
-            await self._answer(
-                200, body, headers, more=[(b"content-encoding", b"gzip")]
+            await self._send_response(
+                200, body, headers, extra_headers=[(b"content-encoding", b"gzip")]
             )
         elif fault in (Fault.CUT, Fault.UNFRAMED_RESET, Fault.UNFRAMED):
-            await self._broken_plain(body, headers, fault)
+            await self._send_malformed(body, headers, fault)
         else:
-            await self._answer(200, body, headers)
+            await self._send_response(200, body, headers)
         if fault is Fault.EXTRA:
-            await trio.sleep(LATE_SECONDS)
-            await self.stream.send_all(_late_answer())
+            await trio.sleep(LATE_RESPONSE_DELAY_SECONDS)
+            await self.stream.send_all(_unsolicited_response())
 
-    async def _broken_plain(self, body: bytes, headers, fault) -> None:
-        """Answer with a wrong length, or with none, in bytes of our own."""
+    async def _send_malformed(self, body: bytes, headers, fault) -> None:
+        """Send a response with a wrong content length, or with none, as raw bytes."""
         lines = [b"HTTP/1.1 200 OK", b"connection: close"]
-        lines += [name + b": " + value for name, value in self._headers(headers, True)]
+        lines += [
+            name + b": " + value
+            for name, value in self._response_headers(headers, True)
+        ]
         if fault is Fault.CUT:
             lines.append(b"content-length: 999")
         await self.stream.send_all(b"\r\n".join(lines) + b"\r\n\r\n" + body)
         await trio.sleep(0.01)
         if fault is Fault.UNFRAMED_RESET:
             await self.reset()
-        raise trio.BrokenResourceError("ends here")
+        raise trio.BrokenResourceError("malformed response sent")
 
-    async def _stream(self, headers, fault) -> None:
+    async def _send_stream(self, headers, fault) -> None:
         first = int(headers.get(names.LAST_EVENT_ID, b"0")) + 1
-        pieces = int(headers[b"x-pieces"])
-        head = h11.Response(status_code=200, headers=self._headers(headers, True))
-        await self._send(head)
-        for number in range(first, pieces + 1):
-            await trio.sleep(self.replica.piece_seconds)
+        event_count = int(headers[b"x-pieces"])
+        head = h11.Response(
+            status_code=200, headers=self._response_headers(headers, True)
+        )
+        await self._send_event(head)
+        for number in range(first, event_count + 1):
+            await trio.sleep(self.replica.event_seconds)
             event = b"id: %d\ndata: piece-%d\n\n" % (number, number)
             if fault is Fault.HALF_EVENT and number == 3:
-                await self._send(h11.Data(data=event[:-6]))
+                await self._send_event(h11.Data(data=event[:-6]))
             if fault in (Fault.CUT, Fault.HALF_EVENT) and number == 3:
                 await trio.sleep(0.01)
                 await self.reset()
-                raise trio.BrokenResourceError("cut")
-            await self._send(h11.Data(data=event))
-        await self._send(h11.EndOfMessage())
+                raise trio.BrokenResourceError("stream cut")
+            await self._send_event(h11.Data(data=event))
+        await self._send_event(h11.EndOfMessage())
 
-    def _headers(self, headers, signed: bool) -> list:
-        found = [(names.ATTEMPT_ID, headers.get(names.ATTEMPT_ID, b""))]
-        found.append((names.LOAD, b"1,0,8"))
+    def _response_headers(self, headers, signed: bool) -> list:
+        response_headers = [(names.ATTEMPT_ID, headers.get(names.ATTEMPT_ID, b""))]
+        response_headers.append((names.LOAD, b"1,0,8"))
         if signed:
-            found.append(
+            response_headers.append(
                 (names.SIGNATURE, b"signed-by-" + self.replica.instance.encode())
             )
         if self.replica.rate_limit is not None:
-            found.append((names.RATE_LIMIT, b"%.2f" % self.replica.rate_limit))
-            self.replica.told_limit.setdefault(self.host, trio.current_time())
-        if self.replica.says_leaving:
-            found.append((names.LEAVING, b"1"))
-            self.replica.told_leaving.setdefault(self.host, trio.current_time())
-        return found
-
-    async def _answer(
-        self, status: int, body: bytes, headers, signed: bool = True, more=()
+            response_headers.append(
+                (names.RATE_LIMIT, b"%.2f" % self.replica.rate_limit)
+            )
+            self.replica.rate_limit_sent_at.setdefault(self.host, trio.current_time())
+        if self.replica.announces_draining:
+            response_headers.append((names.LEAVING, b"1"))
+            self.replica.draining_sent_at.setdefault(self.host, trio.current_time())
+        return response_headers
+
+    async def _send_response(
+        self, status: int, body: bytes, headers, signed: bool = True, extra_headers=()
     ) -> None:
         framing = [(b"content-length", b"%d" % len(body))]
         head = h11.Response(
             status_code=status,
-            headers=[*self._headers(headers, signed), *more, *framing],
+            headers=[
+                *self._response_headers(headers, signed),
+                *extra_headers,
+                *framing,
+            ],
         )
-        await self._send(head)
+        await self._send_event(head)
         if body:
-            await self._send(h11.Data(data=body))
-        await self._send(h11.EndOfMessage())
+            await self._send_event(h11.Data(data=body))
+        await self._send_event(h11.EndOfMessage())
 
-    async def _send(self, event: h11.Event) -> None:
+    async def _send_event(self, event: h11.Event) -> None:
         data = self.conn.send(event)
         if data:
             await self.stream.send_all(data)
 
-    async def _event(self):
+    async def _next_event(self):
         while True:
             event = self.conn.next_event()
             if event is not h11.NEED_DATA:
@@ -468,8 +489,8 @@
             return b""
 
 
-def _late_answer() -> bytes:
-    """Return a second answer, to a request that nobody waits for any more."""
+def _unsolicited_response() -> bytes:
+    """Return a response to a request that is not open on the connection."""
     body = b"another's"
     head = (
         "HTTP/1.1 200 OK\r\n"
--- a/berylshift/tests/crash_scenario.py
+++ b/berylshift/tests/crash_scenario.py
@@ -75,12 +75,14 @@
     @property
     def crashes(self) -> int:
         """Return how many replicas crashed during the request."""
-        return len(self.world.kept.crashes)
+        return len(self.world.fleet_state.crashes)
 
     @property
     def sends_after(self) -> int:
         """Return the sends that hosts should have prevented."""
         if self.crashes < MAX_CRASHES:
             return 0
-        quarantined_at = self.world.kept.crashes[MAX_CRASHES - 1].at + STABLE_SECONDS
+        quarantined_at = (
+            self.world.fleet_state.crashes[MAX_CRASHES - 1].at + STABLE_SECONDS
+        )
         return sum(at > quarantined_at for at in self.sends)
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -24,7 +24,7 @@
 from berylshift.platform.engines import PlatformEngines
 from berylshift.platform.exchange import PlatformCodec
 from berylshift.settings import parse_settings
-from berylshift.stand_ins.entry_replica import EntryReplica, Kept
+from berylshift.stand_ins.entry_replica import EntryReplica, FleetState
 from berylshift.stand_ins.fake_directory import (
     FakeCrashRows,
     FakeDirectory,
@@ -152,7 +152,7 @@
     replicas: dict[str, EntryReplica] = field(default_factory=dict)
     hosts: list[EntryApplication] = field(default_factory=list)
     links: list[MemoryLink] = field(default_factory=list)
-    kept: Kept = field(default_factory=Kept)
+    fleet_state: FleetState = field(default_factory=FleetState)
     dark: set[str] = field(default_factory=set)
     dials: int = 0
     dialed: list[str] = field(default_factory=list)
@@ -166,7 +166,7 @@
     ) -> EntryReplica:
         """Start a replica and list it."""
         address = address or f"10.0.0.{len(self.replicas) + 1}:80"
-        replica = EntryReplica(name, address, self.kept, phase)
+        replica = EntryReplica(name, address, self.fleet_state, phase)
         self.replicas[address] = replica
         self.list_replica(replica, service)
         return replica
@@ -196,9 +196,9 @@
         after its end.
         """
         for number in itertools.count():
-            while number >= len(self.kept.crashes):
+            while number >= len(self.fleet_state.crashes):
                 await trio.sleep(0.01)
-            crash = self.kept.crashes[number]
+            crash = self.fleet_state.crashes[number]
             ended = self.replicas[crash.address]
             self.nursery.start_soon(self._lapse, ended.instance, lapse_seconds)
             self.nursery.start_soon(self._start_anew, ended, number, seconds)
@@ -212,7 +212,7 @@
     ) -> None:
         await trio.sleep(seconds)
         name = f"{ended.instance.partition('-again')[0]}-again-{number}"
-        fresh = EntryReplica(name, ended.address, self.kept, ended.phase)
+        fresh = EntryReplica(name, ended.address, self.fleet_state, ended.phase)
         self.replicas[ended.address] = fresh
         plain = ended.phase is EnginePhase.NONE
         self.list_replica(fresh, PLAIN if plain else ENGINES)
--- a/berylshift/tests/ledger_play.py
+++ b/berylshift/tests/ledger_play.py
@@ -195,7 +195,7 @@
         """Have replicas take another time for their work."""
         for replica in self.world.replicas.values():
             replica.work_seconds = self.rng.choice([0.005, 0.05, 0.3, 1.0])
-            replica.piece_seconds = self.rng.choice([0.005, 0.05, 0.2])
+            replica.event_seconds = self.rng.choice([0.005, 0.05, 0.2])
 
     async def _stop(self, process: HostProcess) -> None:
         """Stop a host at some time; a new one takes its place."""
--- a/berylshift/tests/limit_load.py
+++ b/berylshift/tests/limit_load.py
@@ -27,7 +27,7 @@
 
 def max_from_informed(replica: EntryReplica) -> int:
     """Return the most requests in a window, from hosts that knew of the limit."""
-    informed_at = replica.told_limit
+    informed_at = replica.rate_limit_sent_at
     times = [
         call.at
         for call in replica.calls
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -118,7 +118,7 @@
 
         async def task(world):
             reader, first, second = list(world.replicas.values())
-            reader.read_seconds = 1.5
+            reader.prefill_seconds = 1.5
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers())
             await trio.sleep(0.3)
--- a/berylshift/tests/test_entry_crashing_requests.py
+++ b/berylshift/tests/test_entry_crashing_requests.py
@@ -20,7 +20,7 @@
 async def run_stream(world, path: str, pause: float = 0.5) -> CrashScenario:
     """Run a stream that crashes engines, among other streams."""
     scenario = CrashScenario(world, path, headers=prompt_headers(part="bad"))
-    world.kept.crashing.add(path)
+    world.fleet_state.crash_paths.add(path)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(scenario.watch_sends)
         nursery.start_soon(world.restart_crashed, RESTART_SECONDS, ENTRY_TTL_SECONDS)
@@ -73,8 +73,8 @@
 
         async def task(world):
             for replica in world.replicas.values():
-                replica.read_seconds = 0.4
-            world.kept.crashing.add("/note/bad")
+                replica.prefill_seconds = 0.4
+            world.fleet_state.crash_paths.add("/note/bad")
             replies = []
 
             async def ask(number):
@@ -87,7 +87,7 @@
                 for number in range(4):
                     nursery.start_soon(ask, number)
                     await trio.sleep(0.15)
-            return len(world.kept.crashes), replies
+            return len(world.fleet_state.crashes), replies
 
         crashes, replies = run_entry(task, hosts=2, plain=0, engines="ppppdddd")
         self.assertEqual((crashes, replies), (2, [502, 502, 503, 503]))
@@ -165,7 +165,7 @@
     def check(self, path: str, method: str) -> CrashScenario:
         async def task(world):
             scenario = CrashScenario(world, path, method)
-            world.kept.crashing.add(path)
+            world.fleet_state.crash_paths.add(path)
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(scenario.watch_sends)
                 nursery.start_soon(
--- a/berylshift/tests/test_entry_draining.py
+++ b/berylshift/tests/test_entry_draining.py
@@ -13,7 +13,7 @@
 
 def calls_after(replica: EntryReplica) -> int:
     """Return the calls of hosts that were informed of the drain too long before."""
-    informed_at = replica.told_leaving
+    informed_at = replica.draining_sent_at
     return sum(
         call.at > informed_at.get(call.host, float("inf")) + DRAIN_SECONDS
         for call in replica.calls
@@ -30,7 +30,7 @@
             replica = list(world.replicas.values())[number]
             callers = LimitLoad(world, EVEN)
             await callers.run(path, 20, 2)
-            replica.says_leaving = True
+            replica.announces_draining = True
             await callers.run(path, 20, 6)
             return replica, callers
 
@@ -39,7 +39,7 @@
     def test_a_draining_replica_gets_no_more_requests(self):
         """Guards against draining that is known from the store only."""
         replica, callers = self.play("/look/", 0, plain=3)
-        self.assertEqual(len(replica.told_leaving), 3)
+        self.assertEqual(len(replica.draining_sent_at), 3)
         self.assertEqual(calls_after(replica), 0)
         self.assertEqual(callers.served, len(callers.replies))
 
@@ -64,10 +64,10 @@
 
         async def play(world):
             replica = world.replicas["10.0.0.1:80"]
-            replica.says_leaving = True
+            replica.announces_draining = True
             callers = LimitLoad(world, (1,))
             await callers.run("/look/", 20, 1)
-            replica.says_leaving = False
+            replica.announces_draining = False
             world.list_replica(replica, "booking")
             await callers.run("/look/", 20, 5)
             return replica
@@ -77,11 +77,11 @@
     def test_the_next_instance_is_used(self):
         async def play(world):
             replica = world.add_replica("engine-9", ENGINES, "decode")
-            replica.says_leaving = True
+            replica.announces_draining = True
             callers = LimitLoad(world, (1,))
             await callers.run("/note/", 20, 1)
-            replica.says_leaving = False
-            replica.start_again(5)
+            replica.announces_draining = False
+            replica.restart(5)
             world.list_replica(replica, ENGINES)
             before = len(replica.calls)
             await callers.run("/note/", 20, 2)
--- a/berylshift/tests/test_entry_keys.py
+++ b/berylshift/tests/test_entry_keys.py
@@ -39,7 +39,7 @@
         for replica in world.replicas.values()
         for head in [
             *(run.headers for run in replica.runs),
-            *replica.read_headers,
+            *replica.prefill_headers,
         ]
     ]
 
@@ -176,7 +176,7 @@
 
         async def task(world):
             prefill_engine, decode_engine = list(world.replicas.values())[-2:]
-            prefill_engine.read_seconds = 1.0
+            prefill_engine.prefill_seconds = 1.0
             link = world.connect()
             await link.send("/brief/x", headers=(*KEY_HEADERS, *prompt_headers()))
             await trio.sleep(0.3)
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -87,7 +87,7 @@
         replicas, load = self.run_limited("/note/", plain=0, engines="ppddd")
         for replica in replicas:
             self.assertLessEqual(max_from_informed(replica), max_allowed(2.6))
-        prefill_count = sum(len(rep.reads) for rep in load.world.replicas.values())
+        prefill_count = sum(len(rep.prefills) for rep in load.world.replicas.values())
         self.assertLessEqual(prefill_count, load.served)
 
 
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -173,7 +173,7 @@
 
         async def before(world):
             for replica in world.replicas.values():
-                replica.piece_seconds = 0.9 * timeout / 10
+                replica.event_seconds = 0.9 * timeout / 10
             # A host that is kept busy does not fall quiet before the stop's end.
             link = world.connect()
             headers = prompt_headers(400, shared=0)
@@ -216,7 +216,7 @@
 
         async def before(world):
             for replica in world.replicas.values():
-                replica.piece_seconds = lasting / 10
+                replica.event_seconds = lasting / 10
             links = [world.connect() for _ in range(10)]
             for number, link in enumerate(links):
                 headers = prompt_headers(10, shared=0)
@@ -226,7 +226,7 @@
             for link in links:
                 await link.read()
             for replica in world.replicas.values():
-                replica.piece_seconds = 0.05
+                replica.event_seconds = 0.05
                 replica.work_seconds = 30.0
             # A host that is kept busy does not fall quiet before the stop's end.
             busy = world.connect()
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -71,7 +71,7 @@
             for engine in engines:
                 await self.start(world, engine, FIRST)
             for engine in engines:
-                engine.start_again(SECOND)
+                engine.restart(SECOND)
             with self.assertLogs("berylshift.process.leader_tasks.phase_loop") as logs:
                 world.list_replica(engines[-1], ENGINES, draining=True)
                 await trio.sleep(10)
@@ -84,7 +84,7 @@
 
     async def start(self, world, engine, started_ms: int) -> None:
         """Start an engine, list it, and let the host see it."""
-        engine.start_again(started_ms)
+        engine.restart(started_ms)
         world.list_replica(engine, ENGINES)
         await trio.sleep(SEEN_SECONDS)
 
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -92,7 +92,7 @@
             link = process.connect()
             headers = prompt_headers(4, shared=0)
             for replica in world.replicas.values():
-                replica.piece_seconds = 0.24
+                replica.event_seconds = 0.24
             start = trio.current_time()
             await link.send("/note/x", headers=headers, left_ms=1000)
             self.stall_after(link, b"piece-4", 0.03)
--- a/berylshift/tests/test_request_bodies.py
+++ b/berylshift/tests/test_request_bodies.py
@@ -95,7 +95,7 @@
     def test_slow_replica_applies_backpressure_to_its_caller(self):
         # Without backpressure, a host would buffer the bodies of all such callers.
         async def task(world):
-            only(world).read_pause = 10.0
+            only(world).body_read_delay_seconds = 10.0
             upload = Upload(world.connect())
             await upload.begin("/book/x")
             sent = 0
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -144,7 +144,7 @@
 
         async def task(world):
             for engine in list(world.replicas.values())[-2:]:
-                engine.piece_seconds = 1.0
+                engine.event_seconds = 1.0
             links = await self.streams(world, 8)
             crashed, last = list(world.replicas.values())[-2:]
             before = len(last.runs)
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -245,7 +245,7 @@
                 await world.ask("/note/x", f"r{number}", headers=prompt_headers())
             replicas = list(world.replicas.values())
             arrived = sum(len(replica.arrivals) for replica in replicas)
-            read = {name for replica in replicas for name in replica.reads}
+            read = {name for replica in replicas for name in replica.prefills}
             return arrived - 60 - len(read)
 
         share = USED_FRACTION * (0.2 * 60 + 10)
@@ -276,7 +276,7 @@
             reader, answerer = list(world.replicas.values())
             answerer.faults = [Fault.REFUSE] * 4
             await world.ask("/note/x", headers=prompt_headers())
-            return len(reader.reads)
+            return len(reader.prefills)
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), 1)
 
@@ -288,7 +288,7 @@
             one_refusal = [Fault.REFUSE]
             first.faults = second.faults = one_refusal
             reply = await world.ask("/note/x", headers=prompt_headers())
-            return reply.status, len(reader.reads), world.kept.handles
+            return reply.status, len(reader.prefills), world.fleet_state.handles
 
         status, reads, handles = run_entry(task, plain=0, engines="pdd")
         self.assertEqual((status, reads, handles), (200, 1, {}))
@@ -302,13 +302,13 @@
 
         async def task(world):
             engines = list(world.replicas.values())
-            engines[0].loses_caches = True
+            engines[0].drops_kv_caches = True
             statuses = []
             for number in range(40):
                 headers = prompt_headers(part=f"a{number % 7}")
                 reply = await world.ask("/note/x", f"r{number}", headers=headers)
                 statuses.append(reply.status)
-            return statuses.count(200), len(engines[0].reads)
+            return statuses.count(200), len(engines[0].prefills)
 
         served, lost_reads = run_entry(task, plain=0, engines="ppdd")
         self.assertGreaterEqual(served, 36)
@@ -431,7 +431,7 @@
             await link.close()
             left = trio.current_time()
             await trio.sleep(1)
-            return replica.runs[0].ended - left, replica.runs[0].whole
+            return replica.runs[0].ended - left, replica.runs[0].completed
 
         seconds, whole = run_entry(task, plain=1)
         self.assertLess(seconds, 0.5)
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -66,7 +66,11 @@
     def test_disaggregated_prefill_uses_the_kv_cache(self):
         async def task(world):
             reply = await world.ask("/note/x", headers=prompt_headers())
-            return reply, [len(rep.runs) for rep in world.replicas.values()], world.kept
+            return (
+                reply,
+                [len(rep.runs) for rep in world.replicas.values()],
+                world.fleet_state,
+            )
 
         reply, runs, kept = run_entry(task, plain=0, engines="pd")
         self.assertEqual(reply.body, stream_body(1, 4))
@@ -87,7 +91,7 @@
             await trio.sleep(0.15)
             await link.close()
             await trio.sleep(0.5)
-            return world.kept.handles
+            return world.fleet_state.handles
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), {})
 
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -96,7 +96,7 @@
 
     def test_a_call_to_a_draining_replica_is_rejected(self):
         async def task(client):
-            self.replica.says_leaving = True
+            self.replica.announces_draining = True
             await self.call(client)
             with self.assertRaises(ThrottledError):
                 await self.call(client)
