--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -18,14 +18,14 @@
 from berylshift.platform.engines import PlatformEngines
 from berylshift.settings import parse_settings
 from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import Kept
+from berylshift.stand_ins.entry_replica import FleetState
 from berylshift.stand_ins.fake_directory import FakeCrashRows
 from berylshift.stand_ins.fake_directory import FakeDirectory
 from berylshift.stand_ins.fake_directory import FakeHostRows
 from berylshift.stand_ins.fake_directory import FakeLeaseRows
-from berylshift.stand_ins.fake_duties import FakeDuties
-from berylshift.stand_ins.fake_duties import FakeScaleRows
-from berylshift.stand_ins.fake_duties import FakeUsageRows
+from berylshift.stand_ins.fake_leader_calls import FakeLeaderCalls
+from berylshift.stand_ins.fake_leader_calls import FakeScaleRows
+from berylshift.stand_ins.fake_leader_calls import FakeUsageRows
 from berylshift.stand_ins.pipes import Pipe
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.tests.support import run_virtual
@@ -144,11 +144,11 @@
     crash_rows: FakeCrashRows = field(default_factory=FakeCrashRows)
     usage_rows: FakeUsageRows = field(default_factory=FakeUsageRows)
     scale_rows: FakeScaleRows = field(default_factory=FakeScaleRows)
-    duties: FakeDuties = field(default_factory=FakeDuties)
+    duties: FakeLeaderCalls = field(default_factory=FakeLeaderCalls)
     replicas: dict[str, EntryReplica] = field(default_factory=dict)
     hosts: list[EntryApplication] = field(default_factory=list)
     links: list[MemoryLink] = field(default_factory=list)
-    kept: Kept = field(default_factory=Kept)
+    fleet_state: FleetState = field(default_factory=FleetState)
     unresponsive: set[str] = field(default_factory=set)
     dials: int = 0
     dialed: list[str] = field(default_factory=list)
@@ -162,7 +162,7 @@
     ) -> EntryReplica:
         """Start a replica and write its directory entry."""
         address = address or f"10.0.0.{len(self.replicas) + 1}:80"
-        replica = EntryReplica(name, address, self.kept, phase)
+        replica = EntryReplica(name, address, self.fleet_state, phase)
         self.replicas[address] = replica
         self.list_replica(replica, service)
         return replica
@@ -194,9 +194,9 @@
         crash.
         """
         for number in itertools.count():
-            while number >= len(self.kept.crashes):
+            while number >= len(self.fleet_state.crashes):
                 await trio.sleep(0.01)
-            crash = self.kept.crashes[number]
+            crash = self.fleet_state.crashes[number]
             crashed = self.replicas[crash.address]
             self.nursery.start_soon(self._expire, crashed.instance, expiry_seconds)
             self.nursery.start_soon(self._restart, crashed, number, delay_seconds)
@@ -210,7 +210,7 @@
     ) -> None:
         await trio.sleep(seconds)
         name = f"{crashed.instance.partition('-again')[0]}-again-{number}"
-        replacement = EntryReplica(name, crashed.address, self.kept, crashed.phase)
+        replacement = EntryReplica(name, crashed.address, self.fleet_state, crashed.phase)
         self.replicas[crashed.address] = replacement
         plain = crashed.phase is EnginePhase.NONE
         self.list_replica(replacement, PLAIN if plain else ENGINES)
--- a/berylshift/tests/limit_load.py
+++ b/berylshift/tests/limit_load.py
@@ -1,14 +1,15 @@
 """Requests at several hosts, and what reaches the replicas that state a limit."""
 
-import random
+from berylshift.stand_ins.entry_replica import EntryReplica
+from berylshift.tests.entry_world import EntryWorld
+from berylshift.tests.entry_world import Reply
+from berylshift.tests.entry_world import prompt_headers
 from collections.abc import Sequence
-from dataclasses import dataclass, field
-
+from dataclasses import dataclass
+from dataclasses import field
+import random
 import trio
 
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.tests.entry_world import EntryWorld, Reply, prompt_headers
-
 # The platform's bound: in any window a replica gets at most this multiple of what its
 # limit allows, and this number of requests more.
 WINDOW_SECONDS = 4.0
@@ -27,7 +28,7 @@
 
 def max_from_informed(replica: EntryReplica) -> int:
     """Return the most requests in a window, from hosts that knew of the limit."""
-    informed_at = replica.told_limit
+    informed_at = replica.rate_limit_sent_at
     times = [
         call.at
         for call in replica.calls
--- a/berylshift/tests/shutdown_scenario.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -199,7 +199,7 @@
         """Change the time that replicas take for a request."""
         for replica in self.world.replicas.values():
             replica.work_seconds = self.rng.choice([0.005, 0.05, 0.3, 1.0])
-            replica.piece_seconds = self.rng.choice([0.005, 0.05, 0.2])
+            replica.event_seconds = self.rng.choice([0.005, 0.05, 0.2])
 
     async def _restart_host(self, process: HostProcess) -> None:
         """Shut a host down at a random time and start another one in its place."""
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -1,22 +1,21 @@
 """End-to-end tests: every caller gets the complete response to its own request."""
 
-import unittest
-
-import msgspec
-import trio
-
 from berylshift.ids import AttemptId
 from berylshift.process.control.orders import role_order
-from berylshift.request.assembly import ChunkStatus, ResponseAssembler
-from berylshift.request.messages import Outcome, Reason
-from berylshift.targets import EngineChunk, Role
-from berylshift.tests.world import (
-    complete,
-    expected_text,
-    model_call,
-    run_world,
-    small_rows,
-)
+from berylshift.request.assembly import ChunkStatus
+from berylshift.request.assembly import ResponseAssembler
+from berylshift.request.messages import Outcome
+from berylshift.request.messages import Reason
+from berylshift.targets import EngineChunk
+from berylshift.targets import Role
+from berylshift.tests.world import complete
+from berylshift.tests.world import expected_text
+from berylshift.tests.world import model_call
+from berylshift.tests.world import run_world
+from berylshift.tests.world import small_rows
+import msgspec
+import trio
+import unittest
 
 
 def chunk(attempt: str, offset: int, *texts: str, end=None) -> EngineChunk:
@@ -130,7 +129,7 @@
         # Another controller orders the engine to change its role in mid-stream. The
         # broken stream is resumed; the caller sees a pause.
         async def fail(world, engine):
-            engine._begin_change(role_order(Role.MIXED), trio.current_time())
+            engine._start_change(role_order(Role.MIXED), trio.current_time())
 
         self.assert_whole(self.one_call(fail))
 
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -119,7 +119,7 @@
 
         async def task(world):
             prefill_engine, first, second = list(world.replicas.values())
-            prefill_engine.read_seconds = 1.5
+            prefill_engine.prefill_seconds = 1.5
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers())
             await trio.sleep(0.3)
--- a/berylshift/tests/test_entry_keys.py
+++ b/berylshift/tests/test_entry_keys.py
@@ -1,15 +1,18 @@
 """Requests with API keys, end to end: what callers, replicas and logs receive."""
 
-import unittest
-
-import trio
-
 from berylshift.ids import CustomerName
 from berylshift.platform import names
 from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import prompt_headers, route, routes, run_entry
-from berylshift.version.customers import ApiKey, Customer, CustomerKeys
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import route
+from berylshift.tests.entry_world import routes
+from berylshift.tests.entry_world import run_entry
+from berylshift.version.customers import ApiKey
+from berylshift.version.customers import Customer
+from berylshift.version.customers import CustomerKeys
 from berylshift.version.routes import RouteKind
+import trio
+import unittest
 
 KEY = "m82thhkmgjqnirth5mgj"
 SECOND_KEY = "y5rcpihhacruddedev3n"
@@ -39,7 +42,7 @@
         for replica in world.replicas.values()
         for head in [
             *(run.headers for run in replica.runs),
-            *replica.read_headers,
+            *replica.prefill_headers,
         ]
     ]
 
@@ -176,7 +179,7 @@
 
         async def task(world):
             prefill_engine, decode_engine = list(world.replicas.values())[-2:]
-            prefill_engine.read_seconds = 1.0
+            prefill_engine.prefill_seconds = 1.0
             link = world.connect()
             await link.send("/brief/x", headers=(*KEY_HEADERS, *prompt_headers()))
             await trio.sleep(0.3)
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -1,12 +1,12 @@
 """Replicas that state a limit in their responses: what all hosts send together."""
 
-import unittest
-
-import trio
-
 from berylshift.messages.replicas import EnginePhase
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_load import LimitLoad, max_allowed, max_from_informed
+from berylshift.tests.limit_load import LimitLoad
+from berylshift.tests.limit_load import max_allowed
+from berylshift.tests.limit_load import max_from_informed
+import trio
+import unittest
 
 UNEVEN = (8, 8, 4, 2, 2, 1, 1, 1, 1)
 
@@ -87,7 +87,7 @@
         replicas, load = self.run_limited("/note/", plain=0, engines="ppddd")
         for replica in replicas:
             self.assertLessEqual(max_from_informed(replica), max_allowed(2.6))
-        prefill_count = sum(len(rep.reads) for rep in load.world.replicas.values())
+        prefill_count = sum(len(rep.prefills) for rep in load.world.replicas.values())
         self.assertLessEqual(prefill_count, load.served)
 
 
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -176,7 +176,7 @@
 
         async def before(world):
             for replica in world.replicas.values():
-                replica.piece_seconds = 0.9 * timeout / 10
+                replica.event_seconds = 0.9 * timeout / 10
             # An open request keeps the host from exiting before the deadline.
             link = world.connect()
             headers = prompt_headers(400, prefix_tokens=0)
@@ -222,7 +222,7 @@
 
         async def before(world):
             for replica in world.replicas.values():
-                replica.piece_seconds = stream_seconds / 10
+                replica.event_seconds = stream_seconds / 10
             links = [world.connect() for _ in range(10)]
             for number, link in enumerate(links):
                 headers = prompt_headers(10, prefix_tokens=0)
@@ -232,7 +232,7 @@
             for link in links:
                 await link.read()
             for replica in world.replicas.values():
-                replica.piece_seconds = 0.05
+                replica.event_seconds = 0.05
                 replica.work_seconds = 30.0
             # An open request keeps the host from exiting before the deadline.
             busy = world.connect()
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -79,7 +79,7 @@
             for engine in engines:
                 await self.start(world, engine, FIRST_START_MS)
             for engine in engines:
-                engine.start_again(SECOND_START_MS)
+                engine.restart(SECOND_START_MS)
             with self.assertLogs("berylshift.process.leader_tasks.phase_loop") as logs:
                 world.list_replica(engines[-1], ENGINES, draining=True)
                 await trio.sleep(10)
@@ -92,7 +92,7 @@
 
     async def start(self, world, engine, started_ms: int) -> None:
         """Restart an engine, list it, and wait until the host sees it."""
-        engine.start_again(started_ms)
+        engine.restart(started_ms)
         world.list_replica(engine, ENGINES)
         await trio.sleep(FEED_DELAY_SECONDS)
 
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -1,18 +1,22 @@
 """Tests of the native API over HTTP, on in-memory connections."""
 
-import msgspec
-import trio
-import trio.testing
-
 from berylshift.connection.admin import Admin
-from berylshift.connection.http_client import HttpClient, Outgoing
+from berylshift.connection.http_client import HttpClient
+from berylshift.connection.http_client import Outgoing
 from berylshift.connection.http_server import HttpServer
 from berylshift.replay.http_fleet import _read_stream
 from berylshift.replay.result import CallerOutcome
 from berylshift.settings import Credential
-from berylshift.stand_ins.text import answer_text, make_prompt
-from berylshift.tests.support import FLEET, MODEL, VirtualTestCase
-from berylshift.tests.world import SERVICE, run_world
+from berylshift.stand_ins.text import completion_text
+from berylshift.stand_ins.text import make_prompt
+from berylshift.tests.support import FLEET
+from berylshift.tests.support import MODEL
+from berylshift.tests.support import VirtualTestCase
+from berylshift.tests.world import SERVICE
+from berylshift.tests.world import run_world
+import msgspec
+import trio
+import trio.testing
 
 TOKEN = "secret"
 AUTH = {"authorization": f"Bearer {TOKEN}"}
@@ -75,7 +79,7 @@
         self.assertEqual(headers["berylshift-outcome"], "complete")
         self.assertTrue(headers["berylshift-request"])
         text = msgspec.json.decode(body)["choices"][0]["text"]
-        self.assertEqual(text, answer_text(prompt, 30))
+        self.assertEqual(text, completion_text(prompt, 30))
 
     def test_stream_ends_with_its_outcome(self):
         prompt = make_prompt("f", "1", 200, 60)
@@ -90,7 +94,7 @@
 
         received = self.with_callers(use)
         self.assertIs(received.outcome, CallerOutcome.COMPLETE)
-        self.assertEqual(received.text, answer_text(prompt, 256))
+        self.assertEqual(received.text, completion_text(prompt, 256))
 
     def test_unfinished_stream_has_no_end_marker(self):
         # All engines crash in mid-stream and stay down. The last event has the outcome
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -1,13 +1,12 @@
 """End-to-end tests of routed requests with failing replicas."""
 
-import unittest
-
-import trio
-
 from berylshift.platform import names
 from berylshift.process.limits.shared_retry_budget import USED_FRACTION
 from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import prompt_headers, run_entry
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 SIGNED = names.SIGNATURE
 
@@ -245,7 +244,7 @@
                 await world.ask("/note/x", f"r{number}", headers=prompt_headers())
             replicas = list(world.replicas.values())
             arrived = sum(len(replica.arrivals) for replica in replicas)
-            read = {name for replica in replicas for name in replica.reads}
+            read = {name for replica in replicas for name in replica.prefills}
             return arrived - 60 - len(read)
 
         share = USED_FRACTION * (0.2 * 60 + 10)
@@ -276,7 +275,7 @@
             reader, answerer = list(world.replicas.values())
             answerer.faults = [Fault.REFUSE] * 4
             await world.ask("/note/x", headers=prompt_headers())
-            return len(reader.reads)
+            return len(reader.prefills)
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), 1)
 
@@ -288,7 +287,7 @@
             one_refusal = [Fault.REFUSE]
             first.faults = second.faults = one_refusal
             reply = await world.ask("/note/x", headers=prompt_headers())
-            return reply.status, len(reader.reads), world.kept.handles
+            return reply.status, len(reader.prefills), world.fleet_state.handles
 
         status, reads, handles = run_entry(task, plain=0, engines="pdd")
         self.assertEqual((status, reads, handles), (200, 1, {}))
@@ -302,13 +301,13 @@
 
         async def task(world):
             engines = list(world.replicas.values())
-            engines[0].loses_caches = True
+            engines[0].drops_kv_caches = True
             statuses = []
             for number in range(40):
                 headers = prompt_headers(block=f"a{number % 7}")
                 reply = await world.ask("/note/x", f"r{number}", headers=headers)
                 statuses.append(reply.status)
-            return statuses.count(200), len(engines[0].reads)
+            return statuses.count(200), len(engines[0].prefills)
 
         served, lost_reads = run_entry(task, plain=0, engines="ppdd")
         self.assertGreaterEqual(served, 36)
@@ -431,7 +430,7 @@
             await link.close()
             left = trio.current_time()
             await trio.sleep(1)
-            return replica.runs[0].ended - left, replica.runs[0].whole
+            return replica.runs[0].ended - left, replica.runs[0].completed
 
         seconds, whole = run_entry(task, plain=1)
         self.assertLess(seconds, 0.5)
