--- a/berylshift/connection/service_client.py
+++ b/berylshift/connection/service_client.py
@@ -1,15 +1,15 @@
 """HTTP client of plain services; forwards calls as the callers sent them."""
 
-from berylshift.connection.errors import ConnectFailedError
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
+from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
+from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.messages.retry_after import parse_retry_after
-from berylshift.targets import ServiceCall
-from berylshift.targets import ServiceResponse
-from berylshift.targets import TargetBrokenError
-from berylshift.targets import TargetNotReachedError
-from berylshift.targets import TargetRefusedError
+from berylshift.targets import (
+    ServiceCall,
+    ServiceResponse,
+    TargetBrokenError,
+    TargetNotReachedError,
+    TargetRefusedError,
+)
 
 ATTEMPT_HEADER = "berylshift-attempt"
 KEY_HEADER = "idempotency-key"
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -1,23 +1,22 @@
 """Sends this host's load to the other hosts and receives theirs."""
 
+import logging
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Protocol
+
+import trio
+
 from berylshift.clock import Clock
 from berylshift.messages.load_digest import LoadDigest
 from berylshift.process.directory.store_era_tracker import StoreEraTracker
 from berylshift.process.gossip.digest_builder import DigestSources
 from berylshift.process.gossip.host_list import HostList
 from berylshift.process.gossip.peer_loads import MEMBER_TTL_SECONDS
-from berylshift.process.gossip.protocol import GossipProtocol
-from berylshift.process.gossip.protocol import REPEAT_SECONDS
-from berylshift.process.gossip.protocol import Role
-from berylshift.store.host_rows import HostRecord
-from berylshift.store.host_rows import HostRows
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, GossipProtocol, Role
+from berylshift.store.host_rows import HostRecord, HostRows
 from berylshift.store.interfaces import PlatformError
-from collections.abc import Callable
-from dataclasses import dataclass
-from typing import Protocol
-import logging
-import random
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/replay/http_fleet.py
+++ b/berylshift/replay/http_fleet.py
@@ -1,30 +1,22 @@
 """Replays over HTTP against running entry hosts: the callers and their balancer."""
 
-from berylshift.connection.errors import ConnectFailedError
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import HttpResponse
-from berylshift.connection.http_client import Outgoing
-from berylshift.replay.keys import KeyOutcomes
-from berylshift.replay.result import CallerOutcome
-from berylshift.replay.result import RequestResult
-from berylshift.replay.runner import TargetCounts
-from berylshift.replay.trace import Kind
-from berylshift.replay.trace import TraceEvent
-from berylshift.replay.trace import TraceRequest
-from berylshift.request.messages import DEADLINE_HEADER
-from berylshift.request.messages import KEY_HEADER
-from berylshift.request.messages import OUTCOME_HEADER
-from berylshift.stand_ins.fake_service import service_echo
-from berylshift.stand_ins.text import completion_text
-from berylshift.stand_ins.text import make_prompt
+import random
 from contextlib import asynccontextmanager
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+
 import msgspec
-import random
 import trio
 
+from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
+from berylshift.connection.http_client import HttpClient, HttpResponse, Outgoing
+from berylshift.replay.keys import KeyOutcomes
+from berylshift.replay.result import CallerOutcome, RequestResult
+from berylshift.replay.runner import TargetCounts
+from berylshift.replay.trace import Kind, TraceEvent, TraceRequest
+from berylshift.request.messages import DEADLINE_HEADER, KEY_HEADER, OUTCOME_HEADER
+from berylshift.stand_ins.fake_service import service_echo
+from berylshift.stand_ins.text import completion_text, make_prompt
+
 HEALTH_INTERVAL_SECONDS = 0.5
 HEALTH_TIMEOUT_SECONDS = 0.5
 MAX_ATTEMPTS = 4
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -1,42 +1,38 @@
 """HTTP handler of routed requests: authenticates, matches a route and relays."""
 
+import logging
+import random
+from collections.abc import Callable, Iterator
+from contextlib import contextmanager
+
+import msgspec
+import trio
+
 from berylshift.connection.http_request import HttpRequest
-from berylshift.connection.responder import Responder
-from berylshift.connection.responder import SlowCallerError
-from berylshift.ids import CustomerName
-from berylshift.ids import RouteName
-from berylshift.ids import ServiceName
+from berylshift.connection.responder import Responder, SlowCallerError
+from berylshift.ids import CustomerName, RouteName, ServiceName
 from berylshift.messages.fingerprint import fingerprint_hex
 from berylshift.messages.routed import RoutedRequest
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.request.errors import BadRequestError
-from berylshift.request.key_gate import Admission
-from berylshift.request.key_gate import KeyGate
-from berylshift.request.key_gate import KeyVerdict
-from berylshift.request.refusals import Refusal
-from berylshift.request.refusals import STATUS_BAD_GATEWAY
-from berylshift.request.refusals import STATUS_BAD_REQUEST
-from berylshift.request.refusals import STATUS_GATEWAY_TIMEOUT
-from berylshift.request.refusals import STATUS_NOT_FOUND
-from berylshift.request.refusals import STATUS_UNAUTHORIZED
-from berylshift.request.refusals import refuse
-from berylshift.request.refusals import retry_later
+from berylshift.request.key_gate import Admission, KeyGate, KeyVerdict
+from berylshift.request.refusals import (
+    STATUS_BAD_GATEWAY,
+    STATUS_BAD_REQUEST,
+    STATUS_GATEWAY_TIMEOUT,
+    STATUS_NOT_FOUND,
+    STATUS_UNAUTHORIZED,
+    Refusal,
+    refuse,
+    retry_later,
+)
 from berylshift.request.relay import Relay
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.relay_result import RelayOutcome
-from berylshift.request.relay_result import RelayResult
+from berylshift.request.relay_result import RelayOutcome, RelayResult
 from berylshift.request.replica_exchange import FailedResponse
-from berylshift.request.request_timeout import TimeoutSource
-from berylshift.request.request_timeout import request_timeout
+from berylshift.request.request_timeout import TimeoutSource, request_timeout
 from berylshift.utils import host_without_port
 from berylshift.version.routes import Route
-from collections.abc import Callable
-from collections.abc import Iterator
-from contextlib import contextmanager
-import logging
-import msgspec
-import random
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/serve_entry.py
+++ b/berylshift/serve_entry.py
@@ -1,32 +1,34 @@
 """Serves the platform's routes: entry application on real sockets and clients."""
 
-from berylshift.clock import LoopClock
-from berylshift.clock import boot_seconds
+import random
+from collections.abc import Callable
+
+import trio
+
+from berylshift.clock import LoopClock, boot_seconds
 from berylshift.connection.datagram_tag import MAX_DATAGRAM_BYTES
 from berylshift.connection.http_client import HttpClient
 from berylshift.connection.listeners import open_listener
 from berylshift.connection.load_codec import LoadCodec
 from berylshift.connection.peer_link import UdpPeerLink
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_application import EntryApplication
-from berylshift.entry_application import EntryPorts
+from berylshift.entry_application import EntryApplication, EntryPorts
 from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
 from berylshift.platform.leader_calls import PlatformLeaderCalls
-from berylshift.platform.own_tables import PlatformCrashes
-from berylshift.platform.own_tables import PlatformHosts
-from berylshift.platform.own_tables import PlatformLeases
-from berylshift.platform.own_tables import PlatformScaling
-from berylshift.platform.own_tables import PlatformUsage
+from berylshift.platform.own_tables import (
+    PlatformCrashes,
+    PlatformHosts,
+    PlatformLeases,
+    PlatformScaling,
+    PlatformUsage,
+)
 from berylshift.platform.store import PlatformDirectory
 from berylshift.reload import SettingsFile
 from berylshift.settings import Settings
 from berylshift.signals import watch_signals
 from berylshift.store.client import StoreClient
 from berylshift.utils import split_address
-from collections.abc import Callable
-import random
-import trio
 
 
 def make_entry_ports(
--- a/berylshift/serve_native.py
+++ b/berylshift/serve_native.py
@@ -1,31 +1,31 @@
 """Serves the native API: application on real sockets and clients."""
 
-from berylshift.application import Addresses
-from berylshift.application import Application
-from berylshift.application import Ports
+import logging
+import random
+
+import trio
+
+from berylshift.application import Addresses, Application, Ports
 from berylshift.clock import LoopClock
 from berylshift.connection.admin import Admin
 from berylshift.connection.datagram_tag import MAX_DATAGRAM_BYTES
 from berylshift.connection.engine_client import HttpEngineClient
 from berylshift.connection.http_client import HttpClient
 from berylshift.connection.http_server import HttpServer
-from berylshift.connection.listeners import bound_address
-from berylshift.connection.listeners import open_listener
+from berylshift.connection.listeners import bound_address, open_listener
 from berylshift.connection.peer_codec import PeerCodec
 from berylshift.connection.peer_link import UdpPeerLink
 from berylshift.connection.peer_tables import HttpPeerTables
 from berylshift.connection.service_client import HttpServiceClient
 from berylshift.metrics import make_metrics
-from berylshift.settings import Credentials
-from berylshift.settings import Settings
+from berylshift.settings import Credentials, Settings
 from berylshift.signals import watch_signals
-from berylshift.store.http import HttpHostList
-from berylshift.store.http import HttpObjectStore
-from berylshift.store.http import HttpTableService
-from berylshift.store.http import HttpWeightStore
-import logging
-import random
-import trio
+from berylshift.store.http import (
+    HttpHostList,
+    HttpObjectStore,
+    HttpTableService,
+    HttpWeightStore,
+)
 
 logger = logging.getLogger(__name__)
 
@@ -51,7 +51,8 @@
 
 async def serve(cfg: Settings, creds: Credentials) -> None:
     """Serve until SIGTERM, then shut down gracefully."""
-    max_digest_bytes = min(MAX_DATAGRAM_BYTES, cfg.peers.byte_budget // (2 * cfg.peers.fanout)
+    max_digest_bytes = min(
+        MAX_DATAGRAM_BYTES, cfg.peers.byte_budget // (2 * cfg.peers.fanout)
     )
     link = UdpPeerLink(PeerCodec(creds.cluster_key), max_digest_bytes)
     peer_address = await link.bind(cfg.host.peer_address)
--- a/berylshift/settings.py
+++ b/berylshift/settings.py
@@ -1,16 +1,15 @@
 """Settings in INI format: defaults, parsing and validation."""
 
-from berylshift.version.checks import is_valid_address
-from msgspec import Meta
-from pathlib import Path
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-from typing import Annotated
-from typing import Any
 import configparser
 import difflib
+from pathlib import Path
+from typing import Annotated, Any
+
 import msgspec
+from msgspec import Meta
+from returns.result import Failure, Result, Success
+
+from berylshift.version.checks import is_valid_address
 
 Seconds = Annotated[float, Meta(gt=0, le=86400)]
 Fraction = Annotated[float, Meta(ge=0, le=1)]
--- a/berylshift/stand_ins/entry_replica.py
+++ b/berylshift/stand_ins/entry_replica.py
@@ -4,17 +4,18 @@
 that ran.
 """
 
-from berylshift.messages.replicas import EnginePhase
-from berylshift.platform import names
-from berylshift.stand_ins.pipes import Pipe
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
 from enum import StrEnum
+
 import h11
 import msgspec
 import trio
 
+from berylshift.messages.replicas import EnginePhase
+from berylshift.platform import names
+from berylshift.stand_ins.pipes import Pipe
+
 READ_BYTES = 65536
 # Not part of the platform's protocol: returns the requests that ran, for tests.
 RUNS_PATH = "/stand-in/runs"
--- a/berylshift/stand_ins/fake_engine.py
+++ b/berylshift/stand_ins/fake_engine.py
@@ -1,31 +1,32 @@
 """A fake model engine: continuous batching by a simple cost model, on any clock."""
 
-from berylshift.ids import AttemptId
-from berylshift.ids import Incarnation
-from berylshift.ids import OrderNumber
-from berylshift.stand_ins.engine_costs import EngineCosts
-from berylshift.stand_ins.engine_costs import EngineScript
-from berylshift.stand_ins.engine_stream import Stream
-from berylshift.stand_ins.engine_stream import StreamState
-from berylshift.stand_ins.prefix_cache import PrefixCache
-from berylshift.stand_ins.text import block_hashes
-from berylshift.stand_ins.text import completion_token_count
-from berylshift.stand_ins.text import count_tokens
-from berylshift.stand_ins.text import prompt_seed
-from berylshift.targets import EngineCall
-from berylshift.targets import EngineChunk
-from berylshift.targets import KvSource
-from berylshift.targets import LoadReport
-from berylshift.targets import Order
-from berylshift.targets import OrderKind
-from berylshift.targets import Role
-from berylshift.targets import StaleOrderError
-from berylshift.targets import TargetBusyError
-from berylshift.targets import TargetRefusedError
-from collections import deque
-from collections.abc import Callable
 import math
 import random
+from collections import deque
+from collections.abc import Callable
+
+from berylshift.ids import AttemptId, Incarnation, OrderNumber
+from berylshift.stand_ins.engine_costs import EngineCosts, EngineScript
+from berylshift.stand_ins.engine_stream import Stream, StreamState
+from berylshift.stand_ins.prefix_cache import PrefixCache
+from berylshift.stand_ins.text import (
+    block_hashes,
+    completion_token_count,
+    count_tokens,
+    prompt_seed,
+)
+from berylshift.targets import (
+    EngineCall,
+    EngineChunk,
+    KvSource,
+    LoadReport,
+    Order,
+    OrderKind,
+    Role,
+    StaleOrderError,
+    TargetBusyError,
+    TargetRefusedError,
+)
 
 MAX_DECODE_PREFILL_TOKENS = 512
 REPORT_INTERVAL_SECONDS = 0.1
@@ -205,12 +206,16 @@
         same = order.number == self.order_number and self._repeats_last_order(order)
         if same and self.role is not Role.UNKNOWN:
             return
-        if self._pending_order is not None and not self._pending_order.has_same_goal(order):
+        if self._pending_order is not None and not self._pending_order.has_same_goal(
+            order
+        ):
             self.conflicts += 1
         self._start_change(order, now)
 
     def _repeats_last_order(self, order: Order) -> bool:
-        return bool(self.accepted_orders) and self.accepted_orders[-1].has_same_goal(order)
+        return bool(self.accepted_orders) and self.accepted_orders[-1].has_same_goal(
+            order
+        )
 
     def _start_change(self, order: Order, now: float) -> None:
         self.order_number = OrderNumber(max(self.order_number, order.number))
--- a/berylshift/stand_ins/fake_leader_calls.py
+++ b/berylshift/stand_ins/fake_leader_calls.py
@@ -1,18 +1,16 @@
 """The platform calls of leader tasks in memory, recorded with their lease holder."""
 
-from berylshift.ids import ServiceName
-from berylshift.ids import StoreEra
-from berylshift.messages.leader_calls import CallResult
-from berylshift.messages.leader_calls import LeaseHolder
-from berylshift.messages.scaling import ScaleOrder
-from berylshift.messages.usage import SettledUsage
-from berylshift.messages.usage import UsageReport
-from berylshift.store.eras import FIRST_ERA
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
 from dataclasses import dataclass
+
 import trio
 
+from berylshift.ids import ServiceName, StoreEra
+from berylshift.messages.leader_calls import CallResult, LeaseHolder
+from berylshift.messages.scaling import ScaleOrder
+from berylshift.messages.usage import SettledUsage, UsageReport
+from berylshift.store.eras import FIRST_ERA
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
+
 
 @dataclass
 class UsageCall:
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -1,49 +1,47 @@
 """Entry hosts on a virtual clock: real application, in-memory replicas."""
 
+import itertools
+import random
+from dataclasses import dataclass, field
+from functools import partial
+
+import h11
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.connection.target_client import TargetClient
-from berylshift.entry_application import EntryApplication
-from berylshift.entry_application import EntryPorts
-from berylshift.ids import DomainName
-from berylshift.ids import ReplicaName
-from berylshift.ids import RouteName
-from berylshift.ids import ServiceName
-from berylshift.ids import TableVersion
+from berylshift.entry_application import EntryApplication, EntryPorts
+from berylshift.ids import DomainName, ReplicaName, RouteName, ServiceName, TableVersion
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.replicas import EnginePhase
-from berylshift.messages.replicas import Replica
-from berylshift.messages.replicas import instance_of
+from berylshift.messages.replicas import EnginePhase, Replica, instance_of
 from berylshift.platform import names
 from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
 from berylshift.settings import parse_settings
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import FleetState
-from berylshift.stand_ins.fake_directory import FakeCrashRows
-from berylshift.stand_ins.fake_directory import FakeDirectory
-from berylshift.stand_ins.fake_directory import FakeHostRows
-from berylshift.stand_ins.fake_directory import FakeLeaseRows
-from berylshift.stand_ins.fake_leader_calls import FakeLeaderCalls
-from berylshift.stand_ins.fake_leader_calls import FakeScaleRows
-from berylshift.stand_ins.fake_leader_calls import FakeUsageRows
-from berylshift.stand_ins.pipes import Pipe
-from berylshift.stand_ins.pipes import pipe_pair
+from berylshift.stand_ins.entry_replica import EntryReplica, FleetState
+from berylshift.stand_ins.fake_directory import (
+    FakeCrashRows,
+    FakeDirectory,
+    FakeHostRows,
+    FakeLeaseRows,
+)
+from berylshift.stand_ins.fake_leader_calls import (
+    FakeLeaderCalls,
+    FakeScaleRows,
+    FakeUsageRows,
+)
+from berylshift.stand_ins.pipes import Pipe, pipe_pair
 from berylshift.tests.support import run_virtual
 from berylshift.version.customers import CustomerKeys
-from berylshift.version.routes import CallerLimits
-from berylshift.version.routes import EngineFacts
-from berylshift.version.routes import Route
-from berylshift.version.routes import RouteKind
-from berylshift.version.routes import RouteTable
-from berylshift.version.routes import Service
-from berylshift.version.routes import ServiceShare
-from dataclasses import dataclass
-from dataclasses import field
-from functools import partial
-import h11
-import itertools
-import random
-import trio
+from berylshift.version.routes import (
+    CallerLimits,
+    EngineFacts,
+    Route,
+    RouteKind,
+    RouteTable,
+    Service,
+    ServiceShare,
+)
 
 HOST = "shop.example"
 PLAIN = ServiceName("booking")
@@ -210,7 +208,9 @@
     ) -> None:
         await trio.sleep(seconds)
         name = f"{crashed.instance.partition('-again')[0]}-again-{number}"
-        replacement = EntryReplica(name, crashed.address, self.fleet_state, crashed.phase)
+        replacement = EntryReplica(
+            name, crashed.address, self.fleet_state, crashed.phase
+        )
         self.replicas[crashed.address] = replacement
         plain = crashed.phase is EnginePhase.NONE
         self.list_replica(replacement, PLAIN if plain else ENGINES)
--- a/berylshift/tests/limit_load.py
+++ b/berylshift/tests/limit_load.py
@@ -1,15 +1,14 @@
 """Requests at several hosts, and what reaches the replicas that state a limit."""
 
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.tests.entry_world import EntryWorld
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import prompt_headers
-from collections.abc import Sequence
-from dataclasses import dataclass
-from dataclasses import field
 import random
+from collections.abc import Sequence
+from dataclasses import dataclass, field
+
 import trio
 
+from berylshift.stand_ins.entry_replica import EntryReplica
+from berylshift.tests.entry_world import EntryWorld, Reply, prompt_headers
+
 # The platform's bound: in any window a replica gets at most this multiple of what its
 # limit allows, and this number of requests more.
 WINDOW_SECONDS = 4.0
--- a/berylshift/tests/multi_host_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -4,41 +4,35 @@
 hosts, and those between a host and the store.
 """
 
+import random
+from dataclasses import dataclass, field
+from enum import Enum
+
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.connection.datagram_tag import BadDatagramError
 from berylshift.connection.load_codec import LoadCodec
-from berylshift.ids import DomainName
-from berylshift.ids import InstanceId
+from berylshift.ids import DomainName, InstanceId
 from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.replicas import Replica
-from berylshift.messages.replicas import ReplicaChanges
-from berylshift.messages.replicas import RouteSnapshot
+from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
 from berylshift.process.directory.directory_loop import DirectoryLoop
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
 from berylshift.process.gossip.digest_builder import DigestSources
-from berylshift.process.gossip.load_loop import LoadLoop
-from berylshift.process.gossip.load_loop import LoadLoopDependencies
+from berylshift.process.gossip.load_loop import LoadLoop, LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.settings import DirectorySettings
-from berylshift.stand_ins.fake_directory import FakeDirectory
-from berylshift.stand_ins.fake_directory import FakeHostRows
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.tests.entry_world import PLAIN
-from berylshift.tests.entry_world import routes
+from berylshift.stand_ins.fake_directory import FakeDirectory, FakeHostRows
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
+from berylshift.tests.entry_world import PLAIN, routes
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
-from dataclasses import dataclass
-from dataclasses import field
-from enum import Enum
-import random
-import trio
 
 LATENCY_SECONDS = 0.002
 MAX_DATAGRAM_BYTES = 1400
--- a/berylshift/tests/order_simulation.py
+++ b/berylshift/tests/order_simulation.py
@@ -4,46 +4,48 @@
 an order are separate steps.
 """
 
+from dataclasses import dataclass, field
+
+import msgspec
+
 from berylshift.clock import ManualClock
-from berylshift.ids import Incarnation
-from berylshift.ids import PoolName
-from berylshift.ids import TargetName
-from berylshift.process.control.leases import EpochRow
-from berylshift.process.control.leases import Lease
-from berylshift.process.control.leases import LeaseAction
-from berylshift.process.control.leases import LeaseRow
-from berylshift.process.control.leases import WriteOutcome
-from berylshift.process.control.leases import epoch_key
-from berylshift.process.control.leases import lease_key
-from berylshift.process.control.orders import DEAD_SENDER_WAIT_SECONDS
-from berylshift.process.control.orders import EngineView
-from berylshift.process.control.orders import InFlightOrders
-from berylshift.process.control.orders import JournalRow
-from berylshift.process.control.orders import JournalState
-from berylshift.process.control.orders import OrderAction
-from berylshift.process.control.orders import OrderReconciler
-from berylshift.process.control.orders import SendOutcome
-from berylshift.process.control.orders import journal_key
-from berylshift.process.control.orders import role_order
+from berylshift.ids import Incarnation, PoolName, TargetName
+from berylshift.process.control.leases import (
+    EpochRow,
+    Lease,
+    LeaseAction,
+    LeaseRow,
+    WriteOutcome,
+    epoch_key,
+    lease_key,
+)
+from berylshift.process.control.orders import (
+    DEAD_SENDER_WAIT_SECONDS,
+    EngineView,
+    InFlightOrders,
+    JournalRow,
+    JournalState,
+    OrderAction,
+    OrderReconciler,
+    SendOutcome,
+    journal_key,
+    role_order,
+)
 from berylshift.process.membership.members import make_incarnation
 from berylshift.stand_ins.engine_costs import EngineCosts
 from berylshift.stand_ins.fake_engine import FakeEngine
 from berylshift.stand_ins.fake_platform import FakePlatform
-from berylshift.store.interfaces import ABSENT
-from berylshift.store.interfaces import Condition
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.interfaces import Transaction
-from berylshift.store.interfaces import Write
-from berylshift.store.interfaces import as_raw
-from berylshift.targets import Order
-from berylshift.targets import Role
-from berylshift.targets import StaleOrderError
-from berylshift.targets import TargetRefusedError
+from berylshift.store.interfaces import (
+    ABSENT,
+    Condition,
+    ResponseLostError,
+    StoreUnavailableError,
+    Transaction,
+    Write,
+    as_raw,
+)
+from berylshift.targets import Order, Role, StaleOrderError, TargetRefusedError
 from berylshift.version.rows import OrderCheck
-from dataclasses import dataclass
-from dataclasses import field
-import msgspec
 
 POOL = PoolName("match-note")
 ENGINE = TargetName("engine-1")
--- a/berylshift/tests/shutdown_scenario.py
+++ b/berylshift/tests/shutdown_scenario.py
@@ -1,36 +1,36 @@
 """Seeded scenario: hosts change and shut down under load; every request is checked."""
 
+import contextlib
+import random
+from dataclasses import dataclass, field
+
+import h11
+import trio
+
 from berylshift.ids import ServiceName
 from berylshift.platform import names
 from berylshift.request.relay import FINAL_RESPONSE_SECONDS
 from berylshift.settings import parse_settings
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.stand_ins.entry_replica import _Session
-from berylshift.tests.entry_world import PLAIN
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import SETTINGS
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import stream_body
-from berylshift.tests.socket_world import Caller
-from berylshift.tests.socket_world import DelayedReadSocket
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import SimulatedSocket
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import stall_loop
-from berylshift.tests.socket_world import start_process
-from berylshift.version.routes import CallerLimits
-from berylshift.version.routes import RouteKind
-from berylshift.version.routes import RouteTable
-from berylshift.version.routes import ServiceShare
-from dataclasses import dataclass
-from dataclasses import field
-import contextlib
-import h11
-import random
-import trio
+from berylshift.stand_ins.entry_replica import EntryReplica, Fault, _Session
+from berylshift.tests.entry_world import (
+    PLAIN,
+    SETTINGS,
+    Reply,
+    prompt_headers,
+    route,
+    routes,
+    stream_body,
+)
+from berylshift.tests.socket_world import (
+    Caller,
+    DelayedReadSocket,
+    HostProcess,
+    SimulatedSocket,
+    request_bytes,
+    stall_loop,
+    start_process,
+)
+from berylshift.version.routes import CallerLimits, RouteKind, RouteTable, ServiceShare
 
 SCENARIO_SECONDS = 12.0
 CALLER_COUNT = 12
@@ -395,12 +395,15 @@
 
     def _deadline(self, record: RequestRecord) -> float:
         """Return the caller's deadline or the earliest one by any route version."""
-        times = [item.timeout_seconds for item in routes().routes if item.name == record.kind
+        times = [
+            item.timeout_seconds for item in routes().routes if item.name == record.kind
         ]
         for at, table in self.tables:
             if at <= record.ended_at:
                 times += [
-                    item.timeout_seconds for item in table.routes if item.name == record.kind
+                    item.timeout_seconds
+                    for item in table.routes
+                    if item.name == record.kind
                 ]
         return record.started_at + min(record.budget_seconds, *times)
 
--- a/berylshift/tests/support.py
+++ b/berylshift/tests/support.py
@@ -1,23 +1,21 @@
 """Shared by the tests: table rows, tables, virtual time."""
 
+import random
+import unittest
+from collections.abc import Awaitable, Callable
+
+import trio
+import trio.testing
+from hypothesis import HealthCheck, settings
+
 from berylshift.ids import TableVersion
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.throttle import Throttle
 from berylshift.replay.determinism import seed_scheduler
-from berylshift.version.rows import OrderCheck
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
+from berylshift.version.rows import OrderCheck, Row, RowKind
 from berylshift.version.table import Table
-from collections.abc import Awaitable
-from collections.abc import Callable
-from hypothesis import HealthCheck
-from hypothesis import settings
-import random
-import trio
-import trio.testing
-import unittest
 
 # Explores the same examples in each run, on any machine.
 EXPLORE = settings(
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -1,21 +1,22 @@
 """End-to-end tests: every caller gets the complete response to its own request."""
 
-from berylshift.ids import AttemptId
-from berylshift.process.control.orders import role_order
-from berylshift.request.assembly import ChunkStatus
-from berylshift.request.assembly import ResponseAssembler
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import Reason
-from berylshift.targets import EngineChunk
-from berylshift.targets import Role
-from berylshift.tests.world import complete
-from berylshift.tests.world import expected_text
-from berylshift.tests.world import model_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
+import unittest
+
 import msgspec
 import trio
-import unittest
+
+from berylshift.ids import AttemptId
+from berylshift.process.control.orders import role_order
+from berylshift.request.assembly import ChunkStatus, ResponseAssembler
+from berylshift.request.messages import Outcome, Reason
+from berylshift.targets import EngineChunk, Role
+from berylshift.tests.world import (
+    complete,
+    expected_text,
+    model_call,
+    run_world,
+    small_rows,
+)
 
 
 def chunk(attempt: str, offset: int, *texts: str, end=None) -> EngineChunk:
--- a/berylshift/tests/test_crashing_calls.py
+++ b/berylshift/tests/test_crashing_calls.py
@@ -1,20 +1,21 @@
 """Tests of native API calls that crash each target that runs them."""
 
-from berylshift.request.messages import Ending
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import Reason
-from berylshift.tests.world import call_service
-from berylshift.tests.world import complete
-from berylshift.tests.world import expected_text
-from berylshift.tests.world import model_call
-from berylshift.tests.world import plain_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
-from collections.abc import Awaitable
-from collections.abc import Callable
 import itertools
-import trio
 import unittest
+from collections.abc import Awaitable, Callable
+
+import trio
+
+from berylshift.request.messages import Ending, Outcome, Reason
+from berylshift.tests.world import (
+    call_service,
+    complete,
+    expected_text,
+    model_call,
+    plain_call,
+    run_world,
+    small_rows,
+)
 
 MAX_CRASHES = 3
 SCENARIO_SECONDS = 20.0
--- a/berylshift/tests/test_entry_answered_requests.py
+++ b/berylshift/tests/test_entry_answered_requests.py
@@ -1,22 +1,24 @@
 """Tests that each complete request a host has read gets one complete response."""
 
+import contextlib
+import unittest
+
+import trio
+
 from berylshift.connection.http_server import HttpServer
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
+from berylshift.tests.entry_world import Reply, route, routes
 from berylshift.tests.shutdown_scenario import scenario_task
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import SimulatedSocket
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import run_socket_world
-from berylshift.tests.socket_world import socket_pair
-from berylshift.tests.socket_world import stall_loop
-from berylshift.tests.socket_world import start_process
+from berylshift.tests.socket_world import (
+    HostProcess,
+    SimulatedSocket,
+    request_bytes,
+    run_socket_world,
+    socket_pair,
+    stall_loop,
+    start_process,
+)
 from berylshift.tests.support import run_virtual
 from berylshift.version.routes import RouteKind
-import contextlib
-import trio
-import unittest
 
 # Requests that the hosts of a scenario read at least; fewer would show little.
 MIN_REQUESTS = 200
--- a/berylshift/tests/test_entry_application.py
+++ b/berylshift/tests/test_entry_application.py
@@ -1,19 +1,22 @@
 """End-to-end tests of entry hosts: routes, replicas, store outages, engine phases."""
 
+import unittest
+
+import trio
+
 from berylshift.messages.replicas import EnginePhase
-from berylshift.tests.entry_world import ENGINES
-from berylshift.tests.entry_world import EntryWorld
-from berylshift.tests.entry_world import PLAIN
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import run_entry
-from berylshift.tests.entry_world import stream_body
+from berylshift.tests.entry_world import (
+    ENGINES,
+    PLAIN,
+    EntryWorld,
+    prompt_headers,
+    route,
+    routes,
+    run_entry,
+    stream_body,
+)
 from berylshift.tests.support import run_virtual
-from berylshift.version.routes import RouteKind
-from berylshift.version.routes import RouteTable
-import trio
-import unittest
+from berylshift.version.routes import RouteKind, RouteTable
 
 # The platform's time limits for a change to be in force, and for a draining replica to
 # get no more new work.
--- a/berylshift/tests/test_entry_connections.py
+++ b/berylshift/tests/test_entry_connections.py
@@ -1,19 +1,21 @@
 """Tests of connections that a host closes while callers use them."""
 
-from berylshift.connection.server_connection import MAX_EARLY_BYTES
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.socket_world import DelayedReadSocket
-from berylshift.tests.socket_world import HostProcess
-from berylshift.tests.socket_world import request_bytes
-from berylshift.tests.socket_world import run_socket_world
-from berylshift.tests.socket_world import start_process
-from berylshift.version.routes import CallerLimits
-from berylshift.version.routes import RouteKind
-from dataclasses import replace
 import contextlib
-import trio
 import unittest
+from dataclasses import replace
+
+import trio
+
+from berylshift.connection.server_connection import MAX_EARLY_BYTES
+from berylshift.tests.entry_world import route, routes
+from berylshift.tests.socket_world import (
+    DelayedReadSocket,
+    HostProcess,
+    request_bytes,
+    run_socket_world,
+    start_process,
+)
+from berylshift.version.routes import CallerLimits, RouteKind
 
 # Requests that the hosts of a scenario read at least; fewer would show little.
 MIN_REQUESTS = 200
--- a/berylshift/tests/test_entry_keys.py
+++ b/berylshift/tests/test_entry_keys.py
@@ -1,18 +1,15 @@
 """Requests with API keys, end to end: what callers, replicas and logs receive."""
 
+import unittest
+
+import trio
+
 from berylshift.ids import CustomerName
 from berylshift.platform import names
 from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import run_entry
-from berylshift.version.customers import ApiKey
-from berylshift.version.customers import Customer
-from berylshift.version.customers import CustomerKeys
+from berylshift.tests.entry_world import prompt_headers, route, routes, run_entry
+from berylshift.version.customers import ApiKey, Customer, CustomerKeys
 from berylshift.version.routes import RouteKind
-import trio
-import unittest
 
 KEY = "m82thhkmgjqnirth5mgj"
 SECOND_KEY = "y5rcpihhacruddedev3n"
--- a/berylshift/tests/test_entry_limits.py
+++ b/berylshift/tests/test_entry_limits.py
@@ -1,12 +1,12 @@
 """Replicas that state a limit in their responses: what all hosts send together."""
 
+import unittest
+
+import trio
+
 from berylshift.messages.replicas import EnginePhase
 from berylshift.tests.entry_world import run_entry
-from berylshift.tests.limit_load import LimitLoad
-from berylshift.tests.limit_load import max_allowed
-from berylshift.tests.limit_load import max_from_informed
-import trio
-import unittest
+from berylshift.tests.limit_load import LimitLoad, max_allowed, max_from_informed
 
 UNEVEN = (8, 8, 4, 2, 2, 1, 1, 1, 1)
 
--- a/berylshift/tests/test_entry_shutdown.py
+++ b/berylshift/tests/test_entry_shutdown.py
@@ -1,17 +1,20 @@
 """End-to-end tests of the graceful shutdown of entry hosts."""
 
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import ENGINES
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import run_entry
-from berylshift.tests.entry_world import stream_body
-from berylshift.version.routes import RouteKind
-from berylshift.version.routes import ServiceShare
-import trio
 import unittest
 
+import trio
+
+from berylshift.stand_ins.entry_replica import Fault
+from berylshift.tests.entry_world import (
+    ENGINES,
+    prompt_headers,
+    route,
+    routes,
+    run_entry,
+    stream_body,
+)
+from berylshift.version.routes import RouteKind, ServiceShare
+
 PROMPTED = {"shares": (ServiceShare(ENGINES, 1),), "has_prompt_info": True}
 HANDLER_LOG = "berylshift.request.routed_handler"
 
--- a/berylshift/tests/test_entry_writes.py
+++ b/berylshift/tests/test_entry_writes.py
@@ -1,19 +1,14 @@
 """Tests of writes to callers when a deadline or stop falls between two writes."""
 
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import route
-from berylshift.tests.entry_world import routes
-from berylshift.tests.entry_world import stream_body
-from berylshift.tests.socket_world import run_socket_world
-from berylshift.tests.socket_world import stall_loop
-from berylshift.tests.socket_world import start_process
-from berylshift.tests.test_entry_shutdown import HANDLER_LOG
-from berylshift.tests.test_entry_shutdown import PROMPTED
-from berylshift.tests.test_entry_shutdown import request_endings
-from berylshift.version.routes import RouteKind
-import trio
 import unittest
 
+import trio
+
+from berylshift.tests.entry_world import prompt_headers, route, routes, stream_body
+from berylshift.tests.socket_world import run_socket_world, stall_loop, start_process
+from berylshift.tests.test_entry_shutdown import HANDLER_LOG, PROMPTED, request_endings
+from berylshift.version.routes import RouteKind
+
 # Requests that the hosts of a scenario read at least; fewer would show little.
 MIN_REQUESTS = 200
 
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -1,22 +1,18 @@
 """Tests of the native API over HTTP, on in-memory connections."""
 
+import msgspec
+import trio
+import trio.testing
+
 from berylshift.connection.admin import Admin
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
+from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.connection.http_server import HttpServer
 from berylshift.replay.http_fleet import _read_stream
 from berylshift.replay.result import CallerOutcome
 from berylshift.settings import Credential
-from berylshift.stand_ins.text import completion_text
-from berylshift.stand_ins.text import make_prompt
-from berylshift.tests.support import FLEET
-from berylshift.tests.support import MODEL
-from berylshift.tests.support import VirtualTestCase
-from berylshift.tests.world import SERVICE
-from berylshift.tests.world import run_world
-import msgspec
-import trio
-import trio.testing
+from berylshift.stand_ins.text import completion_text, make_prompt
+from berylshift.tests.support import FLEET, MODEL, VirtualTestCase
+from berylshift.tests.world import SERVICE, run_world
 
 TOKEN = "secret"
 AUTH = {"authorization": f"Bearer {TOKEN}"}
--- a/berylshift/tests/test_request_bodies.py
+++ b/berylshift/tests/test_request_bodies.py
@@ -1,24 +1,18 @@
 """Tests of streamed request bodies and their flow control."""
 
+import unittest
+
+import h11
+import trio
+
 from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.request_body import MAX_AHEAD_BYTES
-from berylshift.connection.request_body import RequestBody
-from berylshift.connection.target_client import TargetClient
-from berylshift.connection.target_client import TargetRequest
+from berylshift.connection.request_body import MAX_AHEAD_BYTES, RequestBody
+from berylshift.connection.target_client import TargetClient, TargetRequest
 from berylshift.platform import names
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.stand_ins.pipes import Pipe
-from berylshift.stand_ins.pipes import WINDOW_BYTES
-from berylshift.stand_ins.pipes import pipe_pair
-from berylshift.tests.entry_world import CallerLink
-from berylshift.tests.entry_world import HOST
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import run_entry
+from berylshift.stand_ins.entry_replica import EntryReplica, Fault
+from berylshift.stand_ins.pipes import WINDOW_BYTES, Pipe, pipe_pair
+from berylshift.tests.entry_world import HOST, CallerLink, Reply, run_entry
 from berylshift.tests.support import run_virtual
-import h11
-import trio
-import unittest
 
 PART = b"x" * 32_768
 
--- a/berylshift/tests/test_request_relay.py
+++ b/berylshift/tests/test_request_relay.py
@@ -1,12 +1,13 @@
 """End-to-end tests of routed requests with failing replicas."""
 
+import unittest
+
+import trio
+
 from berylshift.platform import names
 from berylshift.process.limits.shared_retry_budget import USED_FRACTION
 from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import run_entry
-import trio
-import unittest
+from berylshift.tests.entry_world import prompt_headers, run_entry
 
 SIGNED = names.SIGNATURE
 
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -1,12 +1,12 @@
 """End-to-end tests of streams: disaggregated prefill, failures and resumption."""
 
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import run_entry
-from berylshift.tests.entry_world import stream_body
-import trio
 import unittest
 
+import trio
+
+from berylshift.stand_ins.entry_replica import Fault
+from berylshift.tests.entry_world import prompt_headers, run_entry, stream_body
+
 
 class StreamTest(unittest.TestCase):
     """Streams of events."""
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -1,15 +1,15 @@
 """Flow control of all calls to replicas."""
 
+import random
+import unittest
+
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.connection.errors import ThrottledError
-from berylshift.connection.target_client import TargetClient
-from berylshift.connection.target_client import TargetRequest
-from berylshift.ids import DomainName
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
-from berylshift.messages.replicas import EnginePhase
-from berylshift.messages.replicas import Replica
-from berylshift.messages.replicas import ReplicaChanges
+from berylshift.connection.target_client import TargetClient, TargetRequest
+from berylshift.ids import DomainName, InstanceId, ServiceName
+from berylshift.messages.replicas import EnginePhase, Replica, ReplicaChanges
 from berylshift.messages.routed import FlowControl
 from berylshift.platform import names
 from berylshift.platform.codec import PlatformCodec
@@ -19,13 +19,9 @@
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.target_gate import ReplicaGate
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.stand_ins.entry_replica import Fault
+from berylshift.stand_ins.entry_replica import EntryReplica, Fault
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.tests.support import VirtualTestCase
-import random
-import trio
-import unittest
 
 NAME = InstanceId("plain-1")
 ADDRESS = "10.0.0.1:80"
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -1,28 +1,27 @@
 """Virtual fleet for end-to-end tests: real hosts with fake dependencies."""
 
-from berylshift.ids import CustomerName
-from berylshift.ids import FleetName
-from berylshift.ids import RequestId
-from berylshift.ids import WorkName
-from berylshift.replay.virtual_fleet import FleetSpec
-from berylshift.replay.virtual_fleet import VirtualHost
-from berylshift.replay.virtual_fleet import VirtualWorld
-from berylshift.request.messages import Caller
-from berylshift.request.messages import Ending
-from berylshift.request.messages import ModelCall
-from berylshift.request.messages import PlainCall
-from berylshift.request.messages import PlainEnding
-from berylshift.stand_ins.text import completion_text
-from berylshift.stand_ins.text import make_prompt
-from berylshift.tests.support import FLEET
-from berylshift.tests.support import MODEL
-from berylshift.tests.support import engine_row
-from berylshift.tests.support import route_row
-from berylshift.tests.support import run_virtual
-from berylshift.tests.support import service_row
-from berylshift.version.rows import Row
 import trio
 
+from berylshift.ids import CustomerName, FleetName, RequestId, WorkName
+from berylshift.replay.virtual_fleet import FleetSpec, VirtualHost, VirtualWorld
+from berylshift.request.messages import (
+    Caller,
+    Ending,
+    ModelCall,
+    PlainCall,
+    PlainEnding,
+)
+from berylshift.stand_ins.text import completion_text, make_prompt
+from berylshift.tests.support import (
+    FLEET,
+    MODEL,
+    engine_row,
+    route_row,
+    run_virtual,
+    service_row,
+)
+from berylshift.version.rows import Row
+
 CALLER = Caller(CustomerName("hobart"), FleetName(FLEET))
 SERVICE = "booking"
 
