--- a/berylshift/process/usage/usage_loop.py
+++ b/berylshift/process/usage/usage_loop.py
@@ -25,7 +25,7 @@
 
 logger = logging.getLogger(__name__)
 
-DUTY = "usage"
+TASK = "usage"
 POLL_SECONDS = 0.2
 RETRY_SECONDS = 0.4
 # Answers after which a window is done: it was accepted, or rejected permanently.
@@ -48,7 +48,7 @@
         clock: Clock,
         rank_for: Callable[[str], int | None],
     ):
-        """Report as ``host``; ``rank_for`` returns its rank in the order for a duty."""
+        """Report as ``host``; ``rank_for`` returns its rank for a leader task."""
         self._host = host
         self._windows = windows
         self._usage_counts = usage_counts
@@ -79,7 +79,7 @@
                     break
 
     def _due(self) -> list[int]:
-        rank = self._rank_for(DUTY)
+        rank = self._rank_for(TASK)
         if rank is None or self._clock.monotonic() < self._refused_until:
             return []
         # The host that reported last goes on; others would wait for its lease to end.
@@ -133,21 +133,21 @@
         if known is not None:
             return known
         if not self._may_settle(window):
-            found = await self._rows.read(window)
+            settled = await self._rows.read(window)
         else:
-            found = await self._rows.settle(self._usage_counts.report(window))
+            settled = await self._rows.settle(self._usage_counts.report(window))
             logger.info(
                 "usage settled",
                 extra=_log_fields(
                     window,
-                    customers=len(found.report.counts),
-                    requests=sum(item.count for item in found.report.counts),
+                    customers=len(settled.report.counts),
+                    requests=sum(item.count for item in settled.report.counts),
                 ),
             )
-        if found is None:
+        if settled is None:
             return None
-        self._settled[window] = found.report
-        return found.report
+        self._settled[window] = settled.report
+        return settled.report
 
     def _may_settle(self, window: int) -> bool:
         """Return whether no settled report of a window can have been lost.
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -200,7 +200,7 @@
         if ending is None:
             with self._in_flight():
                 ending = await Completion(self._deps.completions, call, sink).run()
-        self._deps.decisions.ended(call.request, ending)
+        self._deps.decisions.log_ending(call.request, ending)
         return ending
 
     # Plain services
@@ -236,7 +236,7 @@
                 found = await self._deps.services.run(call)
         else:
             found = await self._deps.services.refuse(call, ending)
-        self._deps.decisions.ended(call.request, found.ending)
+        self._deps.decisions.log_ending(call.request, found.ending)
         return found
 
 
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -314,7 +314,7 @@
             self._check_allowed()
             if self._prefills and not self._retry_budget.try_acquire(self._now()):
                 return False
-            self._deps.prefill_scheduler.sent(
+            self._deps.prefill_scheduler.note_sent(
                 self._prefill_job(prompt, tried), choice, self._now()
             )
             tried.append(choice.placement.target.instance)
@@ -369,7 +369,7 @@
         return choice
 
     def _prefill_job(self, prompt: Prompt, tried: list[InstanceId]) -> PrefillJob:
-        avoided = self._choice.avoided(self._out.started)
+        avoided = self._choice.excluded(self._out.started)
         return PrefillJob(
             route=self._route,
             service=self.service,
@@ -394,7 +394,7 @@
             self._choice.check_not_throttled()
             return None
         loads, instance = self._deps.loads, place.target.instance
-        limit_exempt = self._choice.use(instance)
+        limit_exempt = self._choice.record_send(instance)
         loads.note_sent(instance, place.tokens, self._urgency)
         prefill = PendingPrefill(loads, instance, place.tokens, self._urgency)
         self._open_placement = place
