--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -1,8 +1,9 @@
 """What an entry host says of itself to operators."""
 
+import msgspec
+
 from berylshift.application import Application
 from berylshift.version.rows import RowKind
-import msgspec
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
--- a/berylshift/process/control/orders.py
+++ b/berylshift/process/control/orders.py
@@ -8,22 +8,16 @@
 docs/design/leases-and-orders.md.
 """
 
-from berylshift.ids import Epoch
-from berylshift.ids import Incarnation
-from berylshift.ids import OrderNumber
-from berylshift.ids import TargetName
-from berylshift.targets import LoadReport
-from berylshift.targets import Order
-from berylshift.targets import OrderKind
-from berylshift.targets import Role
-from berylshift.version.rows import OrderCheck
 from collections.abc import Callable
-from dataclasses import dataclass
-from dataclasses import field
-from enum import Enum
-from enum import StrEnum
+from dataclasses import dataclass, field
+from enum import Enum, StrEnum
+
 import msgspec
 
+from berylshift.ids import Epoch, Incarnation, OrderNumber, TargetName
+from berylshift.targets import LoadReport, Order, OrderKind, Role
+from berylshift.version.rows import OrderCheck
+
 DEAD_SENDER_WAIT_SECONDS = 10.0
 REPORT_GRACE_SECONDS = 3.0
 
