--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -1,9 +1,8 @@
 """Status report of an entry host for operators."""
 
-import msgspec
-
 from berylshift.application import Application
 from berylshift.version.rows import RowKind
+import msgspec
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
