--- a/berylshift/connection/server_connection.py
+++ b/berylshift/connection/server_connection.py
@@ -255,7 +255,7 @@
         raise RequestRejectedError(STATUS_TIMEOUT, "request was sent too slowly")
 
     async def _wait_for_bytes(self) -> bool:
-        """Wait for a request's first byte; return whether it arrived."""
+        """Wait for a request's first byte, unless a shutdown ends the wait earlier."""
         if not self.server.accepts_requests:
             return False
         if self.conn.trailing_data[0]:
--- a/berylshift/replay/trace.py
+++ b/berylshift/replay/trace.py
@@ -120,7 +120,7 @@
     try:
         lines = Path(path).read_bytes().splitlines()
     except OSError as exc:
-        error = LineError(0, f"cannot be read: {exc.strerror}")
+        error = LineError(0, f"can't be read: {exc.strerror}")
         return Failure(TraceErrors(path, [error]))
     return parse_trace(path, lines)
 
--- a/berylshift/replay/virtual_fleet.py
+++ b/berylshift/replay/virtual_fleet.py
@@ -228,7 +228,7 @@
         return TableLog(gate, store)
 
     async def start(self) -> None:
-        """Commit the first table, start all parts and wait for all hosts to be ready."""
+        """Commit the first table, start all parts and wait until hosts are ready."""
         await self.table_log().commit(
             Edit(0, self.rows, []), ChangeId("first"), "replay", ""
         )
