--- a/bench/memory.py
+++ b/bench/memory.py
@@ -41,7 +41,7 @@
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         try:
-            fleet = DemoFleet(directory, programs, engine_count=8, daemon_count=1)
+            fleet = DemoFleet(directory, programs, engine_count=8, host_count=1)
             await fleet.start()
             client = HttpClient(connect_seconds=10.0)
             balancer = HttpBalancer(client, fleet.entries)
@@ -55,7 +55,7 @@
             await trio.sleep(SETTLE_SECONDS)
             loaded = resident_kb(pid)
         finally:
-            await programs.end_all()
+            await programs.stop_all()
             nursery.cancel_scope.cancel()
     return [
         {"daemon": "idle", "resident_kb": idle},
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -35,7 +35,7 @@
         names.ATTEMPT_ID.decode(): f"{kind}-{number}-{pieces}",
         names.TIME_LEFT_MS.decode(): "60000",
     }
-    headers |= demo.shown_key()
+    headers |= demo.auth_header()
     if pieces:
         headers |= {**PROMPT, "x-pieces": str(pieces)}
     return Outgoing(demo.hosts[0].address, "POST", f"/{kind}/x", headers, b"{}")
@@ -54,7 +54,7 @@
     """Return microseconds of processor time for a plain request."""
     before = processor_seconds(pid)
     for number in range(REQUESTS):
-        await _ask(demo, _request(demo, Kind.LOOK, number))
+        await _ask(demo, _request(demo, Kind.LOOKUP, number))
     return (processor_seconds(pid) - before) / REQUESTS * 1e6
 
 
@@ -119,7 +119,7 @@
         try:
             return await _measure(EntryDemo(directory, programs))
         finally:
-            await programs.end_all()
+            await programs.stop_all()
             nursery.cancel_scope.cancel()
 
 
--- a/bench/start.py
+++ b/bench/start.py
@@ -30,9 +30,9 @@
                         await trio.sleep(POLL_SECONDS)
                 used.append(processor_seconds(pid))
                 resident.append(resident_kb(pid))
-                await programs.end(host.name)
+                await programs.stop(host.name)
         finally:
-            await programs.end_all()
+            await programs.stop_all()
     return [
         {
             "starts": STARTS,
--- a/berylshift/tests/test_replay_trace.py
+++ b/berylshift/tests/test_replay_trace.py
@@ -111,7 +111,7 @@
 
     def test_command_exits_1_where_the_outcome_is_not_met(self):
         code, _ = self.run_command(self.trace(expect=Expect(goodput_min=1.1)))
-        self.assertEqual(code, Exit.NOT_DONE)
+        self.assertEqual(code, Exit.FAILED)
 
     def test_command_prints_one_json_object_a_trace(self):
         code, text = self.run_command(self.trace(), "--json")
--- a/berylshift/tests/test_signals.py
+++ b/berylshift/tests/test_signals.py
@@ -54,7 +54,7 @@
                 names.TOKEN_COUNTS.decode(): "3000,80",
                 names.PROMPT_PARTS.decode(): "a1:2000,ff:1000",
                 "x-pieces": str(PIECES),
-                **demo.shown_key(),
+                **demo.auth_header(),
             }
             address = demo.hosts[0].address
             out = Outgoing(address, "POST", "/note/x", headers, b"{}", reuse=False)
@@ -78,7 +78,7 @@
                     await demo.start(hosts=1)
                     return await ask(demo)
                 finally:
-                    await programs.end_all()
+                    await programs.stop_all()
                     nursery.cancel_scope.cancel()
 
         with tempfile.TemporaryDirectory() as folder:
--- a/berylshift/tests/test_tools_log_reader.py
+++ b/berylshift/tests/test_tools_log_reader.py
@@ -1,4 +1,4 @@
-"""From a request's id to what its host knew."""
+"""Tests of the explain command on hosts' logs."""
 
 import json
 import tempfile
@@ -39,17 +39,17 @@
 
 
 class ExplainTest(unittest.TestCase):
-    """A request that failed."""
+    """The log lines that explain one request."""
 
-    def test_own_line_and_what_held_before_it(self):
-        shown = explain(read_lines(LOG), "r1")
-        self.assertIn("request ended", shown[0])
-        text = "\n".join(shown[1:])
+    def test_own_line_and_state_before_it(self):
+        output = explain(read_lines(LOG), "r1")
+        self.assertIn("request ended", output[0])
+        text = "\n".join(output[1:])
         self.assertIn("routes in force: version=3", text)
         self.assertIn("removed=['i-1']", text)
         self.assertNotIn("store lost", text)
 
-    def test_other_tries_of_the_same_request_on_all_hosts(self):
+    def test_other_attempts_of_the_same_request_on_all_hosts(self):
         log = [
             line("10:00:02,000", "h2", "request ended", request="r2", same="a1"),
             line("10:00:01,000", "h1", "request ended", request="r1", same="a1"),
@@ -57,10 +57,10 @@
             line("10:00:03,000", "h3", "request ended", request="r4", same="b2"),
             line("10:00:04,000", "h3", "request ended", request="r5", same=None),
         ]
-        shown = explain(read_lines(log), "r2")
-        self.assertEqual(len(shown), 3)
-        self.assertIn("h1  request ended: same=a1", shown[1])
-        self.assertIn("h3  turned away: same=a1", shown[2])
+        output = explain(read_lines(log), "r2")
+        self.assertEqual(len(output), 3)
+        self.assertIn("h1  request ended: same=a1", output[1])
+        self.assertIn("h3  turned away: same=a1", output[2])
 
     def test_unknown_request(self):
         self.assertEqual(explain(read_lines(LOG), "r2"), [])
@@ -70,14 +70,14 @@
             path = Path(name, "hosts.log")
             path.write_text("\n".join(LOG), encoding="utf-8")
             tester = CommandTester(ExplainCommand())
-            found = tester.execute(f"r1 --log {path}")
+            explained = tester.execute(f"r1 --log {path}")
             missing = tester.execute(f"r2 --log {path}")
             unreadable = tester.execute(f"r1 --log {path}.gone")
-        self.assertEqual((found, missing), (Exit.OK, Exit.NOT_DONE))
+        self.assertEqual((explained, missing), (Exit.OK, Exit.FAILED))
         self.assertEqual(unreadable, Exit.BAD_INPUT)
 
 
-def ended(at: str, request: str, outcome: str, *sends: str, **values) -> str:
+def ended_line(at: str, request: str, outcome: str, *sends: str, **values) -> str:
     """Return the line of a request that ended."""
     return line(
         at,
@@ -90,10 +90,12 @@
     )
 
 
-READ = "i-1 read home done predicted=20ms tokens=9000 again=6300 ahead=0 standing=late"
-DAY = [
-    ended("10:00:00,100", "r1", "answered", f"{READ} 40ms"),
-    ended(
+PREFILL = (
+    "i-1 read home done predicted=20ms tokens=9000 again=6300 ahead=0 standing=late"
+)
+LOG_OF_REQUESTS = [
+    ended_line("10:00:00,100", "r1", "answered", f"{PREFILL} 40ms"),
+    ended_line(
         "10:00:00,900",
         "r2",
         "answered",
@@ -103,38 +105,40 @@
         " standing=on-time 45ms",
         first_ms=60.0,
     ),
-    ended("10:00:01,500", "r3", "hopeless", detail="first piece in 2.31 s"),
-    ended("10:00:01,600", "r4", "hopeless", "no budget", detail="first piece in 4 s"),
+    ended_line("10:00:01,500", "r3", "hopeless", detail="first piece in 2.31 s"),
+    ended_line(
+        "10:00:01,600", "r4", "hopeless", "no budget", detail="first piece in 4 s"
+    ),
     line("10:00:02,200", "h1", "turned away", request="r5", reason="leaving"),
     line("10:00:02,000", "h1", "store lost", feed="routes"),
 ]
 
 
 class SummaryTest(unittest.TestCase):
-    """Many requests at once."""
+    """The summary of many requests."""
 
     def setUp(self):
-        tables = summarize(read_requests(read_lines(DAY)))
+        tables = summarize(read_requests(read_lines(LOG_OF_REQUESTS)))
         self.rows = {table.title: table.rows for table in tables}
 
     def test_outcomes_and_waits(self):
         found = self.rows["Outcomes and waits by route"]
-        away = ["-", "1", "turned away 1", "-", "-", "-"]
+        refused = ["-", "1", "turned away 1", "-", "-", "-"]
         check = ["check", "4", "answered 2, hopeless 2", "50", "40", "60"]
-        self.assertEqual(found, [away, check])
+        self.assertEqual(found, [refused, check])
 
-    def test_reasons_that_differ_by_a_number_are_one(self):
+    def test_reasons_that_differ_by_a_number_are_grouped(self):
         found = self.rows["Not answered, by reason"]
         self.assertEqual(found[0], ["check", "hopeless", "first piece in N s", "2"])
         self.assertEqual(found[1], ["-", "turned away", "leaving", "1"])
 
-    def test_sends_and_readings(self):
-        sends = {tuple(row[1:4]): row[5] for row in self.rows["Sends"]}
-        self.assertEqual(sends["read", "home", "late"], "1")
-        self.assertEqual(sends["answer", "least-loaded", "on-time"], "1")
-        (reads,) = self.rows["Prompts read apart"]
-        self.assertEqual(reads[:4], ["check", "2", "11000", "6300"])
-        self.assertEqual(reads[4], "0.75")
+    def test_attempts_and_prefills(self):
+        attempts = {tuple(row[1:4]): row[5] for row in self.rows["Sends"]}
+        self.assertEqual(attempts["read", "home", "late"], "1")
+        self.assertEqual(attempts["answer", "least-loaded", "on-time"], "1")
+        (prefills,) = self.rows["Prompts read apart"]
+        self.assertEqual(prefills[:4], ["check", "2", "11000", "6300"])
+        self.assertEqual(prefills[4], "0.75")
 
     def test_seconds(self):
         found = [row[:4] for row in self.rows["By second of the first line"]]
@@ -145,17 +149,17 @@
     def test_command(self):
         with tempfile.TemporaryDirectory() as name:
             path, empty = Path(name, "hosts.log"), Path(name, "empty.log")
-            path.write_text("\n".join(DAY), encoding="utf-8")
+            path.write_text("\n".join(LOG_OF_REQUESTS), encoding="utf-8")
             empty.write_text("", encoding="utf-8")
             tester = CommandTester(ExplainCommand())
-            ends = [
+            codes = [
                 tester.execute(f"--summary --log {path}"),
                 tester.execute(f"--summary --log {empty}"),
                 tester.execute("--summary"),
                 tester.execute(f"r1 --summary --log {path}"),
             ]
-        wanted = [Exit.OK, Exit.NOT_DONE, Exit.BAD_INPUT, Exit.BAD_INPUT]
-        self.assertEqual(ends, wanted)
+        expected = [Exit.OK, Exit.FAILED, Exit.BAD_INPUT, Exit.BAD_INPUT]
+        self.assertEqual(codes, expected)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_tools_run_tests.py
+++ b/berylshift/tests/test_tools_run_tests.py
@@ -1,57 +1,59 @@
-"""The test runner: a hanging test fails and the run goes on."""
+"""Tests of the test runner's time limit and records."""
 
 import io
 import subprocess
 import sys
 import unittest
 
-from berylshift.tools.run_tests import NamingResult
+from berylshift.tools.run_tests import RecordingResult
 
 SCRIPT = """
 import io, unittest
-from berylshift.tools.run_tests import NamingResult
+from berylshift.tools.run_tests import RecordingResult
 
-class Hanging(unittest.TestCase):
+class HangTest(unittest.TestCase):
     def test_a_hangs(self):
         while True:
             pass
     def test_b_passes(self):
         pass
 
-class Quick(NamingResult):
+class ShortLimitResult(RecordingResult):
     seconds = 0.3
 
-suite = unittest.TestLoader().loadTestsFromTestCase(Hanging)
-result = unittest.TextTestRunner(io.StringIO(), resultclass=Quick).run(suite)
+suite = unittest.TestLoader().loadTestsFromTestCase(HangTest)
+result = unittest.TextTestRunner(io.StringIO(), resultclass=ShortLimitResult).run(suite)
 print(sorted(result.failed), result.passed)
 """
 
 
 class TimeoutTest(unittest.TestCase):
-    """Each test has its time."""
+    """The time limit of each test, and failures of subtests."""
 
     def test_a_hanging_test_fails_and_the_next_one_runs(self):
-        # A real fault once made a wait round to nothing: the loop spun, the run hung,
-        # and ten minutes went by before anyone knew which test it was.
+        # A wait whose time is rounded down to zero makes an event loop spin without
+        # end. Without a limit the whole run hangs and does not name the test.
         out = subprocess.run(
             [sys.executable, "-c", SCRIPT], capture_output=True, text=True, check=True
         )
         self.assertEqual(
             out.stdout.strip(),
-            "['__main__.Hanging.test_a_hangs'] ['__main__.Hanging.test_b_passes']",
+            "['__main__.HangTest.test_a_hangs'] ['__main__.HangTest.test_b_passes']",
         )
 
-    def test_failures_of_parts_are_named(self):
-        class Parts(unittest.TestCase):
-            def test_parts(self):
-                with self.subTest(part=1):
+    def test_failures_of_subtests_are_recorded(self):
+        class Subtests(unittest.TestCase):
+            def test_subtests(self):
+                with self.subTest(number=1):
                     self.fail()
 
-        result = NamingResult(unittest.runner._WritelnDecorator(io.StringIO()), True, 1)
-        Parts("test_parts").run(result)
+        result = RecordingResult(
+            unittest.runner._WritelnDecorator(io.StringIO()), True, 1
+        )
+        Subtests("test_subtests").run(result)
         self.assertEqual(len(result.failed), 1)
-        # This run's own alarm goes on after the inner one's end.
-        result._alarm.start()
+        # The inner result's stopTest cancelled the timer of this test; restart it.
+        result._timeout.start()
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_tools_usage.py
+++ b/berylshift/tests/test_tools_usage.py
@@ -1,4 +1,4 @@
-"""The windows of usage that hosts' logs name."""
+"""Tests of the usage command on hosts' logs."""
 
 import tempfile
 import unittest
@@ -16,7 +16,7 @@
     line("10:00:02,100", "h1", "usage sent", window=7, answer="unknown"),
     line("10:00:02,500", "h1", "usage sent", window=7, answer="done"),
 ]
-MISSED = line("10:00:19,000", "h2", "usage given up", window=8, reason="too late")
+GIVEN_UP = line("10:00:19,000", "h2", "usage given up", window=8, reason="too late")
 
 
 class UsageCommandTest(unittest.TestCase):
@@ -30,19 +30,19 @@
             tester.execute(f"--log={path}")
         return tester
 
-    def test_a_window_by_its_lines(self):
+    def test_window_is_read_from_its_lines(self):
         window = read_windows(read_lines(reversed(DONE)))[0]
         self.assertEqual((window.requests, window.customers), (95, 16))
         self.assertEqual((window.answer, window.sends), ("done", 2))
 
-    def test_a_window_that_was_missed_fails(self):
-        tester = self.run_command([*DONE, MISSED])
-        self.assertEqual(tester.status_code, Exit.NOT_DONE)
+    def test_unreported_window_fails_the_command(self):
+        tester = self.run_command([*DONE, GIVEN_UP])
+        self.assertEqual(tester.status_code, Exit.FAILED)
         self.assertIn("given up: too late", tester.io.fetch_output())
         self.assertEqual(self.run_command(DONE).status_code, Exit.OK)
 
-    def test_logs_without_a_window_say_so(self):
-        self.assertEqual(self.run_command(["nothing"]).status_code, Exit.NOT_DONE)
+    def test_logs_without_a_window_fail_the_command(self):
+        self.assertEqual(self.run_command(["nothing"]).status_code, Exit.FAILED)
 
 
 if __name__ == "__main__":
--- a/berylshift/tools/__init__.py
+++ b/berylshift/tools/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool and the programs around it."""
+"""The command-line tool, demonstrations and test runner."""
--- a/berylshift/tools/cli.py
+++ b/berylshift/tools/cli.py
@@ -20,7 +20,7 @@
 
 
 def make_application() -> Application:
-    """Return the tool with all its commands."""
+    """Return the application with all its commands."""
     app = Application("berylshift", __version__)
     commands = [
         TableShow(),
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Run the tool."""
+    """Run the command-line application."""
     sys.exit(make_application().run())
 
 
--- a/berylshift/tools/demo.py
+++ b/berylshift/tools/demo.py
@@ -1,7 +1,7 @@
-"""The demonstration: a small fleet in separate processes, and a trace with events.
+"""Replays a trace with events against a small fleet in separate processes.
 
-Prints one JSON object as its last line; exits 1 unless nothing was lost, doubled
-or cut.
+Prints one JSON object as its last line; exits 1 if any request was lost, run twice
+or cut off.
 """
 
 import random
@@ -27,8 +27,8 @@
 )
 from berylshift.tools.demo_fleet import (
     CUSTOMERS,
-    DAEMONS,
     FLEET,
+    HOSTS,
     MODEL,
     SEED,
     SERVICE,
@@ -42,14 +42,14 @@
 
 
 def make_trace() -> Trace:
-    """Return the demonstration's trace: streams, lookups and confirmations."""
+    """Return a trace of streams, lookups and confirmations, with three events."""
     rng = random.Random(SEED)
     requests = []
     for number in range(REQUESTS):
         at_ms = int(number * TRACE_SECONDS * 1000 / REQUESTS)
         customer = rng.choice(CUSTOMERS)
-        share = rng.random()
-        if share < 0.5:
+        draw = rng.random()
+        if draw < 0.5:
             request = TraceRequest(
                 at_ms=at_ms,
                 caller=f"parent-{number}",
@@ -71,7 +71,7 @@
                 kind=Kind.SERVICE,
                 service=SERVICE,
                 deadline_ms=5000,
-                idempotent=share < 0.75,
+                idempotent=draw < 0.75,
             )
         requests.append(request)
     events = [
@@ -84,7 +84,7 @@
 
 
 async def run_demo(directory: Path) -> ReplayResult:
-    """Start the fleet, play the trace, end the fleet."""
+    """Start the fleet, replay the trace, then stop all processes."""
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         try:
@@ -93,7 +93,7 @@
             client = HttpClient()
             balancer = HttpBalancer(client, fleet.entries)
             with trio.fail_after(START_SECONDS):
-                await balancer.wait_until_ready(DAEMONS)
+                await balancer.wait_until_ready(HOSTS)
             nursery.start_soon(balancer.run)
             tokens = {name: f"token-{name}" for name in CUSTOMERS}
             replay = HttpFleet(
@@ -104,21 +104,21 @@
             _print_logs(directory)
             raise
         finally:
-            await programs.end_all()
+            await programs.stop_all()
             nursery.cancel_scope.cancel()
 
 
 async def _run_until_interrupted(directory: Path) -> ReplayResult | None:
-    """Run the demonstration; SIGINT and SIGTERM end it with all its processes."""
+    """Run the demonstration; SIGINT and SIGTERM stop it and all its processes."""
     result = None
     async with trio.open_nursery() as nursery:
 
-        async def watch() -> None:
+        async def cancel_on_signal() -> None:
             with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
                 async for _ in signals:
                     nursery.cancel_scope.cancel()
 
-        nursery.start_soon(watch)
+        nursery.start_soon(cancel_on_signal)
         result = await run_demo(directory)
         nursery.cancel_scope.cancel()
     return result
@@ -131,10 +131,10 @@
         if result is None:
             sys.stdout.write("interrupted\n")
             sys.exit(130)
-        bad = result.lost + result.doubled + result.cut
-        if bad:
+        violations = result.lost + result.doubled + result.cut
+        if violations:
             _print_logs(Path(name))
-    shown = (
+    fields = (
         "requests",
         "complete",
         "not_run",
@@ -145,9 +145,9 @@
         "goodput",
         "role_changes",
     )
-    summary = {key: getattr(result, key) for key in shown}
+    summary = {key: getattr(result, key) for key in fields}
     sys.stdout.write(msgspec.json.encode(summary).decode() + "\n")
-    sys.exit(1 if bad else 0)
+    sys.exit(1 if violations else 0)
 
 
 def _print_logs(directory: Path) -> None:
--- a/berylshift/tools/demo_entry.py
+++ b/berylshift/tools/demo_entry.py
@@ -1,8 +1,9 @@
-"""The demonstration on the platform's protocol: hosts, a store, engines, a service.
+"""Demonstrates entry hosts that use the platform's protocol.
 
-All are separate processes. One host gets SIGTERM, one engine is killed, the routes
-change, and the store comes back from an older copy while 240 requests run. Prints one
-JSON object as its last line; exits 1 unless nothing was lost, doubled or cut.
+Hosts, a store, engines and a service run as separate processes. One host gets SIGTERM,
+one engine is killed, the routes change, and the store is restored from an older copy
+while 240 requests run. Prints one JSON object as its last line; exits 1 if any request
+was lost, run twice or cut off.
 """
 
 import random
@@ -24,17 +25,18 @@
 from berylshift.tools.processes import Programs
 
 REQUESTS = 240
-SECONDS = 10.0
+DURATION_SECONDS = 10.0
 HOSTS = 3
 SEED = 1
 READY_SECONDS = 20.0
 READY_POLL_SECONDS = 0.05
-PIECES = 6
-# How old the copy is from which the store comes back, and when it is whole again.
-OLDER_SECONDS = 1.5
-AGAIN_SECONDS = 1.0
+STREAM_EVENTS = 6
+# Age of the copy that the store is restored from, and the delay until the rows that
+# hosts do not write themselves are written again.
+RESTORED_COPY_AGE_SECONDS = 1.5
+REWRITE_DELAY_SECONDS = 1.0
 SITE = "shop.example"
-# Keys of the one customer; each request shows one of them.
+# API keys of the only customer; each request carries one of them.
 KEYS = ("demonstration-key-1", "demonstration-key-2")
 SETTINGS = """[host]
 name = {name}
@@ -53,15 +55,15 @@
 
 
 class Kind(StrEnum):
-    """What a request asks for."""
+    """The route that a request uses."""
 
     NOTE = "note"
-    LOOK = "look"
-    BOOK = "book"
+    LOOKUP = "look"
+    BOOKING = "book"
 
 
-class End(StrEnum):
-    """How a request ended for its caller."""
+class Outcome(StrEnum):
+    """The outcome of a request as its caller sees it."""
 
     COMPLETE = "complete"
     NOT_RUN = "not-run"
@@ -72,7 +74,7 @@
 
 @dataclass
 class Summary:
-    """What the demonstration shows."""
+    """Request counts that the demonstration prints."""
 
     requests: int = 0
     complete: int = 0
@@ -85,7 +87,7 @@
 
 @dataclass
 class Host:
-    """One entry host's addresses."""
+    """One entry host's addresses, and whether callers may still use it."""
 
     name: str
     address: str
@@ -95,7 +97,7 @@
 
 @dataclass
 class EntryDemo:
-    """The running parts."""
+    """The running processes, and the outcomes of the requests sent so far."""
 
     directory: Path
     programs: Programs
@@ -103,13 +105,13 @@
     store: str = ""
     hosts: list[Host] = field(default_factory=list)
     replicas: dict[str, str] = field(default_factory=dict)
-    ends: list[End] = field(default_factory=list)
+    outcomes: list[Outcome] = field(default_factory=list)
     version: int = 1
     keys: tuple[str, ...] = KEYS
     host_ready_seconds: float = 0.0
 
     async def start(self, hosts: int = HOSTS) -> None:
-        """Start store, replicas and hosts; return once the hosts are ready."""
+        """Start store, replicas and hosts; return once all hosts are ready."""
         self.store = (await self.programs.start_stand_in("store", "store")).address
         await self._start_replica("plain-1", "desk", "")
         await self._start_replica("plain-2", "desk", "")
@@ -160,7 +162,7 @@
         return host
 
     async def is_ready(self, host: Host) -> bool:
-        """Return whether a host says that it takes callers."""
+        """Return whether a host reports that it accepts requests."""
         out = Outgoing(host.status, "GET", "/ready", {}, reuse=False)
         try:
             async with self.client.request(out) as resp:
@@ -169,29 +171,29 @@
             return False
 
     async def put_routes(self) -> None:
-        """Write the next version of the routes."""
+        """Write the configuration to the store under the next version."""
         self.version += 1
         await self._write_routes()
 
     async def _write_routes(self) -> None:
         kinds = {
             Kind.NOTE: ("streaming", "writer", 1),
-            Kind.LOOK: ("idempotent", "desk", 2),
-            Kind.BOOK: ("non_idempotent", "desk", 1),
+            Kind.LOOKUP: ("idempotent", "desk", 2),
+            Kind.BOOKING: ("non_idempotent", "desk", 1),
         }
         routes = [
             {
                 "name": kind,
                 "host": SITE,
                 "prefix": f"/{kind}/",
-                "route_kind": word,
+                "route_kind": route_kind,
                 "timeout_ms": 5000,
                 "target_latency_ms": 500,
                 "service": service,
-                "max_attempts": attempts,
+                "max_attempts": max_attempts,
                 "session_affinity": kind is Kind.NOTE,
             }
-            for kind, (word, service, attempts) in kinds.items()
+            for kind, (route_kind, service, max_attempts) in kinds.items()
         ]
         services = [{"name": "desk"}, {"name": "writer"}]
         config = {
@@ -209,7 +211,7 @@
         await self._transact({"write": [row]})
 
     async def remove(self, table: str, key: str) -> None:
-        """Remove a row."""
+        """Remove a row from the store."""
         await self._transact({"remove": [{"table": table, "key": key}]})
 
     async def _transact(self, body: object) -> None:
@@ -220,82 +222,82 @@
 
     # Callers
 
-    def shown_key(self) -> dict[str, str]:
-        """Return the header by which a caller shows one of its customer's keys."""
+    def auth_header(self) -> dict[str, str]:
+        """Return the authorization header with one of the customer's API keys."""
         if not self.keys:
             return {}
         return {names.AUTHORIZATION.decode(): f"Bearer {random.choice(self.keys)}"}
 
-    async def ask(self, request: str, kind: Kind) -> None:
-        """Send a request to a host that takes new ones, and judge the answer."""
+    async def send_request(self, request: str, kind: Kind) -> None:
+        """Send a request to a random host in service and record its outcome."""
         headers = {
             "host": SITE,
             names.ATTEMPT_ID.decode(): request,
             names.TIME_LEFT_MS.decode(): "5000",
         }
-        headers |= self.shown_key()
+        headers |= self.auth_header()
         if kind is Kind.NOTE:
             headers[names.TOKEN_COUNTS.decode()] = "3000,80"
             headers[names.PROMPT_PARTS.decode()] = "a1:2000,ff:1000"
-            headers["x-pieces"] = str(PIECES)
+            headers["x-pieces"] = str(STREAM_EVENTS)
         host = random.choice([host for host in self.hosts if host.serving])
         out = Outgoing(host.address, "POST", f"/{kind}/x", headers, b"{}", reuse=False)
         try:
             async with self.client.request(out) as resp:
                 body = await resp.read()
-                self.ends.append(_judge(request, kind, resp.status, body))
+                self.outcomes.append(_classify(request, kind, resp.status, body))
         except ConnectionLayerError:
-            self.ends.append(End.CUT)
+            self.outcomes.append(Outcome.CUT)
 
-    async def runs(self) -> list[str]:
-        """Return what ran at the plain service, by request."""
-        found: list[str] = []
+    async def fetch_runs(self) -> list[str]:
+        """Return the ids of the requests that ran at the plain service."""
+        runs: list[str] = []
         for name in ("plain-1", "plain-2"):
             out = Outgoing(self.replicas[name], "GET", RUNS_PATH, {}, reuse=False)
             async with self.client.request(out) as resp:
-                found += msgspec.json.decode(await resp.read(), type=list[str])
-        return found
+                runs += msgspec.json.decode(await resp.read(), type=list[str])
+        return runs
 
-    async def trouble(self) -> None:
-        """Stop a host, kill an engine, change the routes."""
-        await trio.sleep(SECONDS * 0.25)
+    async def inject_faults(self) -> None:
+        """Stop a host, kill an engine, change the routes, restore the store."""
+        await trio.sleep(DURATION_SECONDS * 0.25)
         self.programs.signal(self.hosts[1].name, signal.SIGTERM)
         await trio.sleep(1.0)
         self.hosts[1].serving = False
-        await trio.sleep(SECONDS * 0.15)
+        await trio.sleep(DURATION_SECONDS * 0.15)
         self.programs.signal("read-2", signal.SIGKILL)
-        await trio.sleep(SECONDS * 0.1)
+        await trio.sleep(DURATION_SECONDS * 0.1)
         await self.remove(names.REPLICA_TABLE, "read-2")
         await self.put_routes()
-        await trio.sleep(SECONDS * 0.1)
+        await trio.sleep(DURATION_SECONDS * 0.1)
         await self._restore_store()
 
     async def _restore_store(self) -> None:
-        """Have the store come back older; what is not the hosts' is written again."""
-        path = f"{RESTORE_PATH}?seconds={OLDER_SECONDS}"
+        """Restore an older copy of the store; rewrite the rows that no host owns."""
+        path = f"{RESTORE_PATH}?seconds={RESTORED_COPY_AGE_SECONDS}"
         out = Outgoing(self.store, "POST", path, {}, reuse=False)
         async with self.client.request(out) as resp:
             await resp.read()
-        await trio.sleep(AGAIN_SECONDS)
+        await trio.sleep(REWRITE_DELAY_SECONDS)
         await self._write_routes()
         await self.remove(names.REPLICA_TABLE, "read-2")
 
 
-def _judge(request: str, kind: Kind, status: int, body: bytes) -> End:
+def _classify(request: str, kind: Kind, status: int, body: bytes) -> Outcome:
     if status in (429, 503):
-        return End.NOT_RUN
+        return Outcome.NOT_RUN
     if status != 200:
-        return End.UNKNOWN
-    wanted = f"body of {request}".encode()
+        return Outcome.UNKNOWN
+    expected = f"body of {request}".encode()
     if kind is Kind.NOTE:
-        wanted = b"".join(
-            b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(1, PIECES + 1)
+        expected = b"".join(
+            b"id: %d\ndata: piece-%d\n\n" % (n, n) for n in range(1, STREAM_EVENTS + 1)
         )
-    return End.COMPLETE if body == wanted else End.WRONG
+    return Outcome.COMPLETE if body == expected else Outcome.WRONG
 
 
 async def _free_port() -> int:
-    """Return a port that the kernel says is free."""
+    """Return a currently unused port."""
     sock = trio.socket.socket()
     await sock.bind(("127.0.0.1", 0))
     port = sock.getsockname()[1]
@@ -304,36 +306,36 @@
 
 
 async def run_demo(directory: Path) -> Summary:
-    """Start everything, play the requests, end everything."""
+    """Start all processes, send the requests, then stop all processes."""
     rng = random.Random(SEED)
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         demo = EntryDemo(directory, programs)
         try:
             await demo.start()
-            nursery.start_soon(demo.trouble)
-            async with trio.open_nursery() as asking:
+            nursery.start_soon(demo.inject_faults)
+            async with trio.open_nursery() as callers:
                 for number in range(REQUESTS):
                     kind = rng.choice(list(Kind))
-                    asking.start_soon(demo.ask, f"{kind}-{number}", kind)
-                    await trio.sleep(SECONDS / REQUESTS)
-            summary = _summary(demo.ends, await demo.runs())
+                    callers.start_soon(demo.send_request, f"{kind}-{number}", kind)
+                    await trio.sleep(DURATION_SECONDS / REQUESTS)
+            summary = _summarize(demo.outcomes, await demo.fetch_runs())
             nursery.cancel_scope.cancel()
         finally:
-            await programs.end_all()
+            await programs.stop_all()
     return summary
 
 
-def _summary(ends: list[End], runs: list[str]) -> Summary:
-    booked = [request for request in runs if request.startswith(Kind.BOOK)]
+def _summarize(outcomes: list[Outcome], runs: list[str]) -> Summary:
+    bookings = [request for request in runs if request.startswith(Kind.BOOKING)]
     return Summary(
         requests=REQUESTS,
-        complete=ends.count(End.COMPLETE),
-        not_run=ends.count(End.NOT_RUN),
-        unknown=ends.count(End.UNKNOWN),
-        lost=REQUESTS - len(ends) + ends.count(End.WRONG),
-        doubled=len(booked) - len(set(booked)),
-        cut=ends.count(End.CUT),
+        complete=outcomes.count(Outcome.COMPLETE),
+        not_run=outcomes.count(Outcome.NOT_RUN),
+        unknown=outcomes.count(Outcome.UNKNOWN),
+        lost=REQUESTS - len(outcomes) + outcomes.count(Outcome.WRONG),
+        doubled=len(bookings) - len(set(bookings)),
+        cut=outcomes.count(Outcome.CUT),
     )
 
 
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of the demonstration: platform, targets and entry hosts."""
+"""Starts the demonstration fleet's processes: platform, targets and entry hosts."""
 
 import random
 import signal
@@ -25,7 +25,7 @@
 
 ENGINES = 4
 REPLICAS = 2
-DAEMONS = 3
+HOSTS = 3
 DOMAINS = 4
 FLEET = "nestwatch"
 MODEL = "match-note"
@@ -35,7 +35,7 @@
 
 
 def free_address() -> str:
-    """Return a loopback address whose port the kernel says is free."""
+    """Return a loopback address with a currently unused port."""
     listener = open_listener("127.0.0.1:0")
     address = bound_address(listener)
     listener.socket.close()
@@ -44,12 +44,12 @@
 
 @dataclass
 class DemoFleet:
-    """The processes of the demonstration."""
+    """The running processes of the demonstration fleet and their addresses."""
 
     directory: Path
     programs: Programs
     engine_count: int = ENGINES
-    daemon_count: int = DAEMONS
+    host_count: int = HOSTS
     platform: str = ""
     engines: list[str] = field(default_factory=list)
     replicas: list[str] = field(default_factory=list)
@@ -68,19 +68,19 @@
             )
         for number in range(1, REPLICAS + 1):
             name = f"{SERVICE}-{number}"
-            started = await self.programs.start_stand_in(
+            program = await self.programs.start_stand_in(
                 name, "service", "--name", name
             )
-            self.replicas.append(started.address)
+            self.replicas.append(program.address)
         await self.table_log().commit(
             Edit(0, self._rows(), []), ChangeId("demo-1"), "demo", ""
         )
         self._write_credentials()
-        for number in range(1, self.daemon_count + 1):
-            await self._start_daemon(f"host-{number}", number)
+        for number in range(1, self.host_count + 1):
+            await self._start_host(f"host-{number}", number)
 
     def table_log(self) -> TableLog:
-        """Return the operators' table in the platform."""
+        """Return a client of the operators' table that the platform stores."""
         client = HttpClient()
         rng = random.Random(SEED)
         gate = TableGate(
@@ -131,7 +131,7 @@
         path.touch(mode=0o600)
         path.write_bytes(msgspec.json.encode(data))
 
-    async def _start_daemon(self, name: str, number: int) -> None:
+    async def _start_host(self, name: str, number: int) -> None:
         address = free_address()
         text = f"""[host]
 name = {name}
@@ -156,7 +156,7 @@
         self.entries.append(address)
 
     async def act(self, event: TraceEvent) -> None:
-        """Bring an event of the demonstration about."""
+        """Apply a trace event to the fleet and print it."""
         sys.stdout.write(f"{event.at_ms / 1000:5.1f} s  {event.event} {event.who}\n")
         sys.stdout.flush()
         if event.event is EventKind.KILL and event.who.startswith("engine"):
@@ -172,6 +172,6 @@
         row = next(row for row in table.rows.values() if row.target == event.who)
         changed = row_with(row, event.column, event.value).unwrap()
         edit = Edit(table.version, [changed], [])
-        done = await log.commit(edit, ChangeId("demo-2"), "demo", "")
-        if not isinstance(done, Success):
-            raise RuntimeError(f"the demonstration's edit was refused: {done}")
+        result = await log.commit(edit, ChangeId("demo-2"), "demo", "")
+        if not isinstance(result, Success):
+            raise RuntimeError(f"the demonstration's table edit was rejected: {result}")
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -1,4 +1,4 @@
-"""The command that plays the model of the fleet."""
+"""The command that runs the fleet simulation."""
 
 import msgspec
 from cleo.commands.command import Command
@@ -13,35 +13,46 @@
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.tools.session import Exit
 
-PLACING = "placing"
+PLACEMENT_SETTING = "placing"
 
 
 class ExperimentCommand(Command):
-    """Varies one thing over seeds and prints a table."""
+    """Simulates the fleet over several seeds and values of one setting."""
 
     name = "experiment"
-    description = "Play the model of the fleet while one setting varies."
+    description = "Simulate the fleet for several values of one setting."
     options = [
-        option("site", None, "Whose figures.", flag=False, default="nestwatch"),
-        option("day", None, "Which day.", flag=False, default="heavy"),
-        option("seeds", None, "How many seeds.", flag=False, default="5"),
+        option(
+            "site",
+            None,
+            "The site to simulate.",
+            flag=False,
+            default="nestwatch",
+        ),
+        option("day", None, "The traffic pattern.", flag=False, default="heavy"),
+        option("seeds", None, "Number of seeds per value.", flag=False, default="5"),
         option(
             "vary",
             None,
-            "NAME=VALUE,VALUE: a setting, or a constant of the placement.",
+            "NAME=VALUE,VALUE: a setting, or a constant of the placement policy.",
             flag=False,
-            default=f"{PLACING}={','.join(PLACEMENT_POLICIES)}",
+            default=f"{PLACEMENT_SETTING}={','.join(PLACEMENT_POLICIES)}",
         ),
         option("plot", None, "Plot the table to this SVG file.", flag=False),
-        option("plot-day", None, "Plot the day's first seed to it.", flag=False),
-        option("json", None, "Print one JSON object a row."),
+        option(
+            "plot-day",
+            None,
+            "Plot the first seed to this SVG file.",
+            flag=False,
+        ),
+        option("json", None, "Print one JSON object per row."),
     ]
 
     def handle(self) -> int:
-        """Play and print."""
-        fault = self._fault()
-        if fault:
-            self.line_error(f"<error>{fault}</error>")
+        """Run the simulations and print the results."""
+        error = self._option_error()
+        if error:
+            self.line_error(f"<error>{error}</error>")
             return Exit.BAD_INPUT
         name, _, values = self.option("vary").partition("=")
         spec = DAYS[self.option("day")](SITES[self.option("site")])
@@ -57,16 +68,16 @@
             self._plot_day(spec)
         return Exit.OK
 
-    def _fault(self) -> str:
-        """Return what is wrong with the options."""
+    def _option_error(self) -> str:
+        """Return the first error in the options, or an empty string."""
         if self.option("site") not in SITES:
-            return f"--site: one of {', '.join(SITES)}"
+            return f"--site must be one of {', '.join(SITES)}"
         if self.option("day") not in DAYS:
-            return f"--day: one of {', '.join(DAYS)}"
+            return f"--day must be one of {', '.join(DAYS)}"
         if not self.option("seeds").isdigit() or self.option("seeds") == "0":
-            return "--seeds: a number from 1"
+            return "--seeds must be a number from 1"
         if "=" not in self.option("vary"):
-            return "--vary: NAME=VALUE,VALUE"
+            return "--vary must have the form NAME=VALUE,VALUE"
         return ""
 
     def _rows(self, spec: PlaySpec, name: str, values: list[str]) -> list[Row]:
@@ -88,20 +99,22 @@
         fields = [field.name for field in msgspec.structs.fields(Row)]
         table = self.table()
         table.set_headers([name, *fields[1:]])
-        table.set_rows([[_cell(getattr(row, each)) for each in fields] for row in rows])
+        table.set_rows(
+            [[_format_cell(getattr(row, each)) for each in fields] for row in rows]
+        )
         table.render()
 
     def _plot_day(self, spec: PlaySpec) -> None:
-        plays = {}
+        ends_by_policy = {}
         for name in PLACEMENT_POLICIES:
             fleet = ModelFleet(msgspec.structs.replace(spec, placing=name))
             fleet.play()
-            plays[name] = fleet.ends
+            ends_by_policy[name] = fleet.ends
         title = f"{self.option('day')} day of {spec.site.name}: worth by time"
-        plot_day(self.option("plot-day"), title, plays)
+        plot_day(self.option("plot-day"), title, ends_by_policy)
 
 
-def _cell(value: str | float) -> str:
+def _format_cell(value: str | float) -> str:
     if isinstance(value, str):
         return value
     return f"{value:.0f}" if value >= 10 else f"{value:.3f}"
--- a/berylshift/tools/log_reader.py
+++ b/berylshift/tools/log_reader.py
@@ -1,13 +1,14 @@
-"""Reads hosts' log lines and picks what explains one request."""
+"""Parses hosts' logs and selects the lines that explain one request."""
 
 import json
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-# What a reader of a request's line does not need again.
-LEFT_OUT = frozenset({"asctime", "levelname", "name", "message", "host", "request"})
-# Messages that change what a host believes; the newest of each says what held.
-BELIEFS = (
+# Keys that the formatted line already shows or that every line repeats.
+OMITTED_KEYS = frozenset({"asctime", "levelname", "name", "message", "host", "request"})
+# Messages that report a change of a host's state; the latest one of each before a line
+# describes the state at that time.
+STATE_MESSAGES = (
     "routes in force",
     "replicas changed",
     "replicas gone",
@@ -23,26 +24,26 @@
 
 @dataclass(frozen=True)
 class LogLine:
-    """One log line; ``time`` is the host's calendar time as written."""
+    """One log line; ``time`` is the wall-clock time as the host wrote it."""
 
     time: str
     host: str
     message: str
     values: dict = field(default_factory=dict)
 
-    def shown(self) -> str:
-        """Return the line for people."""
+    def format(self) -> str:
+        """Return the line in a human-readable form."""
         values = " ".join(
             f"{key}={value}"
             for key, value in self.values.items()
-            if key not in LEFT_OUT
+            if key not in OMITTED_KEYS
         )
         return f"{self.time[-12:]}  {self.host}  {self.message}: {values}"
 
 
 def read_lines(lines: Iterable[str]) -> list[LogLine]:
-    """Return the log lines among ``lines``; what stands before each is passed over."""
-    found = []
+    """Return the JSON log lines among ``lines``; text before the JSON is ignored."""
+    parsed = []
     for text in lines:
         start = text.find("{")
         if start < 0:
@@ -58,42 +59,44 @@
                 str(record["message"]),
                 record,
             )
-            found.append(line)
-    return found
+            parsed.append(line)
+    return parsed
 
 
 def explain(lines: list[LogLine], request: str) -> list[str]:
-    """Return what the logs tell of a request: its own lines, and what held then.
+    """Return a request's own log lines and the state of its host at that time.
 
-    Behind them stand the other tries of the same request, on all hosts.
+    The other attempts of the same request, on all hosts, follow.
     """
     own = [line for line in lines if line.values.get("request") == request]
-    shown = [line.shown() for line in own]
+    output = [line.format() for line in own]
     for line in own:
-        shown += [f"  before: {former.shown()}" for former in _beliefs(lines, line)]
-    shown += [f"  same: {line.shown()}" for line in _other_tries(lines, own)]
-    return shown
+        output += [
+            f"  before: {previous.format()}" for previous in _state_before(lines, line)
+        ]
+    output += [f"  same: {line.format()}" for line in _other_attempts(lines, own)]
+    return output
 
 
-def _other_tries(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
-    """Return the lines of other tries of the same request, the oldest first."""
-    same = {line.values.get("same") for line in own} - {None}
-    found = [line for line in lines if line.values.get("same") in same]
+def _other_attempts(lines: list[LogLine], own: list[LogLine]) -> list[LogLine]:
+    """Return the lines of other attempts of the same request, oldest first."""
+    attempt_ids = {line.values.get("same") for line in own} - {None}
+    found = [line for line in lines if line.values.get("same") in attempt_ids]
     return sorted((line for line in found if line not in own), key=lambda ln: ln.time)
 
 
-def _beliefs(lines: list[LogLine], of: LogLine) -> list[LogLine]:
-    """Return what a host last came to believe before a line, and of its replicas."""
-    newest: dict[str, LogLine] = {}
-    instances = {send.split()[0] for send in of.values.get("sends", [])}
+def _state_before(lines: list[LogLine], own: LogLine) -> list[LogLine]:
+    """Return the host's latest state changes before a line, also per named replica."""
+    latest: dict[str, LogLine] = {}
+    instances = {attempt.split()[0] for attempt in own.values.get("sends", [])}
     for line in lines:
-        if line.host != of.host or line.time > of.time:
+        if line.host != own.host or line.time > own.time:
             continue
-        if line.message not in BELIEFS:
+        if line.message not in STATE_MESSAGES:
             continue
-        named = [name for name in instances if name in json.dumps(line.values)]
-        for name in named:
-            newest[f"{line.message} {name}"] = line
-        newest[line.message] = line
-    unique = {id(line): line for line in newest.values()}
+        mentioned = [name for name in instances if name in json.dumps(line.values)]
+        for name in mentioned:
+            latest[f"{line.message} {name}"] = line
+        latest[line.message] = line
+    unique = {id(line): line for line in latest.values()}
     return sorted(unique.values(), key=lambda line: line.time)
--- a/berylshift/tools/make_traces.py
+++ b/berylshift/tools/make_traces.py
@@ -1,4 +1,4 @@
-"""Writes the recorded traces under ``traces/`` anew; each has a fixed seed."""
+"""Regenerates the traces under ``traces/``; each has a fixed seed."""
 
 import sys
 from pathlib import Path
@@ -19,11 +19,11 @@
     make_trace,
 )
 
-STRICT = Expect(lost=0, doubled=0, cut=0, goodput_min=0.95, role_changes_max=4)
+STRICT_EXPECT = Expect(lost=0, doubled=0, cut=0, goodput_min=0.95, role_changes_max=4)
 
 
 def nestwatch() -> Trace:
-    """Return Nestwatch's evening: long histories, then notes, then histories."""
+    """Return Nestwatch's evening: long histories, then short notes, then histories."""
     histories = Mixture(prompt=3000, output=60, plain_share=0.3)
     notes = Mixture(prompt=700, output=220, plain_share=0.3)
     phases = [
@@ -40,11 +40,11 @@
         TraceEvent(100_000, EventKind.STORE_DOWN),
         TraceEvent(110_000, EventKind.STORE_UP),
     ]
-    return make_trace("nestwatch-evening", NESTWATCH, phases, STRICT, events)
+    return make_trace("nestwatch-evening", NESTWATCH, phases, STRICT_EXPECT, events)
 
 
 def consorcio() -> Trace:
-    """Return the Consorcio's morning: spec sheets and quote drafts in turn."""
+    """Return Consorcio's morning: spec sheets and quote drafts alternate."""
     sheets = Mixture(prompt=4500, output=80, plain_share=0.35)
     quotes = Mixture(prompt=600, output=260, plain_share=0.35)
     phases = [
@@ -62,7 +62,7 @@
         TraceEvent(120_000, EventKind.CUT, "host-2", to="store"),
         TraceEvent(135_000, EventKind.HEAL, "host-2", to="store"),
     ]
-    return make_trace("consorcio-morning", CONSORCIO, phases, STRICT, events)
+    return make_trace("consorcio-morning", CONSORCIO, phases, STRICT_EXPECT, events)
 
 
 def main() -> None:
--- a/berylshift/tools/mark_commands.py
+++ b/berylshift/tools/mark_commands.py
@@ -1,4 +1,4 @@
-"""Commands that mark engines, replicas and hosts as leaving or back."""
+"""Commands that set the state of engines, replicas and hosts in the table."""
 
 import trio
 from cleo.helpers import argument, option
@@ -18,8 +18,8 @@
 from berylshift.version.rows import Row, RowKind, RowState
 from berylshift.version.sheet import row_with
 
-WAIT_STEP = 0.5
-MARKS = {
+POLL_SECONDS = 0.5
+STATES_BY_VERB = {
     "drain": RowState.DRAINING,
     "replace": RowState.REPLACED,
     "withdraw": RowState.WITHDRAWN,
@@ -28,65 +28,70 @@
 
 
 class MarkCommand(PlatformCommand):
-    """Marks one row; a subclass names the kind and the mark."""
+    """Sets the state of one row; a subclass names the row's kind and the state."""
 
-    mark = RowState.ACTIVE
+    state = RowState.ACTIVE
     arguments = [argument("name", "The row's target.")]
     options = [
         CONFIG,
         PLATFORM,
         option(
-            "wait", None, "Wait up to this many seconds for it to be empty.", flag=False
+            "wait",
+            None,
+            "Wait up to this many seconds until it has no open requests.",
+            flag=False,
         ),
         option("address", None, "With restore: the new IP:PORT.", flag=False),
     ]
 
-    async def work(self, session: PlatformSession) -> int:
-        """Commit the mark, then wait if asked to."""
+    async def run_session(self, session: PlatformSession) -> int:
+        """Commit the new state, then wait if ``--wait`` is given."""
         table = await session.log.load()
         row = self.row(table)
-        changed = row_with(row, "state", self.mark.value).unwrap()
+        changed = row_with(row, "state", self.state.value).unwrap()
         if self.option("address"):
             changed = row_with(changed, "address", self.option("address")).unwrap()
-        done = await session.commit(Edit(table.version, [changed], []))
-        code = self.report(done)
+        result = await session.commit(Edit(table.version, [changed], []))
+        code = self.print_result(result)
         if code is not Exit.OK or not self.option("wait"):
             return code
-        return await self._wait(session, done.unwrap().change.version)
+        return await self._wait(session, result.unwrap().change.version)
 
     def row(self, table) -> Row:
-        """Return the row to be marked."""
+        """Return the row whose state is set."""
         row = find_row(table, self.argument("name"), "")
         if row.kind not in (RowKind.ENGINE, RowKind.SERVICE):
-            raise ToolError(Exit.BAD_INPUT, f"{row.key} is no engine or replica")
+            raise ToolError(
+                Exit.BAD_INPUT, f"{row.key} is neither an engine nor a service replica"
+            )
         return row
 
     async def _wait(self, session: PlatformSession, version: int) -> int:
-        """Wait until every listed host holds the version and has no work there."""
+        """Wait until all listed hosts have the version and no open requests there."""
         name = self.argument("name")
         with trio.move_on_after(float(self.option("wait"))):
             while not await self._is_empty(session, name, version):
-                await trio.sleep(WAIT_STEP)
+                await trio.sleep(POLL_SECONDS)
             self.line(f"{name} is empty")
             return Exit.OK
-        self.line_error(f"<error>{name} still has work; see 'status'</error>")
-        return Exit.NOT_DONE
+        self.line_error(f"<error>{name} still has open requests; see 'status'</error>")
+        return Exit.FAILED
 
     async def _is_empty(
         self, session: PlatformSession, name: str, version: int
     ) -> bool:
         for entry in await session.hosts():
-            status = decode_or_none(await session.ask(entry, "/status"), HostStatus)
+            status = decode_or_none(await session.fetch(entry, "/status"), HostStatus)
             if status is None or status.table_version < version:
                 return False
-            here = [target for target in status.targets if target.target == name]
-            if any(target.open_here for target in here):
+            matching = [target for target in status.targets if target.target == name]
+            if any(target.open_here for target in matching):
                 return False
         return True
 
 
 class HostMarkCommand(MarkCommand):
-    """Marks an entry host; it needs no row before."""
+    """Sets the state of an entry host, which need not have a row yet."""
 
     options = [CONFIG, PLATFORM]
 
@@ -96,23 +101,23 @@
         return table.hosts.get(name) or Row(RowKind.HOST, name)
 
     def option(self, name: str | None = None):
-        """Return an option; hosts have neither a wait nor an address."""
+        """Return an option's value; hosts have no ``--wait`` and no ``--address``."""
         if name in ("wait", "address"):
             return None
         return super().option(name)
 
 
 def make_mark_commands() -> list[MarkCommand]:
-    """Return a command for each kind and mark."""
-    found = []
+    """Return a command for each kind of row and each verb."""
+    commands = []
     for noun, base in (("engine", MarkCommand), ("host", HostMarkCommand)):
-        for verb, state in MARKS.items():
+        for verb, state in STATES_BY_VERB.items():
             attributes = {
                 "__doc__": f"Marks {noun}s as {state}.",
                 "name": f"{noun} {verb}",
                 "description": f"Mark the {noun} as {state}.",
-                "mark": state,
+                "state": state,
             }
-            kind = type(f"{noun.title()}{verb.title()}", (base,), attributes)
-            found.append(kind())
-    return found
+            command_class = type(f"{noun.title()}{verb.title()}", (base,), attributes)
+            commands.append(command_class())
+    return commands
--- a/berylshift/tools/processes.py
+++ b/berylshift/tools/processes.py
@@ -1,4 +1,4 @@
-"""Starts the programs of a demonstration, and ends exactly those."""
+"""Starts the processes of a demonstration and stops only these."""
 
 import os
 import signal
@@ -9,13 +9,13 @@
 
 import trio
 
-END_SECONDS = 15.0
+STOP_SECONDS = 15.0
 START_SECONDS = 20.0
 
 
 @dataclass
 class Program:
-    """One started program."""
+    """A started process; ``address`` is set for stand-ins only."""
 
     name: str
     process: trio.Process
@@ -24,14 +24,14 @@
 
 @dataclass
 class Programs:
-    """The programs started so far, by name."""
+    """The processes started so far, by name."""
 
     log_dir: Path
     nursery: trio.Nursery
     running: dict[str, Program] = field(default_factory=dict)
 
     async def start(self, name: str, *args: str) -> Program:
-        """Start ``python -m args``; its errors go to a log file."""
+        """Start ``python -m args``; its stderr goes to a log file."""
         log_file = (self.log_dir / f"{name}.log").open("ab")
         process = await trio.lowlevel.open_process(
             [sys.executable, "-m", *args],
@@ -45,37 +45,39 @@
         return program
 
     async def start_stand_in(self, name: str, *args: str) -> Program:
-        """Start a stand-in and learn the port that the kernel gave it."""
+        """Start a stand-in on a free port and wait until it prints its address."""
         program = await self.start(
             name, "berylshift.stand_ins", *args, "--address", "127.0.0.1:0"
         )
         line = b""
         with trio.fail_after(START_SECONDS):
             while not line.endswith(b"\n"):
-                part = await program.process.stdout.receive_some()
-                if not part:
-                    raise RuntimeError(f"{name} did not start; see its log")
-                line += part
+                data = await program.process.stdout.receive_some()
+                if not data:
+                    raise RuntimeError(
+                        f"{name} exited before it printed its address; see its log"
+                    )
+                line += data
         program.address = line.decode().split()[1]
         return program
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a program."""
+        """Send a signal to a process unless it has exited."""
         process = self.running[name].process
         if process.poll() is None:
             os.kill(process.pid, number)
 
-    async def end(self, name: str) -> int:
-        """Ask a program to end, and wait; return its exit status."""
+    async def stop(self, name: str) -> int:
+        """Send SIGTERM to a process and wait for it; return its exit status."""
         self.signal(name, signal.SIGTERM)
         return await self.running[name].process.wait()
 
-    async def end_all(self) -> None:
-        """End every program that was started; those that stay are killed."""
+    async def stop_all(self) -> None:
+        """Stop all started processes; kill those still running after STOP_SECONDS."""
         for name in self.running:
             self.signal(name, signal.SIGCONT)
             self.signal(name, signal.SIGTERM)
-        with trio.move_on_after(END_SECONDS) as scope:
+        with trio.move_on_after(STOP_SECONDS) as scope:
             scope.shield = True
             for program in self.running.values():
                 await program.process.wait()
--- a/berylshift/tools/replay_command.py
+++ b/berylshift/tools/replay_command.py
@@ -1,4 +1,4 @@
-"""The command that replays traces."""
+"""The command that replays request traces."""
 
 import logging
 
@@ -44,18 +44,26 @@
     description = "Replay traces; exits 1 where an expected outcome is not met."
     arguments = [argument("trace", "Trace files.", multiple=True)]
     options = [
-        option("virtual", None, "Replay in one process on a virtual clock."),
-        option("policy", None, "The policy.", flag=False, default="berylshift"),
+        option(
+            "virtual", None, "Simulate the fleet in this process on a virtual clock."
+        ),
+        option(
+            "policy",
+            None,
+            "The routing policy of the virtual replay.",
+            flag=False,
+            default="berylshift",
+        ),
         option("seed", None, "Seed of the virtual replay.", flag=False, default="1"),
         option("entry", None, "An entry host's IP:PORT.", flag=False, multiple=True),
-        option("engine", None, "An engine's, to count.", flag=False, multiple=True),
-        option("replica", None, "A replica's, to count.", flag=False, multiple=True),
+        option("engine", None, "An engine's IP:PORT.", flag=False, multiple=True),
+        option("replica", None, "A replica's IP:PORT.", flag=False, multiple=True),
         option("credentials", None, "The callers' credentials file.", flag=False),
-        option("json", None, "Print one JSON object a trace."),
+        option("json", None, "Print one JSON object per trace."),
     ]
 
     def handle(self) -> int:
-        """Replay each trace in turn."""
+        """Replay each trace in turn and print the results."""
         try:
             traces = [self._read(path) for path in self.argument("trace")]
             results = [self._replay(trace) for trace in traces]
@@ -66,14 +74,14 @@
             self._print(result)
         if not self.option("json"):
             self._print_table(results)
-        return Exit.NOT_DONE if any(result.unmet for result in results) else Exit.OK
+        return Exit.FAILED if any(result.unmet for result in results) else Exit.OK
 
     def _read(self, path: str) -> Trace:
         match read_trace(path):
             case Success(trace):
                 return trace
-            case Failure(faults):
-                raise ToolError(Exit.BAD_INPUT, str(faults))
+            case Failure(errors):
+                raise ToolError(Exit.BAD_INPUT, str(errors))
         raise ToolError(Exit.BAD_INPUT, path)
 
     def _replay(self, trace: Trace) -> ReplayResult:
@@ -90,10 +98,10 @@
     def _replay_virtual(self, trace: Trace, progress) -> ReplayResult:
         policy = self.option("policy")
         if policy not in POLICIES:
-            text = f"no policy {policy!r}; there are {', '.join(POLICIES)}"
+            text = f"unknown policy {policy!r}; choose one of {', '.join(POLICIES)}"
             raise ToolError(Exit.BAD_INPUT, text)
         if not self.option("seed").isdigit():
-            raise ToolError(Exit.BAD_INPUT, "--seed takes a number")
+            raise ToolError(Exit.BAD_INPUT, "--seed must be a number")
         spec = FleetSpec(policy=policy, seed=int(self.option("seed")))
         logging.disable(logging.WARNING)
         try:
@@ -104,7 +112,7 @@
     async def _replay_http(self, trace: Trace, progress) -> ReplayResult:
         entries = self.option("entry")
         if not entries or not all(valid_address(entry) for entry in entries):
-            raise ToolError(Exit.BAD_INPUT, "give --virtual, or --entry IP:PORT")
+            raise ToolError(Exit.BAD_INPUT, "--virtual or --entry IP:PORT is required")
         client = HttpClient()
         fleet = HttpFleet(
             client,
@@ -122,12 +130,12 @@
     def _tokens(self) -> dict[str, str]:
         path = self.option("credentials")
         if not path:
-            raise ToolError(Exit.BAD_INPUT, "--entry needs --credentials FILE")
+            raise ToolError(Exit.BAD_INPUT, "--entry requires --credentials FILE")
         match read_credentials(path):
             case Success(creds):
-                return {who.customer: key for key, who in creds.callers.items()}
-            case Failure(fault):
-                raise ToolError(Exit.BAD_INPUT, str(fault))
+                return {caller.customer: key for key, caller in creds.callers.items()}
+            case Failure(error):
+                raise ToolError(Exit.BAD_INPUT, str(error))
         return {}
 
     def _print(self, result: ReplayResult) -> None:
--- a/berylshift/tools/run_tests.py
+++ b/berylshift/tools/run_tests.py
@@ -1,7 +1,8 @@
-"""Runs all tests; prints each name, the known red ones, and the run's own count.
+"""Runs all tests; prints each test's name, the known failures and the totals.
 
-A test listed in KNOWN-RED.txt may fail; any other failure, an unlisted name there,
-or a run without tests makes the run fail. A test that hangs is ended and fails.
+A test listed in KNOWN-RED.txt may fail; any other failure, more than
+MAX_KNOWN_FAILURES entries there, or a run without tests makes the run fail. A test that
+hangs is interrupted and fails.
 """
 
 import faulthandler
@@ -11,95 +12,95 @@
 import unittest
 from pathlib import Path
 
-KNOWN_RED = Path("KNOWN-RED.txt")
-MOST_KNOWN_RED = 3
+KNOWN_FAILURES_FILE = Path("KNOWN-RED.txt")
+MAX_KNOWN_FAILURES = 3
 TESTS = "berylshift.tests"
-# The slowest test takes 3 s on an idle computer; one that takes 40 times as long hangs.
+# 40 times the slowest test, which takes 3 s on an idle machine.
 TEST_SECONDS = 120.0
-# What a test that swallows its time-out gets on top, before the run itself is ended.
-LAST_SECONDS = 30.0
+# Extra time for a test that swallows its timeout error, before the process exits.
+EXIT_DELAY_SECONDS = 30.0
 
 
 class TestTimeoutError(Exception):
-    """A test did not end in time."""
+    """A test exceeded its time limit."""
 
 
-class TestAlarm:
-    """Ends a test that hangs, so that the run names it instead of hanging too.
+class TestTimeout:
+    """Interrupts a test that hangs, so that the run reports it and goes on.
 
-    A loop that never waits can't be cancelled from inside: the signal interrupts it
-    wherever it is. Should the test go on all the same, all stacks are printed and the
-    process ends.
+    A signal is used, since a loop that never awaits can't be cancelled by the event
+    loop. If the test still does not return, all stacks are printed and the process
+    exits.
     """
 
     def __init__(self, seconds: float):
-        """Give each test so many seconds."""
+        """Limit each test to ``seconds``."""
         self._seconds = seconds
-        signal.signal(signal.SIGALRM, self._ring)
+        signal.signal(signal.SIGALRM, self._on_alarm)
 
     def start(self) -> None:
-        """Begin a test."""
+        """Start the timer of a test."""
         signal.setitimer(signal.ITIMER_REAL, self._seconds)
-        faulthandler.dump_traceback_later(self._seconds + LAST_SECONDS, exit=True)
+        faulthandler.dump_traceback_later(self._seconds + EXIT_DELAY_SECONDS, exit=True)
 
     def stop(self) -> None:
-        """End a test."""
+        """Stop the timer of a test."""
         signal.setitimer(signal.ITIMER_REAL, 0)
         faulthandler.cancel_dump_traceback_later()
 
-    def _ring(self, signum, frame) -> None:
-        raise TestTimeoutError(f"not over after {self._seconds} s")
+    def _on_alarm(self, signum, frame) -> None:
+        raise TestTimeoutError(f"test exceeded its time limit of {self._seconds} s")
 
 
-class NamingResult(unittest.TextTestResult):
-    """Keeps the names of what passed and failed; bounds each test."""
+class RecordingResult(unittest.TextTestResult):
+    """Records which tests passed and failed; limits the time of each test."""
 
     seconds = TEST_SECONDS
 
     def __init__(self, *args, **kwargs):
-        """Start with nothing run."""
+        """Start with no test recorded."""
         super().__init__(*args, **kwargs)
-        self._alarm = TestAlarm(self.seconds)
+        self._timeout = TestTimeout(self.seconds)
         self.passed: list[str] = []
         self.failed: set[str] = set()
 
     def startTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Start the test's time."""
+        """Start the test and its timer."""
         super().startTest(test)
-        self._alarm.start()
+        self._timeout.start()
 
     def stopTest(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Stop the test's time."""
-        self._alarm.stop()
+        """Stop the test and its timer."""
+        self._timeout.stop()
         super().stopTest(test)
 
     def addSuccess(self, test: unittest.TestCase) -> None:  # noqa: N802
-        """Keep a pass."""
+        """Record a pass."""
         super().addSuccess(test)
         self.passed.append(test.id())
 
     def addFailure(self, test: unittest.TestCase, err) -> None:  # noqa: N802
-        """Keep a failure."""
+        """Record a failure."""
         super().addFailure(test, err)
         self.failed.add(test.id())
 
     def addError(self, test: unittest.TestCase, err) -> None:  # noqa: N802
-        """Keep an error."""
+        """Record an error."""
         super().addError(test, err)
         self.failed.add(test.id())
 
     def addSubTest(self, test, subtest, err) -> None:  # noqa: N802
-        """Keep the failure of a part."""
+        """Record the failure of a subtest."""
         super().addSubTest(test, subtest, err)
         if err is not None:
             self.failed.add(test.id())
 
 
-def known_red() -> list[str]:
+def read_known_failures() -> list[str]:
     """Return the lines of KNOWN-RED.txt: test, cause, issue."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_FAILURES_FILE.exists():
         return []
-    lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
+    lines = KNOWN_FAILURES_FILE.read_text(encoding="utf-8").splitlines()
     return [line for line in lines if line.strip()]
 
 
@@ -108,17 +109,19 @@
     logging.getLogger().addHandler(logging.NullHandler())
     loader = unittest.TestLoader()
     suite = loader.discover(TESTS.replace(".", "/"), top_level_dir=".")
-    runner = unittest.TextTestRunner(sys.stdout, verbosity=2, resultclass=NamingResult)
+    runner = unittest.TextTestRunner(
+        sys.stdout, verbosity=2, resultclass=RecordingResult
+    )
     result = runner.run(suite)
-    listed = known_red()
-    for line in listed:
+    known = read_known_failures()
+    for line in known:
         sys.stdout.write(f"known red: {line}\n")
-    excused = {line.split(",")[0].strip() for line in listed}
-    failed = result.failed - excused
+    known_ids = {line.split(",")[0].strip() for line in known}
+    unexpected = result.failed - known_ids
     sys.stdout.write(f"{len(result.passed)} passed, {len(result.failed)} failed\n")
-    if not result.testsRun or len(listed) > MOST_KNOWN_RED:
+    if not result.testsRun or len(known) > MAX_KNOWN_FAILURES:
         return 1
-    return 1 if failed or loader.errors else 0
+    return 1 if unexpected or loader.errors else 0
 
 
 if __name__ == "__main__":
--- a/berylshift/tools/session.py
+++ b/berylshift/tools/session.py
@@ -1,4 +1,4 @@
-"""What the operators' commands share: the platform, hosts, exit codes."""
+"""Shared by the operators' commands: platform sessions, exit codes, errors."""
 
 import getpass
 import random
@@ -24,11 +24,13 @@
 from berylshift.version.changelog import Accepted, TableLog
 from berylshift.version.diff import Conflict, Edit, Rejected
 
-ASK_SECONDS = 2.0
-TRIES_WHEN_LOST = 3
+HOST_TIMEOUT_SECONDS = 2.0
+MAX_COMMIT_ATTEMPTS = 3
 STATUS_OK = 200
-TOOL_RATE = 100.0
-CONFIG = option("config", "c", "Settings file; its [platform] is used.", flag=False)
+MAX_REQUESTS_PER_SECOND = 100.0
+CONFIG = option(
+    "config", "c", "Settings file whose [platform] section is used.", flag=False
+)
 PLATFORM = option("platform", None, "The platform's IP:PORT.", flag=False)
 
 
@@ -36,32 +38,32 @@
     """Exit codes of the commands; see docs/operators.md."""
 
     OK = 0
-    NOT_DONE = 1
+    FAILED = 1
     BAD_INPUT = 2
-    NO_PLATFORM = 3
+    PLATFORM_UNAVAILABLE = 3
 
 
 class ToolError(Exception):
-    """A command can't go on; the text says what to do."""
+    """A command can't continue; the text is printed for the operator."""
 
     def __init__(self, code: Exit, text: str):
-        """Keep the exit code and the text."""
+        """Create an error with an exit code and a text."""
         super().__init__(text)
         self.code = code
 
 
 class PlatformSession:
-    """The platform as operators' commands use it."""
+    """A connection of an operators' command to the platform and its hosts."""
 
     def __init__(self, cfg: PlatformSettings):
-        """Speak to the services that ``cfg`` names."""
+        """Use the services that ``cfg`` names."""
         self.client = HttpClient()
         rng = random.Random()
         gate = TableGate(
             HttpTableService(self.client, cfg.table, cfg.timeout),
             LoopClock(),
-            StoreBudget(TOOL_RATE, rng),
-            StoreBudget(TOOL_RATE, rng),
+            StoreBudget(MAX_REQUESTS_PER_SECOND, rng),
+            StoreBudget(MAX_REQUESTS_PER_SECOND, rng),
             0.0,
             1,
         )
@@ -73,10 +75,10 @@
         """Return the entry hosts that the platform lists."""
         return await self._hosts.hosts()
 
-    async def ask(self, entry: HostEntry, path: str) -> bytes | None:
-        """Return an entry host's answer, or ``None`` where it gives none."""
+    async def fetch(self, entry: HostEntry, path: str) -> bytes | None:
+        """Return an entry host's response body, or ``None`` on error or timeout."""
         out = Outgoing(entry.admin_address, "GET", path, {}, reuse=False)
-        with trio.move_on_after(ASK_SECONDS):
+        with trio.move_on_after(HOST_TIMEOUT_SECONDS):
             try:
                 async with self.client.request(out) as resp:
                     data = await resp.read()
@@ -86,47 +88,47 @@
         return None
 
     async def commit(self, edit: Edit) -> Result[Accepted, Conflict | Rejected]:
-        """Have an edit accepted; one whose answer is lost is looked up."""
+        """Commit an edit; retry under the same change id if the response is lost."""
         change_id = ChangeId(f"{random.getrandbits(64):016x}")
         at = datetime.now(UTC).isoformat(timespec="seconds")
-        for _ in range(TRIES_WHEN_LOST - 1):
+        for _ in range(MAX_COMMIT_ATTEMPTS - 1):
             try:
                 return await self.log.commit(edit, change_id, getpass.getuser(), at)
             except PlatformError:
-                await trio.sleep(ASK_SECONDS / 4)
+                await trio.sleep(HOST_TIMEOUT_SECONDS / 4)
         return await self.log.commit(edit, change_id, getpass.getuser(), at)
 
 
 class PlatformCommand(Command):
-    """A command that speaks to the platform; its work is in ``work``."""
+    """A command that uses the platform; subclasses implement ``run_session``."""
 
     def handle(self) -> int:
-        """Run ``work`` and turn errors into exit codes."""
+        """Call ``run_session`` and map errors to exit codes."""
         try:
-            return self.run_loop(self._connected)
+            return self.run_loop(self._open_session)
         except ToolError as exc:
             self.line_error(f"<error>{exc}</error>")
             return exc.code
         except PlatformError as exc:
             self.line_error(
-                f"<error>the platform does not answer ({exc}); nothing was confirmed:"
-                " look at 'table history' when it is back</error>"
+                f"<error>the platform does not answer ({exc}); the change is not"
+                " confirmed: check 'table history' once it is reachable</error>"
             )
-            return Exit.NO_PLATFORM
+            return Exit.PLATFORM_UNAVAILABLE
 
     def run_loop(self, task: Callable[[], Awaitable[int]]) -> int:
-        """Run a task on an event loop."""
+        """Run a task on a new event loop."""
         return trio.run(task)
 
-    async def _connected(self) -> int:
-        return await self.work(self.make_session(self._platform_settings()))
+    async def _open_session(self) -> int:
+        return await self.run_session(self.make_session(self._platform_settings()))
 
     def make_session(self, cfg: PlatformSettings) -> PlatformSession:
-        """Return the session that ``work`` uses."""
+        """Return the session that is passed to ``run_session``."""
         return PlatformSession(cfg)
 
-    async def work(self, session: PlatformSession) -> int:
-        """Do the command's work; return its exit code."""
+    async def run_session(self, session: PlatformSession) -> int:
+        """Run the command; return its exit code."""
         raise NotImplementedError
 
     def _platform_settings(self) -> PlatformSettings:
@@ -137,30 +139,32 @@
             )
         path = self.option("config")
         if not path:
-            raise ToolError(Exit.BAD_INPUT, "give --config FILE.ini or --platform")
+            raise ToolError(
+                Exit.BAD_INPUT, "--config FILE.ini or --platform is required"
+            )
         match read_platform_settings(path):
             case Success(cfg):
                 return cfg
-            case Failure(faults):
-                text = "\n".join(str(fault) for fault in faults)
+            case Failure(errors):
+                text = "\n".join(str(error) for error in errors)
                 raise ToolError(Exit.BAD_INPUT, text)
         raise ToolError(Exit.BAD_INPUT, "settings can't be read")
 
-    def report(self, done: Result[Accepted, Conflict | Rejected]) -> int:
-        """Say what became of an edit."""
-        match done:
+    def print_result(self, result: Result[Accepted, Conflict | Rejected]) -> int:
+        """Print the result of an edit; return the exit code."""
+        match result:
             case Success(accepted):
                 self.line(f"accepted as version {accepted.change.version}")
                 return Exit.OK
-            case Failure(why):
-                self.line_error(f"<error>nothing was changed: {why}</error>")
-                conflict = isinstance(why, Conflict)
-                return Exit.NOT_DONE if conflict else Exit.BAD_INPUT
-        return Exit.NOT_DONE
+            case Failure(reason):
+                self.line_error(f"<error>nothing was changed: {reason}</error>")
+                conflict = isinstance(reason, Conflict)
+                return Exit.FAILED if conflict else Exit.BAD_INPUT
+        return Exit.FAILED
 
 
 def decode_or_none(data: bytes | None, kind: type):
-    """Return decoded JSON, or ``None`` where there is none."""
+    """Return decoded JSON, or ``None`` if it is missing or malformed."""
     if data is None:
         return None
     try:
--- a/berylshift/tools/status_commands.py
+++ b/berylshift/tools/status_commands.py
@@ -1,4 +1,4 @@
-"""Commands that show what the entry hosts know and decided."""
+"""Commands that show the entry hosts' state and decisions."""
 
 import sys
 from datetime import UTC, datetime
@@ -23,46 +23,46 @@
 )
 
 
-async def ask_all(
+async def fetch_all(
     session: PlatformSession, path: str
 ) -> list[tuple[HostEntry, bytes | None]]:
-    """Ask all listed hosts at once."""
-    answers: list[tuple[HostEntry, bytes | None]] = []
+    """Return each listed host's response, or ``None``; hosts are asked concurrently."""
+    responses: list[tuple[HostEntry, bytes | None]] = []
 
-    async def ask(entry: HostEntry) -> None:
-        answers.append((entry, await session.ask(entry, path)))
+    async def fetch(entry: HostEntry) -> None:
+        responses.append((entry, await session.fetch(entry, path)))
 
     async with trio.open_nursery() as nursery:
         for entry in await session.hosts():
-            nursery.start_soon(ask, entry)
-    return sorted(answers, key=lambda item: item[0].host)
+            nursery.start_soon(fetch, entry)
+    return sorted(responses, key=lambda item: item[0].host)
 
 
 class StatusCommand(PlatformCommand):
-    """Prints hosts, targets and customers."""
+    """Prints the state of hosts, targets and customers."""
 
     name = "status"
     description = "Print the state of hosts, targets and customers."
     options = [CONFIG, PLATFORM, option("json", None, "Print JSON instead.")]
 
-    async def work(self, session: PlatformSession) -> int:
-        """Print what the hosts say."""
-        answers = await ask_all(session, "/status")
+    async def run_session(self, session: PlatformSession) -> int:
+        """Print the hosts' reports."""
+        responses = await fetch_all(session, "/status")
         statuses = [
             status
-            for _, data in answers
+            for _, data in responses
             if (status := decode_or_none(data, HostStatus)) is not None
         ]
-        silent = [entry.host for entry, data in answers if data is None]
+        unreachable = [entry.host for entry, data in responses if data is None]
         if self.option("json"):
             self.line(msgspec.json.encode(statuses).decode())
         else:
-            self._print_hosts(statuses, silent)
+            self._print_hosts(statuses, unreachable)
             self._print_targets(statuses)
             self._print_customers(statuses)
-        return Exit.OK if statuses else Exit.NOT_DONE
+        return Exit.OK if statuses else Exit.FAILED
 
-    def _print_hosts(self, statuses: list[HostStatus], silent: list[str]) -> None:
+    def _print_hosts(self, statuses: list[HostStatus], unreachable: list[str]) -> None:
         headers = "host domain ready phase table store-age in-flight peers".split()
         rows = [
             [
@@ -77,11 +77,11 @@
             ]
             for status in statuses
         ]
-        rows += [[host, *["no answer"] * 7] for host in silent]
+        rows += [[host, *["no answer"] * 7] for host in unreachable]
         self._print(headers, rows)
 
     def _print_targets(self, statuses: list[HostStatus]) -> None:
-        """Print targets; open work is the sum over hosts, the rest the worst view."""
+        """Print targets: open requests summed over hosts, report ages as maxima."""
         headers = "target serves domain state role open streams report-age".split()
         rows = {}
         for status in statuses:
@@ -98,16 +98,16 @@
                     item.domain,
                     "suspended" if item.suspended else item.state,
                     item.role,
-                    str(open_work),
+                    str(open_requests),
                     f"{item.streams:.0f}",
                     f"{age:.1f} s" if age < 1e5 else "-",
                 ]
-                for item, open_work, age in rows.values()
+                for item, open_requests, age in rows.values()
             ],
         )
 
     def _print_customers(self, statuses: list[HostStatus]) -> None:
-        """Print customers side by side, so that equal treatment can be seen."""
+        """Print each customer's limit and counts in one table, to compare them."""
         sums: dict[str, list[int]] = {}
         for status in statuses:
             for item in status.customers:
@@ -129,26 +129,30 @@
 
 
 class ExplainCommand(PlatformCommand):
-    """Prints why a request went where it went."""
+    """Prints the decisions made for a request."""
 
     name = "explain"
-    description = "Print the decisions of a request, or sum up those of many."
+    description = "Print the decisions for a request, or a summary of many requests."
     arguments = [
         argument("request", "The request's id, as its caller knows it.", optional=True)
     ]
     options = [
         CONFIG,
         PLATFORM,
-        option("log", "l", "Read hosts' logs from a file; - is input.", flag=False),
-        option("summary", "s", "Sum up all requests of the logs."),
+        option(
+            "log", "l", "Read hosts' logs from a file; - is standard input.", flag=False
+        ),
+        option("summary", "s", "Summarize all requests in the logs."),
     ]
 
     def handle(self) -> int:
-        """Explain from logs where they are given, else from the hosts' memory."""
+        """Explain from log files if given, else from the hosts' decision logs."""
         path = self.option("log")
         summary, request = self.option("summary"), self.argument("request")
         if bool(request) == summary or (summary and not path):
-            self.line_error("<error>name a request, or --summary of a --log</error>")
+            self.line_error(
+                "<error>give either a request or --summary with --log</error>"
+            )
             return Exit.BAD_INPUT
         if not path:
             return super().handle()
@@ -158,25 +162,25 @@
             self.line_error(f"<error>{path}: {exc.strerror}</error>")
             return Exit.BAD_INPUT
         if summary:
-            return self._sum_up(lines)
-        found = explain(lines, request)
-        for line in found:
+            return self._print_summary(lines)
+        explanation = explain(lines, request)
+        for line in explanation:
             self.line(line)
-        if found:
+        if explanation:
             return Exit.OK
-        self.line_error("<error>these logs do not name the request</error>")
-        return Exit.NOT_DONE
+        self.line_error("<error>the logs do not mention this request</error>")
+        return Exit.FAILED
 
-    def _sum_up(self, lines: list[LogLine]) -> int:
+    def _print_summary(self, lines: list[LogLine]) -> int:
         requests = read_requests(lines)
         if not requests:
-            self.line_error("<error>these logs name no request</error>")
-            return Exit.NOT_DONE
-        for part in summarize(requests):
-            self.line(part.title)
+            self.line_error("<error>the logs contain no request</error>")
+            return Exit.FAILED
+        for summary in summarize(requests):
+            self.line(summary.title)
             table = self.table()
-            table.set_headers(part.columns)
-            table.set_rows(part.rows)
+            table.set_headers(summary.columns)
+            table.set_rows(summary.rows)
             table.render()
         return Exit.OK
 
@@ -186,25 +190,25 @@
         with Path(path).open(encoding="utf-8", errors="replace") as file:
             return read_lines(file)
 
-    async def work(self, session: PlatformSession) -> int:
-        """Print the decisions in their order."""
+    async def run_session(self, session: PlatformSession) -> int:
+        """Print the decisions of the first host that has any, in order."""
         path = f"/decisions/{self.argument('request')}"
-        for entry, data in await ask_all(session, path):
+        for entry, data in await fetch_all(session, path):
             decisions = decode_or_none(data, list[Decision])
             if decisions:
                 self.line(f"at {entry.host} in {entry.domain}:")
-                for line in explain_lines(decisions):
+                for line in format_decisions(decisions):
                     self.line(line)
                 return Exit.OK
         self.line_error(
-            "<error>no host remembers this request; its log lines hold it"
-            " longer</error>"
+            "<error>no host has decisions for this request in memory; search the"
+            " hosts' logs with --log</error>"
         )
-        return Exit.NOT_DONE
+        return Exit.FAILED
 
 
-def explain_lines(decisions: list[Decision]) -> list[str]:
-    """Return decisions as lines for people."""
+def format_decisions(decisions: list[Decision]) -> list[str]:
+    """Return decisions as human-readable lines."""
     lines = []
     for item in decisions:
         at = datetime.fromtimestamp(item.at, UTC).strftime("%H:%M:%S.%f")[:-3]
@@ -212,11 +216,12 @@
         if item.chosen:
             head += f" -> {item.chosen}"
         lines.append(f"{head}: {item.reason}")
-        for found in item.weighed:
-            mark = "*" if found.target == item.chosen else " "
+        for estimate in item.weighed:
+            mark = "*" if estimate.target == item.chosen else " "
             lines.append(
-                f"   {mark} {found.target}: first token in {found.first_token:.2f} s,"
-                f" end in {found.end:.2f} s, {found.streams:.0f} streams,"
-                f" {found.prefill_tokens:.0f} tokens before it"
+                f"   {mark} {estimate.target}:"
+                f" first token in {estimate.first_token:.2f} s,"
+                f" end in {estimate.end:.2f} s, {estimate.streams:.0f} streams,"
+                f" {estimate.prefill_tokens:.0f} prefill tokens queued"
             )
     return lines
--- a/berylshift/tools/table_commands.py
+++ b/berylshift/tools/table_commands.py
@@ -1,4 +1,4 @@
-"""Commands on the operators' table."""
+"""Commands that read and edit the operators' table."""
 
 from pathlib import Path
 
@@ -20,13 +20,13 @@
 
 
 class TableShow(PlatformCommand):
-    """Prints the table for reading."""
+    """Prints the current table."""
 
     name = "table show"
-    description = "Print the table in force."
+    description = "Print the current table."
     options = [CONFIG, PLATFORM]
 
-    async def work(self, session: PlatformSession) -> int:
+    async def run_session(self, session: PlatformSession) -> int:
         """Print the rows."""
         table = await session.log.load()
         self.line(f"version {table.version}")
@@ -43,15 +43,15 @@
 
 
 class TableExport(PlatformCommand):
-    """Writes the table as CSV."""
+    """Exports the table as CSV."""
 
     name = "table export"
     description = "Write the table as CSV, with its version, for a spreadsheet."
     arguments = [argument("file", "The file to write; '-' for standard output.")]
     options = [CONFIG, PLATFORM]
 
-    async def work(self, session: PlatformSession) -> int:
-        """Write the file."""
+    async def run_session(self, session: PlatformSession) -> int:
+        """Write the CSV file."""
         text = write_sheet(await session.log.load())
         path = self.argument("file")
         if path == "-":
@@ -62,46 +62,46 @@
 
 
 class TableImport(PlatformCommand):
-    """Puts an edited CSV in force."""
+    """Commits an edited CSV export."""
 
     name = "table import"
-    description = "Accept an edited export; conflicts name their rows."
+    description = "Commit an edited export; conflicting rows are listed."
     arguments = [argument("file", "The edited file.")]
     options = [CONFIG, PLATFORM]
 
-    async def work(self, session: PlatformSession) -> int:
-        """Commit what differs from the version that was exported."""
+    async def run_session(self, session: PlatformSession) -> int:
+        """Commit the differences from the version that was exported."""
         sheet = self._read()
         head, _ = await session.log.head()
         if sheet.base > head.version:
-            text = f"the file says version {sheet.base}, the newest is {head.version}"
+            text = f"the file has version {sheet.base}, the newest is {head.version}"
             raise ToolError(Exit.BAD_INPUT, text)
         base = await session.log.at(sheet.base)
         edit = edit_between(base, sheet.rows)
         if not edit.keys:
-            self.line("nothing differs")
+            self.line("no changes")
             return Exit.OK
-        return self.report(await session.commit(edit))
+        return self.print_result(await session.commit(edit))
 
     def _read(self) -> Sheet:
         try:
             text = Path(self.argument("file")).read_text(encoding="utf-8")
         except (OSError, UnicodeDecodeError) as exc:
-            raise ToolError(Exit.BAD_INPUT, f"file can't be read: {exc}") from exc
+            raise ToolError(Exit.BAD_INPUT, f"cannot read the file: {exc}") from exc
         match read_sheet(text):
             case Success(sheet):
                 return sheet
-            case Failure(faults):
-                lines = "\n".join(str(fault) for fault in faults)
+            case Failure(errors):
+                lines = "\n".join(str(error) for error in errors)
                 raise ToolError(Exit.BAD_INPUT, f"nothing was changed:\n{lines}")
-        raise ToolError(Exit.BAD_INPUT, "file can't be read")
+        raise ToolError(Exit.BAD_INPUT, "cannot read the file")
 
 
 def find_row(table: Table, name: str, fleet: str) -> Row:
-    """Return the row of a target, or of a fleet's route to it."""
+    """Return a target's own row, or the route row of ``fleet`` to it."""
     for row in table.rows.values():
-        route = row.kind is RowKind.ROUTE
-        if row.target == name and route == bool(fleet) and row.fleet in (fleet, ""):
+        is_route = row.kind is RowKind.ROUTE
+        if row.target == name and is_route == bool(fleet) and row.fleet in (fleet, ""):
             return row
         if row.target == name and row.kind is RowKind.CUSTOMER and not fleet:
             return row
@@ -109,7 +109,7 @@
 
 
 class TableSet(PlatformCommand):
-    """Changes one cell."""
+    """Changes one cell of the table."""
 
     name = "table set"
     description = "Change one cell of a row."
@@ -122,27 +122,27 @@
         CONFIG,
         PLATFORM,
         option("fleet", None, "Change the route row of this fleet.", flag=False),
-        option("at", None, "The version that was read.", flag=False),
+        option("at", None, "The table version that the edit is based on.", flag=False),
     ]
 
-    async def work(self, session: PlatformSession) -> int:
+    async def run_session(self, session: PlatformSession) -> int:
         """Commit the changed row."""
-        table = await self._table(session)
+        table = await self._load_base(session)
         row = find_row(table, self.argument("target"), self.option("fleet") or "")
         match row_with(row, self.argument("column"), self.argument("value")):
             case Success(changed):
                 edit = Edit(table.version, [changed], [])
-                return self.report(await session.commit(edit))
-            case Failure(fault):
-                raise ToolError(Exit.BAD_INPUT, str(fault))
-        return Exit.NOT_DONE
+                return self.print_result(await session.commit(edit))
+            case Failure(error):
+                raise ToolError(Exit.BAD_INPUT, str(error))
+        return Exit.FAILED
 
-    async def _table(self, session: PlatformSession) -> Table:
+    async def _load_base(self, session: PlatformSession) -> Table:
         at = self.option("at")
         if at is None:
             return await session.log.load()
         if not at.isdigit():
-            raise ToolError(Exit.BAD_INPUT, "--at takes a version's number")
+            raise ToolError(Exit.BAD_INPUT, "--at must be a version number")
         return await session.log.at(int(at))
 
 
@@ -154,16 +154,22 @@
     options = [
         CONFIG,
         PLATFORM,
-        option("most", None, "How many to print.", flag=False, default="20"),
+        option(
+            "most",
+            None,
+            "Maximum number of changes to print.",
+            flag=False,
+            default="20",
+        ),
     ]
 
-    async def work(self, session: PlatformSession) -> int:
-        """Print one line a change."""
-        most = self.option("most")
-        if not most.isdigit():
-            raise ToolError(Exit.BAD_INPUT, "--most takes a number")
+    async def run_session(self, session: PlatformSession) -> int:
+        """Print one line per change."""
+        limit = self.option("most")
+        if not limit.isdigit():
+            raise ToolError(Exit.BAD_INPUT, "--most must be a number")
         head, _ = await session.log.head()
-        first = max(0, head.version - int(most))
+        first = max(0, head.version - int(limit))
         for change in reversed(await session.log.changes(first, head.version)):
             put = [str(row.key) for row in change.put]
             rows = ", ".join([*put, *(f"-{key}" for key in change.drop)])
--- a/berylshift/tools/usage_command.py
+++ b/berylshift/tools/usage_command.py
@@ -1,4 +1,4 @@
-"""The command that shows which windows of usage were reported, from hosts' logs."""
+"""The command that shows from hosts' logs which usage windows were reported."""
 
 from collections.abc import Iterable
 
@@ -17,7 +17,7 @@
 
 
 class LoggedWindow(msgspec.Struct):
-    """What logs tell of one window; ``sends`` counts calls to the platform."""
+    """One usage window as logged; ``sends`` counts the calls to the platform."""
 
     window: int
     host: str = ""
@@ -29,16 +29,16 @@
 
 
 def read_windows(lines: Iterable[LogLine]) -> list[LoggedWindow]:
-    """Return the windows that log lines name, in order."""
-    found: dict[int, LoggedWindow] = {}
+    """Return the windows that the log lines mention, in order of number."""
+    windows: dict[int, LoggedWindow] = {}
     for line in sorted(lines, key=lambda line: line.time):
         if line.message in MESSAGES:
             number = int(line.values["window"])
-            _take(found.setdefault(number, LoggedWindow(number)), line)
-    return [found[number] for number in sorted(found)]
+            _apply_line(windows.setdefault(number, LoggedWindow(number)), line)
+    return [windows[number] for number in sorted(windows)]
 
 
-def _take(window: LoggedWindow, line: LogLine) -> None:
+def _apply_line(window: LoggedWindow, line: LogLine) -> None:
     window.host, window.at = line.host, line.time
     if line.message == SETTLED:
         window.requests = line.values.get("requests")
@@ -51,14 +51,14 @@
 
 
 class UsageCommand(Command):
-    """Prints the windows of usage that hosts' logs name."""
+    """Prints the usage windows that hosts' logs mention."""
 
     name = "usage"
     description = "Print which windows of usage were reported, by whom and when."
     options = [option("log", "l", "Hosts' logs.", flag=False)]
 
     def handle(self) -> int:
-        """Print a row a window; fail if one was not reported."""
+        """Print one row per window; fail if any window was not reported."""
         path = self.option("log")
         if not path:
             self.line_error("<error>--log FILE is needed</error>")
@@ -71,15 +71,15 @@
             return Exit.BAD_INPUT
         if not windows:
             self.line_error("<error>these logs name no window</error>")
-            return Exit.NOT_DONE
+            return Exit.FAILED
         table = self.table()
         table.set_headers(COLUMNS)
-        table.set_rows([_shown(window) for window in windows])
+        table.set_rows([_format_row(window) for window in windows])
         table.render()
-        done = all(window.answer == "done" for window in windows)
-        return Exit.OK if done else Exit.NOT_DONE
+        all_done = all(window.answer == "done" for window in windows)
+        return Exit.OK if all_done else Exit.FAILED
 
 
-def _shown(window: LoggedWindow) -> list[str]:
+def _format_row(window: LoggedWindow) -> list[str]:
     values = (getattr(window, name) for name in COLUMNS)
     return ["-" if value is None else str(value) for value in values]
