--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -4,27 +4,27 @@
 import sys
 
 from bench import (
-    in_force,
     memory,
     micro,
-    placing,
+    placement,
     policies,
     relay,
-    slopes,
-    start,
+    startup,
     store_writes,
+    table_propagation,
+    unit_costs,
 )
 
 MEASUREMENTS = {
     "store": store_writes.main,
-    "in-force": in_force.main,
+    "in-force": table_propagation.main,
     "micro": micro.main,
-    "slopes": slopes.main,
+    "slopes": unit_costs.main,
     "memory": memory.main,
-    "placing": placing.main,
+    "placing": placement.main,
     "relay": relay.main,
     "policies": policies.main,
-    "start": start.main,
+    "start": startup.main,
 }
 
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -6,8 +6,8 @@
 import msgspec
 import trio
 
+from bench.process_stats import resident_kb
 from bench.report import print_rows
-from bench.usage import resident_kb
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.replay.http_fleet import HttpBalancer
--- a/bench/relay.py
+++ b/bench/relay.py
@@ -8,8 +8,8 @@
 
 import trio
 
+from bench.process_stats import processor_seconds, resident_kb
 from bench.report import print_rows
-from bench.usage import processor_seconds, resident_kb
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import Outgoing
 from berylshift.platform import names
--- a/bench/start.py
+++ b/bench/startup.py
@@ -6,8 +6,8 @@
 
 import trio
 
+from bench.process_stats import processor_seconds, resident_kb
 from bench.report import print_rows
-from bench.usage import processor_seconds, resident_kb
 from berylshift.tools.demo_entry import READY_SECONDS, EntryDemo
 from berylshift.tools.processes import Programs
 
