--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements: ``make bench``, or ``python -m bench NAME ...`` for some of them."""
+"""Benchmarks: ``make bench`` runs all, ``python -m bench NAME ...`` the named ones."""
--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the measurements that are named, or all."""
+"""Runs the named benchmarks, or all of them."""
 
 import logging
 import sys
@@ -15,7 +15,7 @@
     unit_costs,
 )
 
-MEASUREMENTS = {
+BENCHMARKS = {
     "store": store_writes.main,
     "in-force": table_propagation.main,
     "micro": micro.main,
@@ -29,16 +29,16 @@
 
 
 def main() -> int:
-    """Run measurements by name."""
+    """Run the benchmarks named on the command line; return the exit status."""
     logging.disable(logging.CRITICAL)
-    names = sys.argv[1:] or list(MEASUREMENTS)
-    unknown = [name for name in names if name not in MEASUREMENTS]
+    names = sys.argv[1:] or list(BENCHMARKS)
+    unknown = [name for name in names if name not in BENCHMARKS]
     if unknown:
-        sys.stderr.write(f"no such measurement: {', '.join(unknown)}\n")
+        sys.stderr.write(f"unknown benchmark: {', '.join(unknown)}\n")
         return 2
     for name in names:
         sys.stdout.write(f"== {name}\n")
-        MEASUREMENTS[name]()
+        BENCHMARKS[name]()
         sys.stdout.flush()
     return 0
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of a daemon, idle and with 500 open streams, in real processes."""
+"""Resident memory of a daemon process, idle and with 500 open streams."""
 
 import tempfile
 from pathlib import Path
@@ -49,21 +49,21 @@
                 await balancer.wait_until_ready(1)
             await trio.sleep(3)
             pid = programs.running["host-1"].process.pid
-            idle = resident_kb(pid)
+            idle_kb = resident_kb(pid)
             for number in range(STREAMS):
                 nursery.start_soon(_stream, client, fleet.entries[0], number)
             await trio.sleep(SETTLE_SECONDS)
-            loaded = resident_kb(pid)
+            loaded_kb = resident_kb(pid)
         finally:
             await programs.stop_all()
             nursery.cancel_scope.cancel()
     return [
-        {"daemon": "idle", "resident_kb": idle},
-        {"daemon": f"{STREAMS} open streams", "resident_kb": loaded},
+        {"daemon": "idle", "resident_kb": idle_kb},
+        {"daemon": f"{STREAMS} open streams", "resident_kb": loaded_kb},
     ]
 
 
 def main() -> None:
-    """Print the memory."""
+    """Print the resident memory of both cases."""
     with tempfile.TemporaryDirectory(prefix="berylshift-bench-") as name:
         print_rows(trio.run(_run, Path(name)))
--- a/bench/micro.py
+++ b/bench/micro.py
@@ -1,4 +1,4 @@
-"""Costs of single steps: a routing decision, a relayed chunk, memory."""
+"""Cost of a routing decision and a relayed chunk, and the memory of an idle process."""
 
 import os
 import random
@@ -29,11 +29,11 @@
 SIZES = (10, 100, 1600)
 DECISIONS = 3000
 CHUNKS = 20000
-COALESCED = 8
+COALESCED_TOKENS = 8
 REPEATS = 5
 
 
-def _knowledge(size: int) -> tuple[RoutingContext, Table]:
+def _routing_context(size: int) -> tuple[RoutingContext, Table]:
     rows = []
     for number in range(size):
         name = f"engine-{number + 1}"
@@ -54,32 +54,32 @@
         report = LoadReport(Incarnation("e/1"), 1.0, Role.MIXED, running=5)
         load.note_report(row.name, report, 0.0)
     cost = CostModel(PolicySettings())
-    know = RoutingContext(
+    context = RoutingContext(
         load, Health(), cost, PrefixIndex(), Plans(), DemandMeter(), random.Random(1)
     )
-    return know, Table(TableVersion(1), rows)
+    return context, Table(TableVersion(1), rows)
 
 
 def _decision_us(size: int) -> float:
-    know, table = _knowledge(size)
-    router = LeastLateness(know, 1.0, 8000.0)
+    context, table = _routing_context(size)
+    router = LeastLateness(context, 1.0, 8000.0)
     prefixes = prefix_hashes(make_prompt("p", "1", 2000, 100))
     items = [
         WorkItem(f"r{i}", "c", FLEET, MODEL, 2000, 100, prefixes, 20.0)
         for i in range(DECISIONS)
     ]
     router.choose(items[0], table, 1.0)
-    best = []
+    times = []
     for _ in range(REPEATS):
         start = time.perf_counter()
         for item in items:
             router.choose(item, table, 1.0)
-        best.append((time.perf_counter() - start) / DECISIONS * 1e6)
-    return statistics.median(best)
+        times.append((time.perf_counter() - start) / DECISIONS * 1e6)
+    return statistics.median(times)
 
 
 def _relay_us(tokens: int) -> float:
-    """Return the time to read one engine chunk and write it to the caller."""
+    """Return the microseconds to read one engine chunk and write it to the caller."""
     line = msgspec.json.encode(EngineChunk("r1.1", 0, ["1234"] * tokens)) + b"\n"
     decoder = msgspec.json.Decoder(EngineChunk)
     client = h11.Connection(h11.CLIENT)
@@ -93,10 +93,10 @@
     server.next_event()
     head = h11.Response(status_code=200, headers=[("transfer-encoding", "chunked")])
     server.send(head)
-    framed = f"{len(line):x}\r\n".encode() + line + b"\r\n"
+    wire_chunk = f"{len(line):x}\r\n".encode() + line + b"\r\n"
     start = time.perf_counter()
     for _ in range(CHUNKS):
-        client.receive_data(framed)
+        client.receive_data(wire_chunk)
         data = bytes(client.next_event().data)
         chunk = decoder.decode(data.strip())
         text = "".join(chunk.texts)
@@ -106,7 +106,7 @@
 
 
 def _idle_kb() -> int:
-    """Return the resident memory of a process that has all of the daemon loaded."""
+    """Return the resident memory of a process that has imported the whole daemon."""
     code = "import berylshift.serve_own;print(open('/proc/self/status').read())"
     out = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
@@ -116,7 +116,7 @@
 
 
 def main() -> None:
-    """Print the costs."""
+    """Print the measured costs."""
     times = {size: _decision_us(size) for size in SIZES}
     rows = [
         {"what": f"routing decision, {size} replicas", "us": round(us, 1)}
@@ -124,9 +124,14 @@
     ]
     ratio = times[SIZES[-1]] / times[SIZES[0]]
     rows.append({"what": "ratio of the last to the first", "us": round(ratio, 2)})
-    one, many = _relay_us(1), _relay_us(COALESCED)
-    rows.append({"what": "relayed chunk of 1 token", "us": round(one, 1)})
-    rows.append({"what": f"relayed chunk of {COALESCED} tokens", "us": round(many, 1)})
+    single, coalesced = _relay_us(1), _relay_us(COALESCED_TOKENS)
+    rows.append({"what": "relayed chunk of 1 token", "us": round(single, 1)})
+    rows.append(
+        {
+            "what": f"relayed chunk of {COALESCED_TOKENS} tokens",
+            "us": round(coalesced, 1),
+        }
+    )
     rows.append({"what": "resident KB, daemon's modules loaded", "us": _idle_kb()})
     rows.append({"what": "processors", "us": os.cpu_count() or 0})
     print_rows(rows)
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,4 +1,4 @@
-"""Processor time of one placement by the size of the pool and the number of hosts."""
+"""CPU time of one placement by pool size and number of hosts."""
 
 import random
 import time
@@ -15,16 +15,16 @@
 from berylshift.request.placement import Placer
 
 SIZES = ((9, 9), (45, 78), (400, 370), (1600, 370))
-ROUNDS = 2000
-PARTS = 500
+PLACEMENTS = 2000
+PROMPTS = 500
 DOMAINS = 20
-READING_SHARE = 0.65
-BUSY_ENGINES = 12
+PREFILL_FRACTION = 0.65
+BUSY_ENGINES_PER_HOST = 12
 
 
 def make_pool(engines: int) -> Pool:
-    """Return a pool with the usual split."""
-    readers = round(engines * READING_SHARE)
+    """Return a pool with the usual split into prefill and decode engines."""
+    prefill_count = round(engines * PREFILL_FRACTION)
     return Pool(
         [
             Replica(
@@ -34,7 +34,7 @@
                 f"d{number % DOMAINS}",
                 64,
                 False,
-                EnginePhase.PREFILL if number < readers else EnginePhase.DECODE,
+                EnginePhase.PREFILL if number < prefill_count else EnginePhase.DECODE,
             )
             for number in range(engines)
         ]
@@ -42,10 +42,12 @@
 
 
 def make_peers(hosts: int, pool: Pool, rng: random.Random) -> PeerLoads:
-    """Return what other hosts told."""
+    """Return the load digests received from other hosts."""
     peers = PeerLoads("host-0")
     for number in range(1, hosts):
-        chosen = rng.sample(pool.replicas, min(BUSY_ENGINES, len(pool.replicas)))
+        chosen = rng.sample(
+            pool.replicas, min(BUSY_ENGINES_PER_HOST, len(pool.replicas))
+        )
         entries = tuple(
             LoadEntry(target_hash(rep.instance), 2, (0, 4000, 0), 0.0) for rep in chosen
         )
@@ -54,28 +56,28 @@
 
 
 def measure(engines: int, hosts: int) -> float:
-    """Return the microseconds of placing one prompt: reader and answerer."""
+    """Return the microseconds to choose a prompt's prefill and decode engines."""
     rng = random.Random(1)
     pool = make_pool(engines)
     peers = make_peers(hosts, pool, rng)
     placer = Placer(TargetLoads(), peers, PrefixCacheIndex(), EngineSpeeds(), "d1", rng)
     prompts = [
         Prompt((PromptBlock(f"p{n}", 13_000), PromptBlock("own", 3_000)), 16_000, 80)
-        for n in range(PARTS)
+        for n in range(PROMPTS)
     ]
     for prompt in prompts:
         pool.homes(prompt.prefix_blocks[-1].id)
     start = time.process_time()
-    for number in range(ROUNDS):
-        prompt = prompts[number % PARTS]
-        place = placer.choose_prefill(pool, prompt, Urgency.USUAL, (), 0.0)
-        placer.note_sent(place, prompt, 0.0)
-        placer.choose_decode(pool, prompt, place.target, (), 0.0)
-    return (time.process_time() - start) / ROUNDS * 1e6
+    for number in range(PLACEMENTS):
+        prompt = prompts[number % PROMPTS]
+        placement = placer.choose_prefill(pool, prompt, Urgency.USUAL, (), 0.0)
+        placer.note_sent(placement, prompt, 0.0)
+        placer.choose_decode(pool, prompt, placement.target, (), 0.0)
+    return (time.process_time() - start) / PLACEMENTS * 1e6
 
 
 def main() -> None:
-    """Print a row for each size."""
+    """Print one row per size."""
     rows = [
         {
             "engines": engines,
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -1,4 +1,4 @@
-"""Processor time of an entry host from its start until it is ready."""
+"""CPU time of an entry host from its start until it is ready."""
 
 import statistics
 import tempfile
@@ -6,7 +6,7 @@
 
 import trio
 
-from bench.process_stats import processor_seconds, resident_kb
+from bench.process_stats import read_cpu_seconds, resident_kb
 from bench.report import print_rows
 from berylshift.tools.demo_entry import READY_SECONDS, EntryDemo
 from berylshift.tools.processes import Programs
@@ -16,7 +16,7 @@
 
 
 async def _run(directory: Path) -> list[dict]:
-    used, resident = [], []
+    cpu_seconds, resident = [], []
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         demo = EntryDemo(directory, programs)
@@ -28,7 +28,7 @@
                 with trio.fail_after(READY_SECONDS):
                     while not await demo.is_ready(host):
                         await trio.sleep(POLL_SECONDS)
-                used.append(processor_seconds(pid))
+                cpu_seconds.append(read_cpu_seconds(pid))
                 resident.append(resident_kb(pid))
                 await programs.stop(host.name)
         finally:
@@ -36,14 +36,14 @@
     return [
         {
             "starts": STARTS,
-            "processor_s_median": round(statistics.median(used), 3),
-            "processor_s_worst": round(max(used), 3),
+            "processor_s_median": round(statistics.median(cpu_seconds), 3),
+            "processor_s_worst": round(max(cpu_seconds), 3),
             "resident_kb_worst": max(resident),
         }
     ]
 
 
 def main() -> None:
-    """Print what a start takes."""
+    """Print the CPU time and memory of a start."""
     with tempfile.TemporaryDirectory(prefix="berylshift-bench-") as name:
         print_rows(trio.run(_run, Path(name)))
--- a/bench/table_propagation.py
+++ b/bench/table_propagation.py
@@ -1,4 +1,4 @@
-"""Time from an accepted table edit to in force on all of nine hosts, virtual."""
+"""Time until nine hosts all use an accepted table edit, on a virtual clock."""
 
 import random
 import statistics
@@ -16,10 +16,10 @@
 
 EDITS = 30
 OUTAGE_SECONDS = 5.0
-LOOK_SECONDS = 0.01
+POLL_SECONDS = 0.01
 
 
-async def _run(outage: bool, read_by_one: bool) -> dict:
+async def _run(outage: bool, one_host_reads: bool) -> dict:
     times = []
     async with trio.open_nursery() as nursery:
         world = VirtualWorld(FleetSpec(hosts=9), small_rows(), nursery)
@@ -27,11 +27,11 @@
         rng = random.Random(5)
         for number in range(1, EDITS + 1):
             await trio.sleep(5 + rng.random())
-            times.append(await _edit(world, number, outage, read_by_one))
+            times.append(await _edit(world, number, outage, one_host_reads))
         nursery.cancel_scope.cancel()
     return {
         "store_outage_after_commit": outage,
-        "read_by_one_host_before": read_by_one,
+        "read_by_one_host_before": one_host_reads,
         "edits": len(times),
         "median_s": round(statistics.median(times), 2),
         "worst_s": round(max(times), 2),
@@ -39,18 +39,18 @@
 
 
 async def _edit(
-    world: VirtualWorld, number: int, outage: bool, read_by_one: bool
+    world: VirtualWorld, number: int, outage: bool, one_host_reads: bool
 ) -> float:
     edit = Edit(number, [route_row("engine-1", weight=number)], [])
-    done = await world.table_log().commit(edit, ChangeId(f"e{number}"), "op", "")
-    version = done.unwrap().change.version
+    result = await world.table_log().commit(edit, ChangeId(f"e{number}"), "op", "")
+    version = result.unwrap().change.version
     start = trio.current_time()
-    if read_by_one:
+    if one_host_reads:
         await world.hosts["host-1"].app.follower._read_store()
     if outage:
         world.platform.script.down = True
     while any(h.app.holder.table.version < version for h in world.hosts.values()):
-        await trio.sleep(LOOK_SECONDS)
+        await trio.sleep(POLL_SECONDS)
         if trio.current_time() - start > OUTAGE_SECONDS:
             world.platform.script.down = False
     world.platform.script.down = False
@@ -58,10 +58,10 @@
 
 
 def main() -> None:
-    """Print one row a case."""
+    """Print one row per case."""
     rows = []
-    for outage, read_by_one in ((False, False), (True, True), (True, False)):
+    for outage, one_host_reads in ((False, False), (True, True), (True, False)):
         fix_schedule(1)
         clock = trio.testing.MockClock(autojump_threshold=0)
-        rows.append(trio.run(_run, outage, read_by_one, clock=clock))
+        rows.append(trio.run(_run, outage, one_host_reads, clock=clock))
     print_rows(rows)
--- a/bench/unit_costs.py
+++ b/bench/unit_costs.py
@@ -1,4 +1,4 @@
-"""Slopes for docs/CAPACITY.md: what one more of each thing costs a process."""
+"""Costs per unit (host, target, row, entry, call) for docs/CAPACITY.md."""
 
 import random
 import statistics
@@ -41,12 +41,12 @@
     return round(statistics.median(times), 1)
 
 
-def _bytes_each(make: Callable[[], object], count: int) -> int:
+def _bytes_per_item(make: Callable[[], object], count: int) -> int:
     tracemalloc.start()
-    kept = make()
+    items = make()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del items
     return size // count
 
 
@@ -72,8 +72,8 @@
     change = Change(TableVersion(2), ChangeId("c"), "op", "", [row], [])
 
     def task() -> None:
-        found = table.apply(change)
-        found.candidates("nestwatch", "match-note")
+        changed = table.apply(change)
+        changed.candidates("nestwatch", "match-note")
 
     return _median_us(task, 3)
 
@@ -88,9 +88,9 @@
         async with trio.open_nursery() as nursery:
 
             async def dial(address):
-                near, far = trio.testing.memory_stream_pair()
-                nursery.start_soon(HttpServer(handle).serve_stream, far)
-                return near
+                client_end, server_end = trio.testing.memory_stream_pair()
+                nursery.start_soon(HttpServer(handle).serve_stream, server_end)
+                return client_end
 
             client = HttpClient(dial)
             start = time.perf_counter()
@@ -98,11 +98,11 @@
                 out = Outgoing("a:1", "GET", "/v1/load", {})
                 async with client.request(out) as resp:
                     msgspec.json.decode(await resp.read(), type=LoadReport)
-            took = (time.perf_counter() - start) / CALLS * 1e6
+            call_us = (time.perf_counter() - start) / CALLS * 1e6
             nursery.cancel_scope.cancel()
-        return took
+        return call_us
 
-    # Both ends run here; a caller's share is about half.
+    # Client and server both run here; the client takes about half of the time.
     return round(statistics.median(trio.run(run) for _ in range(REPEATS)), 1)
 
 
@@ -134,7 +134,7 @@
 
 
 def main() -> None:
-    """Print the slopes."""
+    """Print the cost per unit."""
     codec = PeerCodec("key")
     digest = _digest(20)
     data = codec.encode(digest)
@@ -144,13 +144,13 @@
         ("datagram: us to encode", _median_us(lambda: codec.encode(digest), 200)),
         ("datagram: us to decode", _median_us(lambda: codec.decode(data), 200)),
         ("table change at 10,000 rows: us", _table_change_us()),
-        ("table: bytes a row", _bytes_each(lambda: Table(1, _rows()), ROWS)),
+        ("table: bytes a row", _bytes_per_item(lambda: Table(1, _rows()), ROWS)),
         ("load report over HTTP, both ends: us", _http_call_us()),
-        ("membership: bytes a host", _bytes_each(_membership, HOSTS)),
+        ("membership: bytes a host", _bytes_per_item(_membership, HOSTS)),
         (
             "load view: bytes a target with 20 attempts",
-            _bytes_each(_load_view, TARGETS),
+            _bytes_per_item(_load_view, TARGETS),
         ),
-        ("prefix index: bytes an entry", _bytes_each(_prefixes, PREFIXES)),
+        ("prefix index: bytes an entry", _bytes_per_item(_prefixes, PREFIXES)),
     ]
     print_rows([{"what": what, "value": value} for what, value in rows])
