--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -1,7 +1,8 @@
-"""Takes each safeguard out in turn and shows which proof goes red without it.
+"""Mutation tests: removes each safeguard in turn and checks that its test fails.
 
-A proof that stays green without its safeguard proves nothing. ``python -m
-berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
+A test that still passes without its safeguard does not guard it. ``python -m
+berylshift.tools.proofs`` prints a row per safeguard and exits 1 unless each test passes
+with its safeguard and fails without it.
 """
 
 import shutil
@@ -17,12 +18,15 @@
 
 @dataclass(frozen=True)
 class Proof:
-    """A safeguard: the text that takes it out of a file, and the test that tells."""
+    """A safeguard: its source text, the replacement that removes it, and its test.
+
+    ``path`` is relative to the package directory.
+    """
 
     name: str
     path: str
     text: str
-    without: str
+    replacement: str
     test: str
 
 
@@ -35,48 +39,48 @@
 STREAMS = "test_request_streams"
 LIMITS = "test_entry_limits"
 RATES = "test_targets_rate_limits"
-LEAVING = "test_entry_draining"
+DRAINING = "test_entry_draining"
 BACKOFF = "test_entry_backoff"
 TARGET_GATE = "test_request_target_gate"
 REPLICA_SET = "test_directory_replica_set.ReplicaSetTest"
 PROOFS = (
     Proof(
-        "a replica hears the customer and never the key",
+        "replicas receive the customer name, never the key",
         "request/routed_handler.py",
         "        if not admission.keys_configured:\n",
         "        if True:\n",
         f"{KEYS}.AdmissionTest",
     ),
     Proof(
-        "a key is judged again before each send",
+        "the key is checked again before each attempt",
         "request/relay.py",
         "not self._out.started and not self._is_key_valid()",
         "False",
         f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
-        "a stream that has begun is finished for any key",
+        "a started stream completes whatever happens to its key",
         "request/relay.py",
         "not self._out.started and not self._is_key_valid()",
         "not self._is_key_valid()",
         f"{KEYS}.KeyChangeTest.test_a_started_stream_is_completed",
     ),
     Proof(
-        "two keys in one request are none",
+        "a request with two keys is treated as having none",
         "platform/exchange.py",
         "    if len(values) != 1:\n",
         "    if not values:\n",
         f"{GATE}.HeaderTest",
     ),
     Proof(
-        "a key that two claim is nobody's",
+        "a key claimed by two customers belongs to neither",
         "version/customers.py",
         "                self._by_key[key] = None\n",
         "                pass\n",
         "test_version_customers.CustomerKeysTest",
     ),
     Proof(
-        "old routes deny no key that may be new",
+        "stale routes do not reject an unknown key",
         "request/key_gate.py",
         "KeyVerdict.STALE_ROUTES if is_old else KeyVerdict.UNKNOWN_KEY",
         "KeyVerdict.UNKNOWN_KEY",
@@ -90,49 +94,49 @@
         f"{USAGE}.UsageLoopTest",
     ),
     Proof(
-        "no window is settled anew that may have been",
+        "a window that may have been settled is not settled again",
         "process/usage/usage_loop.py",
         "        if not self._eras.restore_count:\n            return True\n",
         "        return True\n",
         f"{USAGE}.UsageLoopTest",
     ),
     Proof(
-        "usage is sent only while the lease holds",
+        "usage is sent only while the lease is held",
         "process/leader_tasks/leader_lease.py",
         "        if grant is None or self._boot_clock() >= grant.until:\n",
         "        if grant is None:\n",
         f"{USAGE}.ScheduleTest",
     ),
     Proof(
-        "counts are told again until their window is done",
+        "counts are sent again until their window is done",
         "process/usage/counter_gossip.py",
         "            if now >= counter.sent_at + RESEND_SECONDS\n",
         "            if counter.sent_at == NEVER\n",
         "test_usage_counts.UsageCountsTest",
     ),
     Proof(
-        "a domain's loss leaves the replicas that are needed",
+        "the loss of a domain leaves enough replicas",
         "process/scaling/scale_planner.py",
         "math.ceil(self.needed / (domains - 1))",
         "math.ceil(self.needed / domains)",
         f"{SCALING}.ScalePlannerTest",
     ),
     Proof(
-        "what is needed is kept, not found anew",
+        "the needed replica count is stored, not estimated again",
         "process/scaling/scale_loop.py",
         "                planner.needed = found\n",
         "                planner.needed = planner.estimate\n",
         "test_scaling_loop.ScaleLoopTest",
     ),
     Proof(
-        "suspects go on at few engines",
+        "suspect requests are retried on few engines only",
         "request/isolation.py",
         "return ranked[: max(1, len(remaining) // REPLICAS_PER_ISOLATION_REPLICA)]",
         "return ranked",
         f"{ISOLATION}.SuspectsTest.test_streams_of_a_crashed_engine_resume_on_one_engine",
     ),
     Proof(
-        "the last engine takes no suspect",
+        "the last engine takes no suspect request",
         "request/routed_crash_watch.py",
         "        if is_last_remaining(left, pool.decode_engines)"
         " and not has_started:\n",
@@ -140,35 +144,35 @@
         f"{ISOLATION}.SuspectsTest",
     ),
     Proof(
-        "nothing goes to an engine that has ended",
+        "nothing is sent to an engine that crashed under the request",
         "request/routed_crash_watch.py",
         "        found = [*tried, *ended]\n",
         "        found = [*tried]\n",
         f"{ISOLATION}.SuspectsTest",
     ),
     Proof(
-        "not run only by the replica's word",
+        "only the replica can say that a request did not run",
         "request/retry_policy.py",
         "self not in (*NEVER_SENT, AttemptOutcome.NOT_RUN)",
         "self in (AttemptOutcome.DONE, AttemptOutcome.FAILED)",
         f"{RELAY}.NotRunTest",
     ),
     Proof(
-        "a send that was cancelled may have run",
+        "a cancelled attempt may have run",
         "request/replica_exchange.py",
         "        self._history.has_open_attempt = True\n",
         "",
         f"{RELAY}.NotRunTest.test_timeout_is_not_reported_as_not_run",
     ),
     Proof(
-        "requests run once unless they may be repeated",
+        "requests that are not idempotent run once",
         "request/retry_policy.py",
         "return bounds.repeatable and",
         "return",
         "test_request_retry_policy.RetryPolicyTest",
     ),
     Proof(
-        "the answer's id is compared",
+        "the response's request id is compared",
         "request/replica_exchange.py",
         "if head.request is not None and head.request != self._req.id:\n"
         "            await limit.bound(answer.skip())",
@@ -176,7 +180,7 @@
         f"{RELAY}.ConnectionReuseTest.test_unexpected_second_response_is_discarded",
     ),
     Proof(
-        "a connection with a body still under way is not kept",
+        "a connection with an unfinished request body is not reused",
         "connection/target_client.py",
         "whole = sent.is_set() and answer.usable and wire.reusable()",
         "whole = answer.usable and wire.reusable()",
@@ -184,35 +188,35 @@
         "test_connection_with_an_unsent_chunk_is_not_reused",
     ),
     Proof(
-        "a leaving host takes nothing that it can't finish",
+        "a host in shutdown accepts nothing that it can't finish",
         "request/routed_handler.py",
         "        if self._finishes_before_stop(req, route):\n",
         "        if True:\n",
         "test_entry_shutdown.PlannedStopTest",
     ),
     Proof(
-        "a leaving host goes by the times of just now",
+        "a host in shutdown uses recent durations only",
         "process/targets/recent_durations.py",
         "max([*fresh, *ages])",
         "min(fresh)",
         "test_targets_recent_durations.RecentDurationsTest",
     ),
     Proof(
-        "a leaving host answers before it ends",
+        "a host in shutdown responds before it exits",
         "process/shutdown.py",
         "            work.deadline = min(work.deadline, self._ends_at)\n\n",
         "            pass\n\n",
         "test_entry_shutdown.PlannedStopTest",
     ),
     Proof(
-        "half a body does not look whole",
+        "a truncated body is not sent as complete",
         "connection/target_client.py",
         "BodyBrokenError:\n            close_now(wire.stream)\n            return\n",
         "BodyBrokenError:\n            pass\n",
         "test_request_bodies.ClientTest.test_truncated_body_is_not_sent_as_complete",
     ),
     Proof(
-        "a body is read at its target's pace",
+        "a slow target applies backpressure to the request body",
         "connection/server_link.py",
         "                await body.wait_for_room()\n",
         "",
@@ -220,21 +224,21 @@
         "test_slow_replica_applies_backpressure_to_its_caller",
     ),
     Proof(
-        "what a whole list leaves out is gone",
+        "entries missing from a full list are removed",
         "process/directory/replica_set.py",
         "missing |= self._listed.keys() -",
         "missing |= set() & self._listed.keys() -",
         "test_directory_schedules.DirectoryScheduleTest",
     ),
     Proof(
-        "an answer must bear its signature",
+        "responses must be signed",
         "platform/exchange.py",
         "genuine=names.SIGNATURE in found and",
         "genuine=True or",
         f"{RELAY}.NotRunTest.test_at_most_once_request_runs_once_after_failures",
     ),
     Proof(
-        "a stream is passed on in whole events",
+        "a stream is forwarded in whole events",
         "request/event_splitter.py",
         "        while (end := _event_end(self._buffered)) > 0:\n",
         "        while (end := _event_end(self._buffered) or len(self._buffered))"
@@ -242,35 +246,35 @@
         f"{STREAMS}.StreamTest",
     ),
     Proof(
-        "a resumed stream goes on after the last event",
+        "a resumed stream continues after the last event",
         "request/relay.py",
         "            after = self._out.last_event_id\n",
         "            after = None\n",
         f"{STREAMS}.StreamTest",
     ),
     Proof(
-        "a request names the instance it is for",
+        "a request names the instance that it is meant for",
         "platform/exchange.py",
         "        headers.append((names.TARGET_INSTANCE, dispatch.replica.encode()))\n",
         "",
         f"{RELAY}.InstanceTest",
     ),
     Proof(
-        "the replica's request ends with its caller's",
+        "the replica's request is cancelled when the caller disconnects",
         "connection/server_link.py",
         "        scope.cancel()\n",
         "",
         f"{RELAY}.CallerDisconnectTest",
     ),
     Proof(
-        "a cache that was not taken is freed",
+        "an unused KV cache is freed",
         "request/relay.py",
         "                self._release_kv_source()\n            return RelayResult",
         "                pass\n            return RelayResult",
         f"{STREAMS}.StreamTest.test_kv_cache_is_freed_when_the_caller_disconnects",
     ),
     Proof(
-        "a second send is told less time",
+        "a retry gets only the time that is left",
         "request/relay.py",
         "seconds_left=self._deadline - self._now(),",
         "seconds_left=self._deadline - self._started_at,",
@@ -284,28 +288,28 @@
         "test_platform_adapter.OnwardTest",
     ),
     Proof(
-        "a connection header strips no request",
+        "a connection header can't remove protected headers",
         "platform/exchange.py",
         " - (KEPT - REWRITTEN)",
         "",
         "test_platform_adapter.OnwardTest",
     ),
     Proof(
-        "two lengths are rejected",
+        "two content lengths are rejected",
         "connection/server_link.py",
         "        check_framing(head)\n",
         "",
         f"{RELAY}.PlainAnswerTest.test_two_lengths_are_rejected",
     ),
     Proof(
-        "retries keep to a share",
+        "retries stay within the retry budget",
         "request/retry_loop.py",
         "not budget.try_acquire(clock.monotonic())",
         "False",
         f"{RELAY}.RetryTest.test_retries_stay_within_the_budget_of_all_hosts",
     ),
     Proof(
-        "a begun answer is finished whatever the budget says",
+        "a started response ignores the retry budget",
         "request/completion.py",
         "        return self._answer.tokens > 0\n",
         "        return False\n",
@@ -313,21 +317,21 @@
         "test_started_response_is_finished_when_the_retry_budget_is_spent",
     ),
     Proof(
-        "starting over keeps that a send may have run",
+        "clearing the attempts remembers that one may have run",
         "request/retry_policy.py",
         "self._may_have_run_before = self.may_have_run",
         "self._may_have_run_before = False",
         "test_request_retry_loop.RetryLoopTest",
     ),
     Proof(
-        "further readings are further sends",
+        "further prefills count as further attempts",
         "request/relay.py",
         "if self._prefills and not self._retry_budget.try_acquire(self._now()):",
         "if False:",
         f"{RELAY}.RetryTest.test_prefills_count_as_attempts",
     ),
     Proof(
-        "a prompt that comes too late is refused at once",
+        "a prompt that can't meet its deadline is refused at once",
         "request/relay.py",
         "self._now() + seconds > self._first_chunk_deadline:",
         "False:",
@@ -335,7 +339,7 @@
         "test_prompt_that_is_prefilled_too_late_is_refused_at_once",
     ),
     Proof(
-        "a hopeless further send is not called not run",
+        "a retry that is too late is not reported as not run",
         "request/relay.py",
         "        found = self._final_outcome()\n"
         "        if found is RelayOutcome.NOT_RUN:\n",
@@ -343,21 +347,21 @@
         f"{STREAMS}.StreamTest.test_late_retry_is_not_reported_as_not_run",
     ),
     Proof(
-        "the answering engine is chosen after the reading",
+        "a draining replica takes no new work at once",
         "process/directory/replica_set.py",
         "            if usable is not None and not entry.draining:\n",
         "            if usable is not None:\n",
         f"{REPLICA_SET}.test_draining_takes_no_new_work_at_once",
     ),
     Proof(
-        "versions only rise",
+        "route versions only increase",
         "process/directory/route_holder.py",
         "if table.version < self.table.version:\n            return False",
         "if table.version < self.table.version:\n            return True",
         "test_entry_application.ChangeTest.test_an_older_version_changes_nothing",
     ),
     Proof(
-        "a cut feed is read anew",
+        "a truncated feed is read from the start",
         "process/directory/directory_loop.py",
         "HistoryLostError as exc:\n                self._watch.forget(feed)\n",
         "HistoryLostError as exc:\n                await trio.sleep(1)\n",
@@ -365,49 +369,49 @@
         "test_in_force_although_the_history_was_dropped",
     ),
     Proof(
-        "the newest row of a feed's answer counts",
+        "the newest row in a feed response wins",
         "platform/store.py",
         "newest = {row.key: row for row in found.rows}.values()",
         "newest = found.rows",
         "test_platform_store.ReplicaFeedTest",
     ),
     Proof(
-        "entries that lapsed with the store are kept a while",
+        "entries that expired during a store outage are kept for a while",
         "process/directory/replica_set.py",
         "in_grace = now < self._store_recovered_at + EXPIRY_GRACE_SECONDS",
         "in_grace = False",
         "test_entry_application.StoreOutageTest",
     ),
     Proof(
-        "not ready at once on a planned stop",
+        "a graceful shutdown reports not ready at once",
         "entry_application.py",
         "        if self.leaving or self.routes.table is None:\n",
         "        if self.routes.table is None:\n",
         "test_entry_shutdown.PlannedStopTest",
     ),
     Proof(
-        "a planned stop waits for what is under way",
+        "a graceful shutdown waits for open requests",
         "entry_application.py",
         "            await self.server.wait_until_quiet(QUIET_SECONDS)\n",
         "",
         "test_entry_shutdown.PlannedStopTest.test_a_stream_under_way_ends_whole",
     ),
     Proof(
-        "an answer to HEAD goes out without a body",
+        "a response to HEAD has no body",
         "connection/server_link.py",
         "        if not self.headless:\n",
         "        if True:\n",
         "test_entry_writes.HeadRequestTest",
     ),
     Proof(
-        "a caller that has left ends the write to it",
+        "the write to a caller that disconnected is cancelled",
         "connection/server_link.py",
         "        self.writing.cancel()\n",
         "",
         "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
     ),
     Proof(
-        "a connection's error costs no other caller",
+        "an error on one connection affects no other caller",
         "connection/http_server.py",
         '        except Exception:\n            logger.exception("connection',
         '        except MemoryError:\n            logger.exception("connection',
@@ -415,7 +419,7 @@
         ".test_unwritable_refusal_affects_only_its_caller",
     ),
     Proof(
-        "a request read in the turn of a stop's end is answered",
+        "a request read while the server finishes is answered",
         "connection/http_server.py",
         "        while self._idle:\n"
         "            await trio.lowlevel.checkpoint()\n"
@@ -424,7 +428,7 @@
         "test_entry_ledger.FinishTest.test_what_was_read_as_a_server_finishes_is_answered",
     ),
     Proof(
-        "a request that has come is read before its connection closes",
+        "a request that has arrived is read before its connection closes",
         "connection/server_link.py",
         "scope.cancelled_caught and self.server.taking",
         "False",
@@ -432,7 +436,7 @@
         ".test_a_request_that_has_come_is_read_before_a_stop_closes",
     ),
     Proof(
-        "a longer rest holds for connections at rest",
+        "a longer idle timeout applies to idle connections",
         "connection/http_server.py",
         "max(scope.deadline, start + limits.idle_seconds)",
         "scope.deadline",
@@ -440,14 +444,14 @@
         ".test_a_longer_rest_holds_for_connections_at_rest",
     ),
     Proof(
-        "a shorter rest ends none early",
+        "a shorter idle timeout closes no connection early",
         "connection/http_server.py",
         "max(scope.deadline, start + limits.idle_seconds)",
         "start + limits.idle_seconds",
         "test_entry_connections.ClosedUnreadTest.test_a_lower_bound_ends_no_rest_early",
     ),
     Proof(
-        "no reset erases a refusal",
+        "a refusal is not lost to a connection reset",
         "connection/http_server.py",
         "                await self._linger(stream)\n",
         "                pass\n",
@@ -455,7 +459,7 @@
         ".test_a_refusal_for_lack_of_room_reaches_its_caller",
     ),
     Proof(
-        "the end of a process erases no last answer",
+        "the last response is not lost when the process exits",
         "connection/http_server.py",
         "                await drop_rest(stream)\n            raise",
         "                pass\n            raise",
@@ -463,7 +467,7 @@
         ".test_the_last_answer_survives_the_end_of_the_process",
     ),
     Proof(
-        "what is half read at a stop's end is refused",
+        "a partly read request is refused when the shutdown ends",
         "connection/http_server.py",
         "        for scope in self._reading:\n",
         "        for scope in ():\n",
@@ -471,35 +475,35 @@
         ".test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused",
     ),
     Proof(
-        "a host without a free descriptor goes on",
+        "a host without free file descriptors keeps running",
         "connection/http_server.py",
         "                if exc.errno not in NO_ROOM:\n",
         "                if exc.errno:\n",
         "test_entry_own_end.ProcessSurvivalTest.test_host_without_free_descriptors_keeps_running",
     ),
     Proof(
-        "a lease is over on a clock that counts a freeze",
+        "a lease expires on a clock that runs during suspend",
         "process/leader_tasks/leader_lease.py",
         "self._boot_clock() >= grant.until",
         "False",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "the next holder waits out the last one's orders",
+        "a new lease holder waits until earlier orders have expired",
         "process/leader_tasks/leader_lease.py",
         "return USABLE_SECONDS + self._holder_gap_seconds + CLOCK_MARGIN_SECONDS",
         "return USABLE_SECONDS",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "a lease is taken under a condition",
+        "a lease is acquired by a conditional write",
         "process/leader_tasks/leader_lease.py",
         "        if granted is None:\n",
         "        if False:\n",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "orders are told to the other hosts",
+        "orders are sent to the other hosts",
         "process/gossip/protocol.py",
         "        sources.phases.apply_updates(digest.phases, now)\n",
         "",
@@ -507,14 +511,14 @@
         "test_an_ordered_engine_is_used_although_the_store_is_down",
     ),
     Proof(
-        "one host's word condemns no replica",
+        "reports of a single host do not exclude a replica",
         "process/gossip/peer_loads.py",
         "return load.second_failures",
         "return load.failures",
         "test_request_placement.PlainTest",
     ),
     Proof(
-        "word of the store is as old as the store's clock says",
+        "the age of a store status follows the store's clock",
         "process/directory/store_watch.py",
         "return self._boot_clock() + max(self._offsets) - store_ms / 1000",
         "return 0.0",
@@ -522,7 +526,7 @@
         "test_delayed_status_is_not_taken_for_fresh",
     ),
     Proof(
-        "a host reads by itself when the word it has grows old",
+        "a host reads the feeds itself when its store status is old",
         "process/directory/store_watch.py",
         "seconds_left = self._max_age_seconds"
         " - self.clock.age(state.received.store_ms)",
@@ -530,14 +534,14 @@
         "test_gossip_collectors.FeedReaderTest.test_feed_readers_that_the_store_refuses",
     ),
     Proof(
-        "a change that was not read is not passed over",
+        "a change that was not read is not skipped",
         "process/directory/store_watch.py",
         "if state.position is not None and status.last_change <= state.position:",
         "if state.position is not None:",
         "test_directory_store_watch.StoreWatchTest",
     ),
     Proof(
-        "hosts that did not see an outage hear of it",
+        "hosts that did not notice an outage are told of it",
         "process/directory/directory_loop.py",
         "            self._replicas.record_store_recovery(",
         "            float(",
@@ -545,14 +549,14 @@
         "test_entries_that_expired_in_an_outage_most_hosts_did_not_notice",
     ),
     Proof(
-        "a holder that falls silent is followed by the next host",
+        "a lost collector is replaced by the next host",
         "process/gossip/election.py",
         "if now - at < HOLDER_TIMEOUT_SECONDS",
         "if now >= at",
         "test_gossip_collectors.AggregateTest.test_lost_collector_is_replaced",
     ),
     Proof(
-        "a new collector's count does not raise shares at once",
+        "a new collector's count does not raise limit shares at once",
         "process/gossip/peer_loads.py",
         "if hosts >= self._max_hosts or now",
         "if hosts or now",
@@ -560,14 +564,14 @@
         "test_new_collector_does_not_raise_the_limit_shares",
     ),
     Proof(
-        "a full pipe of logs blocks nothing",
+        "a full log pipe does not block",
         "log.py",
         "except OSError:\n            return False\n        self._rest = data",
         "except ValueError:\n            return False\n        self._rest = data",
         "test_log.DescriptorSinkTest",
     ),
     Proof(
-        "a target's time bounds the wait for it alone",
+        "the target timeout covers only the wait for the target",
         "connection/silence.py",
         "            return await wait\n",
         "            word = await wait\n"
@@ -576,56 +580,56 @@
         "test_request_silence.RoutedResponseTest",
     ),
     Proof(
-        "a slow answer of the store is read on while its parts come",
+        "a slow store response is read while data arrives",
         "store/calls.py",
         "                limit.allow(self._timeout)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
     Proof(
-        "an answer of the store that never ends is given up",
+        "a store response that never ends is abandoned",
         "store/calls.py",
         "wait + LONGEST_READ_SECONDS",
         'float("inf")',
         "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
     ),
     Proof(
-        "an answer that has come is written whatever ends meanwhile",
+        "a ready response is written when its deadline passes",
         "connection/http_server.py",
         "shield=True, deadline=min(",
         "shield=False, deadline=min(",
         "test_request_silence.DeadlineDuringWriteTest",
     ),
     Proof(
-        "no time ends between an answer's head and its body",
+        "no timeout interrupts a response between head and body",
         "connection/http_server.py",
         "shield=True, deadline=min(",
         "shield=False, deadline=min(",
         "test_entry_writes.ReadyResponseTest",
     ),
     Proof(
-        "each start of a replica is an instance of its own",
+        "each start of a replica is a separate instance",
         "messages/replicas.py",
         'return InstanceId(f"{name}@{started_ms}")',
         "return InstanceId(name)",
         "test_entry_starts.StartAgainTest",
     ),
     Proof(
-        "an order goes to the start it was planned for",
+        "an order is sent only to the instance it was planned for",
         "process/leader_tasks/phase_loop.py",
         "if report.started_ms != replica.started_ms:",
         "if False:",
         "test_entry_starts.StartAgainTest",
     ),
     Proof(
-        "an entry that lacks its replica's start is another writer's",
+        "an entry without the replica's start time has another writer",
         "process/directory/replica_set.py",
         "return had_start and replica.started_ms is None",
         "return False",
         "test_directory_replica_set.RestartTest",
     ),
     Proof(
-        "a row that can't be read hides no other",
+        "an unreadable row does not hide others",
         "platform/store.py",
         "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
         "        except MalformedEntryError as exc:",
@@ -634,14 +638,14 @@
         "test_platform_store.ReplicaFeedTest",
     ),
     Proof(
-        "an entry of an unknown state names no replica",
+        "an entry with an unknown state is ignored",
         "platform/entries.py",
         "if found.state not in STATES:",
         "if False:",
         "test_platform_adapter.EntryTest",
     ),
     Proof(
-        "prompts that can be on time go before those that can't",
+        "prompts that can meet their objective go first",
         "request/prefill_scheduler.py",
         "if slo_status_of(job.route, job.waited_seconds + seconds) "
         "is SloStatus.ON_TIME:",
@@ -649,56 +653,56 @@
         "test_request_prefill_scheduler.BurstTest",
     ),
     Proof(
-        "what is beyond an engine's memory is not taken for kept",
+        "blocks beyond an engine's cache capacity do not count as cached",
         "process/targets/prefix_cache_index.py",
         "return self._tokens > capacity_tokens and bool(self._blocks)",
         "return False",
         "test_targets_knowledge.PrefixCacheIndexTest",
     ),
     Proof(
-        "warm is who keeps all shared parts",
+        "an engine is warm only if it caches all prefix blocks",
         "request/placement.py",
         "self._reason(replica, homes, cached >= prompt.prefix_tokens)",
         "self._reason(replica, homes, cached > 0)",
         "test_request_placement.HomeQueueTest",
     ),
     Proof(
-        "a leaving host of the own interface answers before it ends",
+        "a native completion that outlasts the shutdown is answered",
         "request/completion.py",
         "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
         "test_shutdown.AnswerTest",
     ),
     Proof(
-        "a look-up that outlasts a stop is answered",
+        "a retryable call that outlasts the shutdown is answered",
         "request/service_call.py",
         "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
         "test_shutdown.LookupTest",
     ),
     Proof(
-        "no confirmation is sent whose end the host will not see",
+        "no confirmation is sent that would outlast the host",
         "application.py",
         "self.last_sends.begin(seconds - sent_and_recorded)",
         "self.last_sends.begin(seconds)",
         "test_shutdown.ConfirmationTest",
     ),
     Proof(
-        "a stop of the own interface waits for requests that still come",
+        "a shutdown of the native API waits for last requests",
         "application.py",
         "        await self.server.wait_until_quiet(0)\n",
         "",
         "test_shutdown.LastRequestTest",
     ),
     Proof(
-        "a lease is given up after the look under way",
+        "a lease is released after the poll in progress",
         "process/control/pool_loop.py",
         "        async with self._pass_lock:\n            while self._sending:",
         "        if True:\n            while self._sending:",
         "test_shutdown.HolderTest.test_a_lease_is_given_up_whatever_its_loop_is_at",
     ),
     Proof(
-        "an order under way is waited for before the end",
+        "a shutdown waits for the order in flight",
         "process/control/pool_loop.py",
         "while self._sending:",
         "while False:",
@@ -706,7 +710,7 @@
         "test_an_order_under_way_is_accounted_for_before_the_end",
     ),
     Proof(
-        "a sender that is gone is known to be gone",
+        "orders of a dead sender are resolved by its successor",
         "process/control/pool_loop.py",
         "return self._parts.members.is_replaced(host_of(incarnation), incarnation)",
         "return False",
@@ -714,14 +718,14 @@
         "test_an_order_of_a_killed_host_is_accounted_for_by_its_successor",
     ),
     Proof(
-        "a request under which replicas ended is held back",
+        "a request that crashed replicas is quarantined",
         "request/relay.py",
         "        self._check_allowed()\n        if self._req.prompt is None:",
         "        if self._req.prompt is None:",
         "test_entry_crashing_requests.AllRouteKindsTest",
     ),
     Proof(
-        "it is judged again between reading and answering",
+        "the quarantine is checked again between prefill and decode",
         "request/relay.py",
         "            # Another attempt of this request may have crashed a replica"
         " meanwhile.\n"
@@ -730,14 +734,14 @@
         f"{KEYS}.KeyChangeTest.test_a_waiting_request_is_authenticated_again",
     ),
     Proof(
-        "two replicas are enough",
+        "crashes of two replicas are enough for quarantine",
         "process/quarantine/crash_record.py",
         "if self.crash_count >= MIN_SUSPECT_CRASHES:",
         "if False:",
         "test_quarantine.ThresholdTest",
     ),
     Proof(
-        "hosts tell each other which replicas broke off",
+        "hosts send each other their replica crashes",
         "process/gossip/protocol.py",
         "        sources.quarantine.merge(\n"
         "            digest.crashes, digest.finished, now, "
@@ -747,21 +751,21 @@
         "test_quarantine_spread.PropagationTest",
     ),
     Proof(
-        "what is held back is told again",
+        "quarantined requests are announced again",
         "process/quarantine/crash_gossip.py",
         "if now - self._resent_at >= RESEND_SECONDS:",
         "if False:",
         "test_quarantine_spread.PropagationTest.test_a_restarted_host_learns_of_it",
     ),
     Proof(
-        "a collector tells on what its hosts saw",
+        "a collector forwards the crashes that its hosts saw",
         "process/gossip/protocol.py",
         "return digest.domain == self._sources.domain\n\n    def _note",
         "return False\n\n    def _note",
         "test_quarantine_spread.PropagationTest.test_all_hosts_learn_in_half_of_the_allowed_time",
     ),
     Proof(
-        "what finishes is cleared",
+        "a request that completes is cleared",
         "process/quarantine/quarantine.py",
         "        if self._remove(request):\n"
         "            self._gossip.add_completion(request, now, is_own_domain)\n",
@@ -769,14 +773,14 @@
         "test_quarantine.FalseSuspicionTest.test_completed_request_is_cleared",
     ),
     Proof(
-        "nothing older is believed of what finished",
+        "reports older than a completion are ignored",
         "process/quarantine/quarantine.py",
         "if is_expired or self._completed_recently(report.request, now):",
         "if is_expired:",
         "test_quarantine_spread.PropagationTest.test_completed_request_is_cleared_at_all_hosts",
     ),
     Proof(
-        "what finished lately is not suspected",
+        "a recently completed request is not suspected",
         "process/quarantine/quarantine.py",
         "        if self._completed_recently(request, now):\n            return 0\n",
         "",
@@ -784,7 +788,7 @@
         "test_recently_completed_request_is_not_suspected",
     ),
     Proof(
-        "a replica that takes a new connection has not ended",
+        "a replica that accepts a new connection has not crashed",
         "request/crash_watch.py",
         "        if is_alive:\n"
         "            self._quarantine.record_reconnect(instance, now)\n",
@@ -793,7 +797,7 @@
         "test_a_caller_whose_connections_are_reset_is_served",
     ),
     Proof(
-        "what breaks with a replica that leaves is not suspect",
+        "failures on a draining replica raise no suspicion",
         "request/routed_crash_watch.py",
         "self.fingerprint is None or self._deps.replicas.is_leaving(replica)",
         "self.fingerprint is None",
@@ -801,14 +805,14 @@
         "test_a_stream_on_a_leaving_replica_is_not_suspect",
     ),
     Proof(
-        "harmless requests push out none that is held back",
+        "harmless requests do not evict quarantined ones",
         "process/quarantine/quarantine.py",
         "(self._quarantined if is_quarantined else self._observed)[request] = record",
         "self._observed[request] = record",
         "test_quarantine.MemoryBoundTest.test_harmless_requests_do_not_evict_quarantined_ones",
     ),
     Proof(
-        "fingerprints are hashed under the hosts' key",
+        "fingerprints are hashed under the hosts' shared key",
         "request/fingerprint.py",
         "key=self._key",
         'key=b""',
@@ -816,7 +820,7 @@
         "test_fingerprints_cannot_be_predicted_without_the_key",
     ),
     Proof(
-        "the store keeps what all hosts may forget",
+        "the store keeps the quarantine when all hosts restart",
         "process/quarantine/quarantine.py",
         "        self._queue_rows(request)\n",
         "",
@@ -824,14 +828,14 @@
         "test_quarantine_survives_a_restart_of_all_hosts",
     ),
     Proof(
-        "a call under which targets ended is held back",
+        "a native call that crashed targets is quarantined",
         "request/completion.py",
         "            if not self._is_allowed():\n                return None\n",
         "",
         "test_crashing_calls.CrashingCompletionTest",
     ),
     Proof(
-        "a confirmation under which replicas ended is held back",
+        "a confirmation that crashed replicas is quarantined",
         "request/service_call.py",
         "        if refusal is not None:\n"
         "            return await self.refuse(call, refusal)\n",
@@ -840,126 +844,126 @@
         "test_a_confirmation_under_a_new_key_each_time",
     ),
     Proof(
-        "a feed goes on from a position of its own era alone",
+        "a feed continues only from a position of the same era",
         "process/directory/store_watch.py",
         "return position_era is None or position_era == era",
         "return True",
         "test_store_eras.FeedTest",
     ),
     Proof(
-        "a word of a former era is nothing",
+        "a store status of an earlier era is ignored",
         "process/directory/store_watch.py",
         "if era != status.replicas.era or self.eras.is_old(era):",
         "if False:",
         "test_directory_store_watch.StoreWatchTest.test_status_of_a_former_era_is_ignored",
     ),
     Proof(
-        "a version whose number is used again is taken",
+        "a reused version number is accepted in a new era",
         "process/directory/route_holder.py",
         "return era > self._era and table != self.table",
         "return False",
         "test_store_eras.RouteTest",
     ),
     Proof(
-        "what leaves does not come back from an older copy",
+        "a draining replica is not restored by an older copy",
         "process/directory/replica_tombstones.py",
         "elif replica.instance in self._draining:",
         "elif False:",
         f"{REPLICA_SET}.test_a_draining_replica_stays_unused_when_a_copy_lists_it_as_ready",
     ),
     Proof(
-        "what has gone does not come back from an older copy",
+        "a removed replica is not restored by an older copy",
         "process/directory/replica_tombstones.py",
         "if former is None or",
         "if True or",
         "test_store_eras.ReplicaTest",
     ),
     Proof(
-        "what an older copy lacks is given time to write itself again",
+        "entries missing from an older copy get time to be rewritten",
         "process/directory/replica_set.py",
         "            self._store_recovered_at = now\n        self._era = era",
         "            pass\n        self._era = era",
         "test_store_eras.ReplicaTest",
     ),
     Proof(
-        "nobody takes a lease whose row may be lost",
+        "no host takes a lease whose row may be lost",
         "process/leader_tasks/leader_lease.py",
         "if seconds_left > 0 and self._may_be_lost(row):",
         "if False:",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "a holder gives its lease up in a new era",
+        "a lease holder gives up its lease in a new era",
         "process/leader_tasks/leader_lease.py",
         "return None if self._eras.is_old(grant.era) else grant",
         "return grant",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "a write across a return of the store grants nothing",
+        "a write that spans a restore of the store grants no lease",
         "process/leader_tasks/leader_lease.py",
         "if granted.era != row.era:",
         "if False:",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "fences rise over eras",
+        "fencing tokens increase across eras",
         "process/leader_tasks/leader_lease.py",
         "granted.era << REVISION_BITS | granted.revision",
         "int(granted.revision)",
         "test_leader_lease.LeaderLeaseTest",
     ),
     Proof(
-        "hosts go by one key after an older copy",
+        "hosts agree on one key after a restore of the store",
         "process/gossip/load_loop.py",
         "            if found != key:\n                return found",
         "            pass",
         "test_store_eras_hosts.LostRowsTest",
     ),
     Proof(
-        "every call to a replica asks the gate",
+        "every call to a replica passes the gate",
         "connection/target_client.py",
         "        entered_at = self._gate.enter(out.instance, out.limit_exempt)\n",
         "        entered_at = 0.0\n",
         TARGET_GATE,
     ),
     Proof(
-        "every answer's head is heard",
+        "the head of every response is processed",
         "connection/target_client.py",
         "        self._on_head(self.status, self.headers)\n",
         "",
         f"{LIMITS}.SomeLimitedTest.test_all_hosts_together_keep_a_replicas_limit",
     ),
     Proof(
-        "another replica's answer asks for nothing",
+        "a response of another replica has no effect",
         "platform/exchange.py",
         "        if status == STATUS_WRONG_INSTANCE:\n            return None\n",
         "",
         f"{LIMITS}.LiftedTest.test_response_of_another_replica_sets_no_limit",
     ),
     Proof(
-        "hosts share a limit",
+        "hosts share a replica's rate limit",
         "process/targets/limit_shares.py",
         "            return LimitShare(HOLDERS_FRACTION / count, True)\n",
         "            return LimitShare(1.0, True)\n",
         RATES,
     ),
     Proof(
-        "turns are not saved up by hosts without a share",
+        "hosts without a share accumulate no send slots",
         "process/targets/rate_limits.py",
         "if now > limit.slot_expires_at:",
         "if False:",
         RATES,
     ),
     Proof(
-        "an answer to an older request lifts no limit",
+        "a response to an older request lifts no limit",
         "process/targets/rate_limits.py",
         "if limit is None or sent_at <= limit.confirmed_at:",
         "if limit is None:",
         RATES,
     ),
     Proof(
-        "placing leaves out replicas that take nothing now",
+        "placement skips throttled replicas",
         "request/replica_selector.py",
         "        throttled = self._parts.throttle.blocked(self._now())\n"
         "        excluded",
@@ -967,42 +971,42 @@
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
-        "a throttled engine's turn is kept while a prompt is read",
+        "a throttled engine's send slot is held during prefill",
         "request/relay.py",
         "            self._choice.reserve(place.target.instance)\n",
         "",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
-        "other engines answer for those in need",
+        "prefill engines take over from throttled decode engines",
         "process/leader_tasks/phase_loop.py",
         "if not self._is_limited(rep.instance)",
         "if True",
         f"{LIMITS}.PrefillEnginesTest",
     ),
     Proof(
-        "a limit's end is told to all hosts",
+        "the end of a limit is sent to all hosts",
         "process/targets/throttle.py",
         "            self._gossip.note_own(target_hash(instance), None, now)\n",
         "            pass\n",
         "test_targets_limit_gossip.PropagationTest",
     ),
     Proof(
-        "a replica's own word that it leaves counts",
+        "a replica's own draining notice is respected",
         "request/target_gate.py",
         "if control.draining and",
         "if False and",
-        LEAVING,
+        DRAINING,
     ),
     Proof(
-        "a refusal's time of rest is kept",
+        "the retry delay of a refusal is respected",
         "process/targets/throttle.py",
         "        if control.retry_after > 0:\n",
         "        if False:\n",
         BACKOFF,
     ),
     Proof(
-        "the first answer to either feed ends an outage",
+        "the first response to either feed ends an outage",
         "process/directory/directory_loop.py",
         "            self._replicas.mark_store_answered(self._clock.monotonic())\n",
         "",
@@ -1020,7 +1024,9 @@
         return "safeguard not found"
     if not passes(proof.test, tree):
         return "RED WITH IT TOO"
-    path.write_text(original.replace(proof.text, proof.without, 1), encoding="utf-8")
+    path.write_text(
+        original.replace(proof.text, proof.replacement, 1), encoding="utf-8"
+    )
     try:
         return "GREEN" if passes(proof.test, tree) else "red"
     finally:
@@ -1028,9 +1034,9 @@
 
 
 def passes(test: str, tree: Path) -> bool:
-    """Return whether a test passes in a tree; one without end does not."""
+    """Return whether a test passes in a tree; one that times out does not."""
     try:
-        found = subprocess.run(
+        completed = subprocess.run(
             [sys.executable, "-m", "unittest", f"{TESTS}.{test}"],
             cwd=tree,
             capture_output=True,
@@ -1039,23 +1045,23 @@
         )
     except subprocess.TimeoutExpired:
         return False
-    return found.returncode == 0
+    return completed.returncode == 0
 
 
 def main() -> int:
     """Run all proofs and return the exit status."""
-    bad = 0
+    failures = 0
     with tempfile.TemporaryDirectory(prefix="berylshift-proofs-") as name:
         tree = Path(name)
         ignore = shutil.ignore_patterns("__pycache__")
         shutil.copytree("berylshift", tree / "berylshift", ignore=ignore)
         for proof in PROOFS:
             outcome = run_proof(proof, tree)
-            bad += outcome != "red"
+            failures += outcome != "red"
             sys.stdout.write(f"{outcome:20} {proof.name}  [{proof.test}]\n")
             sys.stdout.flush()
-    sys.stdout.write(f"{len(PROOFS) - bad} red, {bad} not\n")
-    return 1 if bad else 0
+    sys.stdout.write(f"{len(PROOFS) - failures} red, {failures} not\n")
+    return 1 if failures else 0
 
 
 if __name__ == "__main__":
