--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,44 +1,44 @@
-"""Runs the measurements that are named, or all."""
+"""Runs the named benchmarks, or all of them."""
 
 import logging
 import sys
 
 from bench import (
-    in_force,
     memory,
     micro,
-    placing,
+    placement,
     policies,
     relay,
-    slopes,
-    start,
+    startup,
     store_writes,
+    table_propagation,
+    unit_costs,
 )
 
-MEASUREMENTS = {
+BENCHMARKS = {
     "store": store_writes.main,
-    "in-force": in_force.main,
+    "in-force": table_propagation.main,
     "micro": micro.main,
-    "slopes": slopes.main,
+    "slopes": unit_costs.main,
     "memory": memory.main,
-    "placing": placing.main,
+    "placing": placement.main,
     "relay": relay.main,
     "policies": policies.main,
-    "start": start.main,
+    "start": startup.main,
 }
 
 
 def main() -> int:
-    """Run measurements by name."""
+    """Run the benchmarks named on the command line; return the exit status."""
     logging.disable(logging.CRITICAL)
-    names = sys.argv[1:] or list(MEASUREMENTS)
-    unknown = [name for name in names if name not in MEASUREMENTS]
+    names = sys.argv[1:] or list(BENCHMARKS)
+    unknown = [name for name in names if name not in BENCHMARKS]
     if unknown:
-        sys.stderr.write(f"no such measurement: {', '.join(unknown)}\n")
+        sys.stderr.write(f"unknown benchmark: {', '.join(unknown)}\n")
         return 2
     for name in names:
         sys.stdout.write(f"== {name}\n")
-        MEASUREMENTS[name]()
+        BENCHMARKS[name]()
         sys.stdout.flush()
     return 0
 
--- a/bench/memory.py
+++ b/bench/memory.py
@@ -1,4 +1,4 @@
-"""Resident memory of a daemon, idle and with 500 open streams, in real processes."""
+"""Resident memory of a daemon process, idle and with 500 open streams."""
 
 import tempfile
 from pathlib import Path
@@ -6,8 +6,8 @@
 import msgspec
 import trio
 
+from bench.process_stats import resident_kb
 from bench.report import print_rows
-from bench.usage import resident_kb
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.replay.http_fleet import HttpBalancer
@@ -41,7 +41,7 @@
     async with trio.open_nursery() as nursery:
         programs = Programs(directory, nursery)
         try:
-            fleet = DemoFleet(directory, programs, engine_count=8, daemon_count=1)
+            fleet = DemoFleet(directory, programs, engine_count=8, host_count=1)
             await fleet.start()
             client = HttpClient(connect_seconds=10.0)
             balancer = HttpBalancer(client, fleet.entries)
@@ -49,21 +49,21 @@
                 await balancer.wait_until_ready(1)
             await trio.sleep(3)
             pid = programs.running["host-1"].process.pid
-            idle = resident_kb(pid)
+            idle_kb = resident_kb(pid)
             for number in range(STREAMS):
                 nursery.start_soon(_stream, client, fleet.entries[0], number)
             await trio.sleep(SETTLE_SECONDS)
-            loaded = resident_kb(pid)
+            loaded_kb = resident_kb(pid)
         finally:
-            await programs.end_all()
+            await programs.stop_all()
             nursery.cancel_scope.cancel()
     return [
-        {"daemon": "idle", "resident_kb": idle},
-        {"daemon": f"{STREAMS} open streams", "resident_kb": loaded},
+        {"daemon": "idle", "resident_kb": idle_kb},
+        {"daemon": f"{STREAMS} open streams", "resident_kb": loaded_kb},
     ]
 
 
 def main() -> None:
-    """Print the memory."""
+    """Print the resident memory of both cases."""
     with tempfile.TemporaryDirectory(prefix="berylshift-bench-") as name:
         print_rows(trio.run(_run, Path(name)))
--- a/berylshift/tests/test_signals.py
+++ b/berylshift/tests/test_signals.py
@@ -1,18 +1,18 @@
 """Tests of repeated signals, as operators and the platform send them."""
 
+from berylshift.connection.http_client import HttpClient
+from berylshift.connection.http_client import Outgoing
+from berylshift.platform import names
+from berylshift.signals import watch_signals
+from berylshift.tools.demo_entry import EntryDemo
+from berylshift.tools.demo_entry import SITE
+from berylshift.tools.processes import Programs
+from pathlib import Path
 import signal
 import tempfile
-import unittest
-from pathlib import Path
-
 import trio
 import trio.testing
-
-from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.platform import names
-from berylshift.signals import watch_signals
-from berylshift.tools.demo_entry import SITE, EntryDemo
-from berylshift.tools.processes import Programs
+import unittest
 
 PIECES = 40
 
@@ -54,7 +54,7 @@
                 names.TOKEN_COUNTS.decode(): "3000,80",
                 names.PREFIX_BLOCKS.decode(): "a1:2000,ff:1000",
                 "x-pieces": str(PIECES),
-                **demo.shown_key(),
+                **demo.auth_header(),
             }
             address = demo.hosts[0].address
             out = Outgoing(address, "POST", "/note/x", headers, b"{}", reuse=False)
@@ -78,7 +78,7 @@
                     await demo.start(hosts=1)
                     return await ask(demo)
                 finally:
-                    await programs.end_all()
+                    await programs.stop_all()
                     nursery.cancel_scope.cancel()
 
         with tempfile.TemporaryDirectory() as tmp:
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -1,31 +1,35 @@
-"""The processes of the demonstration: platform, targets and entry hosts."""
-
-import random
-import signal
-import sys
-from dataclasses import dataclass, field
-from pathlib import Path
-
-import msgspec
-from returns.result import Success
+"""Starts the demonstration fleet's processes: platform, targets and entry hosts."""
 
 from berylshift.clock import LoopClock
 from berylshift.connection.http_client import HttpClient
-from berylshift.connection.listeners import bound_address, open_listener
+from berylshift.connection.listeners import bound_address
+from berylshift.connection.listeners import open_listener
 from berylshift.ids import ChangeId
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.replay.trace import EventKind, TraceEvent
+from berylshift.replay.trace import EventKind
+from berylshift.replay.trace import TraceEvent
 from berylshift.store.batch import TableGate
-from berylshift.store.http import HttpObjectStore, HttpTableService
+from berylshift.store.http import HttpObjectStore
+from berylshift.store.http import HttpTableService
 from berylshift.tools.processes import Programs
 from berylshift.version.changelog import TableLog
 from berylshift.version.diff import Edit
-from berylshift.version.rows import OrderCheck, Row, RowKind
+from berylshift.version.rows import OrderCheck
+from berylshift.version.rows import Row
+from berylshift.version.rows import RowKind
 from berylshift.version.table_csv import with_cell
+from dataclasses import dataclass
+from dataclasses import field
+from pathlib import Path
+from returns.result import Success
+import msgspec
+import random
+import signal
+import sys
 
 ENGINES = 4
 REPLICAS = 2
-DAEMONS = 3
+HOSTS = 3
 DOMAINS = 4
 FLEET = "nestwatch"
 MODEL = "match-note"
@@ -35,7 +39,7 @@
 
 
 def free_address() -> str:
-    """Return a loopback address whose port the kernel says is free."""
+    """Return a loopback address with a currently unused port."""
     listener = open_listener("127.0.0.1:0")
     address = bound_address(listener)
     listener.socket.close()
@@ -44,12 +48,12 @@
 
 @dataclass
 class DemoFleet:
-    """The processes of the demonstration."""
+    """The running processes of the demonstration fleet and their addresses."""
 
     directory: Path
     programs: Programs
     engine_count: int = ENGINES
-    daemon_count: int = DAEMONS
+    host_count: int = HOSTS
     platform: str = ""
     engines: list[str] = field(default_factory=list)
     replicas: list[str] = field(default_factory=list)
@@ -68,19 +72,19 @@
             )
         for number in range(1, REPLICAS + 1):
             name = f"{SERVICE}-{number}"
-            started = await self.programs.start_stand_in(
+            program = await self.programs.start_stand_in(
                 name, "service", "--name", name
             )
-            self.replicas.append(started.address)
+            self.replicas.append(program.address)
         await self.table_log().commit(
             Edit(0, self._rows(), []), ChangeId("demo-1"), "demo", ""
         )
         self._write_credentials()
-        for number in range(1, self.daemon_count + 1):
-            await self._start_daemon(f"host-{number}", number)
+        for number in range(1, self.host_count + 1):
+            await self._start_host(f"host-{number}", number)
 
     def table_log(self) -> TableLog:
-        """Return the operators' table in the platform."""
+        """Return a client of the operators' table that the platform stores."""
         client = HttpClient()
         rng = random.Random(SEED)
         gate = TableGate(
@@ -131,7 +135,7 @@
         path.touch(mode=0o600)
         path.write_bytes(msgspec.json.encode(data))
 
-    async def _start_daemon(self, name: str, number: int) -> None:
+    async def _start_host(self, name: str, number: int) -> None:
         address = free_address()
         text = f"""[host]
 name = {name}
@@ -156,7 +160,7 @@
         self.entries.append(address)
 
     async def apply_event(self, event: TraceEvent) -> None:
-        """Bring an event of the demonstration about."""
+        """Apply a trace event to the fleet and print it."""
         sys.stdout.write(f"{event.at_ms / 1000:5.1f} s  {event.event} {event.who}\n")
         sys.stdout.flush()
         if event.event is EventKind.KILL and event.who.startswith("engine"):
@@ -172,6 +176,6 @@
         row = next(row for row in table.rows.values() if row.target == event.who)
         changed = with_cell(row, event.column, event.value).unwrap()
         edit = Edit(table.version, [changed], [])
-        done = await log.commit(edit, ChangeId("demo-2"), "demo", "")
-        if not isinstance(done, Success):
-            raise RuntimeError(f"the demonstration's edit was refused: {done}")
+        result = await log.commit(edit, ChangeId("demo-2"), "demo", "")
+        if not isinstance(result, Success):
+            raise RuntimeError(f"the demonstration's table edit was rejected: {result}")
