--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -93,8 +93,8 @@
         self, number: int, request: TraceRequest, start: float, deadline: float
     ) -> RequestResult:
         host = self._pick()
-        await trio.sleep(self.world.network.latency)
-        await self.world.network.awake(host.name)
+        await trio.sleep(self.world.network.latency_seconds)
+        await self.world.network.wait_resumed(host.name)
         with host.call() as app:
             caller = Caller(CustomerName(request.customer), FleetName(request.fleet))
             if request.kind is Kind.MODEL:
@@ -118,7 +118,7 @@
         )
         sink = _Sink()
         ending = await app.handler.complete(call, sink)
-        await self.world.network.awake(app.cfg.host.name)
+        await self.world.network.wait_resumed(app.cfg.host.name)
         fate = FATES[ending.outcome]
         wanted = completion_text(prompt, request.output_tokens)
         if fate is Fate.COMPLETE and "".join(sink.parts) != wanted:
@@ -145,7 +145,7 @@
             key="" if request.idempotent else str(number),
         )
         found = await app.handler.call_service(call)
-        await self.world.network.awake(app.cfg.host.name)
+        await self.world.network.wait_resumed(app.cfg.host.name)
         fate = FATES[found.ending.outcome]
         if fate is Fate.COMPLETE and service_echo(body).encode() not in found.body:
             fate = Fate.CUT
@@ -182,7 +182,7 @@
         others = [event.to] if event.to else [STORE, *world.hosts, *world.engines]
         for other in others:
             if other == STORE and event.who in world.store_links:
-                world.store_links[event.who].cut = cut
+                world.store_links[event.who].is_unreachable = cut
             elif cut:
                 world.network.cut(event.who, other)
             else:
--- a/berylshift/replay/virtual_fleet.py
+++ b/berylshift/replay/virtual_fleet.py
@@ -199,7 +199,7 @@
         store = MemoryPlatform(self.platform)
         self.store_links[name] = store
         addresses = Addresses(peer=f"{name}:peer", admin=f"{name}:admin")
-        self.hub.names[addresses.admin] = name
+        self.hub.host_names[addresses.admin] = name
         ports = Ports(
             clock=self.clock,
             rng=rng,
--- a/berylshift/stand_ins/__init__.py
+++ b/berylshift/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, engines and plain services."""
+"""Fakes of the platform, engines and plain services, for tests and demonstrations."""
--- a/berylshift/stand_ins/fake_directory.py
+++ b/berylshift/stand_ins/fake_directory.py
@@ -1,4 +1,4 @@
-"""The platform's directory, leases and hosts in memory, with scripted faults."""
+"""The platform's directory, lease, crash and host rows in memory, with faults."""
 
 from collections.abc import Awaitable, Callable, Iterable
 from dataclasses import dataclass, field
@@ -16,14 +16,14 @@
 from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 from berylshift.version.routes import RouteTable
 
-# The store's clock runs on since its own start, not since the hosts'.
-STORE_CLOCK_AHEAD_SECONDS = 7_000.0
+# The store's clock counts from its own start, so it differs from the hosts' clocks.
+STORE_CLOCK_OFFSET_SECONDS = 7_000.0
 FIRST_LEASE_REVISION = 10
 
 
 @dataclass
-class DirectoryCopy:
-    """What the store held at a moment."""
+class DirectorySnapshot:
+    """The directory's contents at one time."""
 
     revision: int = 1
     routes: tuple[int, RouteTable] | None = None
@@ -32,7 +32,11 @@
 
 
 class FakeDirectory:
-    """Routes and replicas; ``down``, ``silent`` and ``forget`` are its faults."""
+    """Routes and replicas.
+
+    Faults: ``down`` fails each call, ``silent`` leaves feeds unanswered, and
+    ``forget_history`` drops the feeds' past changes.
+    """
 
     def __init__(self) -> None:
         """Start empty."""
@@ -40,19 +44,19 @@
         self._routes: tuple[int, RouteTable] | None = None
         self._replicas: dict[ReplicaName, Replica] = {}
         self._changes: list[tuple[int, ReplicaName, Replica | None]] = []
-        self._news = trio.Event()
-        self._history_from = 0
-        self._copies: list[tuple[float, DirectoryCopy]] = []
+        self._changed = trio.Event()
+        self._oldest_feed_revision = 0
+        self._snapshots: list[tuple[float, DirectorySnapshot]] = []
         self.era = FIRST_ERA
         self.down = False
         self.silent = False
         self.reads = 0
 
     def put_routes(self, table: RouteTable) -> None:
-        """Accept a version of the routes."""
+        """Publish a version of the routes."""
         self._revision += 1
         self._routes = (self._revision, table)
-        self._tell()
+        self._record_change()
 
     def put_replica(self, replica: Replica) -> None:
         """Write a replica's entry."""
@@ -60,44 +64,46 @@
         replica = msgspec.structs.replace(replica, revision=Revision(self._revision))
         self._replicas[replica.name] = replica
         self._changes.append((self._revision, replica.name, replica))
-        self._tell()
+        self._record_change()
 
     def remove_replica(self, name: str) -> None:
         """Remove a replica's entry."""
         self._revision += 1
         self._replicas.pop(ReplicaName(name), None)
         self._changes.append((self._revision, ReplicaName(name), None))
-        self._tell()
+        self._record_change()
 
     def restore(self, seconds: float) -> None:
-        """Come back from a copy that is ``seconds`` old, in a new era."""
-        wanted = trio.current_time() - seconds
-        found = [copy for at, copy in self._copies if at <= wanted]
-        copy = found[-1] if found else DirectoryCopy()
-        self._revision = copy.revision
-        self._routes = copy.routes
-        self._replicas = dict(copy.replicas)
-        self._changes = list(copy.changes)
+        """Restore the store from a snapshot ``seconds`` old, in a new era."""
+        restore_time = trio.current_time() - seconds
+        candidates = [
+            snapshot for at, snapshot in self._snapshots if at <= restore_time
+        ]
+        snapshot = candidates[-1] if candidates else DirectorySnapshot()
+        self._revision = snapshot.revision
+        self._routes = snapshot.routes
+        self._replicas = dict(snapshot.replicas)
+        self._changes = list(snapshot.changes)
         self.era = StoreEra(self.era + 1)
-        self._tell()
+        self._record_change()
 
     def forget_history(self) -> None:
-        """Drop what feeds would tell of the past."""
+        """Drop the change history that feeds read."""
         self._changes.clear()
-        self._history_from = self._revision
-        self._tell()
+        self._oldest_feed_revision = self._revision
+        self._record_change()
 
     def now_ms(self) -> int:
-        """Return the store's steady clock, which is not the hosts'."""
-        return int((trio.current_time() + STORE_CLOCK_AHEAD_SECONDS) * 1000)
+        """Return the store's monotonic clock, which is not that of the hosts."""
+        return int((trio.current_time() + STORE_CLOCK_OFFSET_SECONDS) * 1000)
 
-    def _tell(self) -> None:
-        copy = DirectoryCopy(
+    def _record_change(self) -> None:
+        snapshot = DirectorySnapshot(
             self._revision, self._routes, dict(self._replicas), list(self._changes)
         )
-        self._copies.append((trio.current_time(), copy))
-        self._news.set()
-        self._news = trio.Event()
+        self._snapshots.append((trio.current_time(), snapshot))
+        self._changed.set()
+        self._changed = trio.Event()
 
     async def _call(self) -> None:
         self.reads += 1
@@ -113,7 +119,7 @@
         return RouteSnapshot(table, revision, self.now_ms(), self.era)
 
     async def await_routes(self, after: Revision, seconds: float) -> RouteSnapshot:
-        """Return newer routes, or nothing after a while."""
+        """Return routes newer than ``after``, or none after ``seconds``."""
         if after > self._revision:
             raise HistoryLostError("no such revision")
         await self._wait(
@@ -127,22 +133,22 @@
     async def read_replicas(self) -> ReplicaChanges:
         """Return all replicas."""
         await self._call()
-        found = tuple(self._replicas.values())
+        replicas = tuple(self._replicas.values())
         revision = Revision(self._revision)
-        return ReplicaChanges(found, (), revision, True, self.now_ms(), self.era)
+        return ReplicaChanges(replicas, (), revision, True, self.now_ms(), self.era)
 
     async def await_replicas(self, after: Revision, seconds: float) -> ReplicaChanges:
-        """Return what changed after a revision."""
-        if after < self._history_from or after > self._revision:
+        """Return the changes after a revision."""
+        if after < self._oldest_feed_revision or after > self._revision:
             raise HistoryLostError("history dropped")
         await self._wait(
             lambda: (
-                after < self._history_from
+                after < self._oldest_feed_revision
                 or any(at > after for at, _, _ in self._changes)
             ),
             seconds,
         )
-        if after < self._history_from:
+        if after < self._oldest_feed_revision:
             raise HistoryLostError("history dropped")
         newest: dict[ReplicaName, Replica | None] = {}
         for at, name, replica in self._changes:
@@ -153,22 +159,22 @@
         revision = Revision(self._revision)
         return ReplicaChanges(put, removed, revision, False, self.now_ms(), self.era)
 
-    async def _wait(self, has_news, seconds: float) -> None:
+    async def _wait(self, has_changes, seconds: float) -> None:
         await self._call()
         if self.silent:
-            # A feed that is silent for good; only the caller's time-out ends it.
+            # A feed that never answers: only the caller's timeout ends the call.
             await trio.sleep(seconds + 0.6)
             raise AnswerLostError("no answer")
         with trio.move_on_after(seconds):
-            while not has_news():
-                await self._news.wait()
+            while not has_changes():
+                await self._changed.wait()
         if self.down:
             raise StoreUnavailableError("down")
 
 
 @dataclass
-class LeaseCopy:
-    """What the lease rows were at a moment."""
+class LeaseSnapshot:
+    """The lease rows at one time."""
 
     at: float
     rows: dict[str, tuple[LeaseRecord, int]]
@@ -176,23 +182,27 @@
 
 
 class FakeLeaseRows:
-    """Lease rows with a steady clock; a late write applies if its condition holds."""
+    """Lease rows with a monotonic clock.
+
+    With ``delayed_write_seconds``, a write whose answer is lost is applied that much
+    later, if its condition holds then.
+    """
 
     def __init__(self, now=trio.current_time) -> None:
-        """Take the store's clock from ``now``, in seconds."""
+        """Use ``now``, in seconds, as the store's clock."""
         self._now = now
         self._rows: dict[str, tuple[LeaseRecord, int]] = {}
         self._revision = FIRST_LEASE_REVISION
-        self._copies: list[LeaseCopy] = []
-        self._late: list[tuple[float, str, LeaseRecord, Revision]] = []
+        self._snapshots: list[LeaseSnapshot] = []
+        self._delayed_writes: list[tuple[float, str, LeaseRecord, Revision]] = []
         self.down = False
         self.lose_answers = 0
-        self.late_seconds: float | None = None
+        self.delayed_write_seconds: float | None = None
         self.era = FIRST_ERA
         self.after_read: Callable[[], Awaitable[object]] | None = None
 
     async def read(self, name: str) -> LeaseRow:
-        """Return a row; ``after_read`` runs once between this and what follows."""
+        """Return a row; ``after_read`` is awaited once, after the row was read."""
         self._check()
         record, revision = self._rows.get(name, (None, ABSENT))
         now_ms = int(self._now() * 1000)
@@ -205,31 +215,39 @@
     async def swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
-        """Write a row if it is at ``expected``."""
+        """Write a row if its revision is ``expected``."""
         self._check()
         if self.lose_answers:
             self.lose_answers -= 1
-            if self.late_seconds is None:
+            if self.delayed_write_seconds is None:
                 self._apply(name, record, expected)
             else:
-                at = self._now() + self.late_seconds
-                self._late.append((at, name, record, expected))
+                at = self._now() + self.delayed_write_seconds
+                self._delayed_writes.append((at, name, record, expected))
             raise AnswerLostError("answer lost")
         return self._apply(name, record, expected)
 
     def restore(self, seconds: float) -> None:
-        """Come back from a copy that is ``seconds`` old, in a new era."""
-        wanted = self._now() - seconds
-        found = [copy for copy in self._copies if copy.at <= wanted]
-        copy = found[-1] if found else LeaseCopy(wanted, {}, FIRST_LEASE_REVISION)
-        self._rows, self._revision = dict(copy.rows), copy.revision
+        """Restore the store from a snapshot ``seconds`` old, in a new era."""
+        restore_time = self._now() - seconds
+        candidates = [
+            snapshot for snapshot in self._snapshots if snapshot.at <= restore_time
+        ]
+        snapshot = (
+            candidates[-1]
+            if candidates
+            else LeaseSnapshot(restore_time, {}, FIRST_LEASE_REVISION)
+        )
+        self._rows, self._revision = dict(snapshot.rows), snapshot.revision
         self.era = StoreEra(self.era + 1)
 
     def _check(self) -> None:
         if self.down:
             raise StoreUnavailableError("down")
-        due = [late for late in self._late if late[0] <= self._now()]
-        self._late = [late for late in self._late if late not in due]
+        due = [write for write in self._delayed_writes if write[0] <= self._now()]
+        self._delayed_writes = [
+            write for write in self._delayed_writes if write not in due
+        ]
         for _, name, record, expected in due:
             self._apply(name, record, expected)
 
@@ -241,13 +259,13 @@
             return None
         self._revision += 1
         self._rows[name] = (record, self._revision)
-        copy = LeaseCopy(self._now(), dict(self._rows), self._revision)
-        self._copies.append(copy)
+        snapshot = LeaseSnapshot(self._now(), dict(self._rows), self._revision)
+        self._snapshots.append(snapshot)
         return Granted(Revision(self._revision), self.era)
 
 
 class FakeCrashRows:
-    """Rows of replicas that ended under requests, in memory."""
+    """Rows of replica crashes and the requests that caused them, in memory."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -262,11 +280,11 @@
     async def read(self) -> CrashRowsRead:
         """Return all rows."""
         self._check()
-        now = trio.current_time() + STORE_CLOCK_AHEAD_SECONDS
+        now = trio.current_time() + STORE_CLOCK_OFFSET_SECONDS
         return CrashRowsRead(tuple(self._rows.values()), int(now * 1000))
 
     def lose_all(self) -> None:
-        """Come back from a copy that has no rows."""
+        """Remove all rows, as a restore from an empty snapshot does."""
         self._rows.clear()
 
     async def change(self, put: Iterable[CrashRow], drop: Iterable[CrashRow]) -> None:
@@ -292,7 +310,7 @@
         self._key = ""
 
     def lose(self, hosts: Iterable[str], key: bool = False) -> None:
-        """Come back from a copy that lacks some rows, and perhaps the key."""
+        """Remove some rows, and optionally the key, as a restore does."""
         for host in hosts:
             self._hosts.pop(host, None)
         if key:
--- a/berylshift/stand_ins/fake_platform.py
+++ b/berylshift/stand_ins/fake_platform.py
@@ -22,13 +22,13 @@
 )
 
 DEFAULT_WEIGHT_BYTES = 8_000_000_000
-WEIGHT_WINDOW_SECONDS = 60.0
-WEIGHTS_KEPT = 1000
+WEIGHT_QUOTA_WINDOW_SECONDS = 60.0
+MAX_WEIGHT_DOWNLOADS = 1000
 
 
 @dataclass
 class PlatformScript:
-    """Faults and limits; times in seconds, rates a second (0: no limit)."""
+    """Faults and limits; times in seconds, rates per second (0 means no limit)."""
 
     down: bool = False
     lose_answers: int = 0
@@ -42,21 +42,21 @@
 
 
 @dataclass
-class RateBucket:
-    """A token bucket that holds one second's quota."""
+class TokenBucket:
+    """A token bucket with a capacity of one second's rate."""
 
     tokens: float = 0.0
-    filled_at: float | None = None
+    refilled_at: float | None = None
 
-    def take(self, now: float, rate: float) -> bool:
-        """Take one token if there is one; a rate of 0 always has one."""
+    def try_acquire(self, now: float, rate: float) -> bool:
+        """Take one token if available; a rate of 0 means no limit."""
         if not rate:
             return True
-        if self.filled_at is None:
+        if self.refilled_at is None:
             self.tokens = rate
         else:
-            self.tokens = min(rate, self.tokens + rate * (now - self.filled_at))
-        self.filled_at = now
+            self.tokens = min(rate, self.tokens + rate * (now - self.refilled_at))
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -65,7 +65,7 @@
 
 @dataclass
 class FakePlatform:
-    """State of the platform; plain calls, no waiting."""
+    """State of the platform; its calls are synchronous."""
 
     clock: Clock
     script: PlatformScript = field(default_factory=PlatformScript)
@@ -76,34 +76,34 @@
     transactions: int = 0
     throttled: int = 0
     _hosts: dict[str, tuple[float, float, HostEntry]] = field(default_factory=dict)
-    _weights_taken: deque[tuple[float, int]] = field(
-        default_factory=lambda: deque(maxlen=WEIGHTS_KEPT)
+    _weight_downloads: deque[tuple[float, int]] = field(
+        default_factory=lambda: deque(maxlen=MAX_WEIGHT_DOWNLOADS)
     )
-    _write_bucket: RateBucket = field(default_factory=RateBucket)
-    _read_bucket: RateBucket = field(default_factory=RateBucket)
+    _write_bucket: TokenBucket = field(default_factory=TokenBucket)
+    _read_bucket: TokenBucket = field(default_factory=TokenBucket)
 
     def read(self, keys: list[str]) -> list[StoredRow | None]:
         """Return rows by key."""
-        self._admit(self._read_bucket, self.script.reads_per_second)
+        self._check_admitted(self._read_bucket, self.script.reads_per_second)
         self.reads += 1
         return [self.rows.get(key) for key in keys]
 
     def scan(self, prefix: str, after: str, limit: int) -> list[StoredRow]:
         """Return rows whose keys start with ``prefix``, after ``after``."""
-        self._admit(self._read_bucket, self.script.reads_per_second)
+        self._check_admitted(self._read_bucket, self.script.reads_per_second)
         self.reads += 1
         start = max(prefix, after)
-        found: list[StoredRow] = []
+        rows: list[StoredRow] = []
         for key in self.rows.irange(minimum=start):
-            if not key.startswith(prefix) or len(found) == limit:
+            if not key.startswith(prefix) or len(rows) == limit:
                 break
             if key != after:
-                found.append(self.rows[key])
-        return found
+                rows.append(self.rows[key])
+        return rows
 
     def transact(self, transaction: Transaction) -> TransactionAnswer:
-        """Commit, or name the conditions that fail."""
-        self._admit(self._write_bucket, self.script.writes_per_second)
+        """Commit, or return the keys of the conditions that fail."""
+        self._check_admitted(self._write_bucket, self.script.writes_per_second)
         self.transactions += 1
         failed = [
             cond.key
@@ -114,7 +114,7 @@
             self._commit(transaction)
         if self.script.lose_answers > 0:
             self.script.lose_answers -= 1
-            raise AnswerLostError("scripted: the answer is lost")
+            raise AnswerLostError("scripted fault: response lost")
         return TransactionAnswer(failed)
 
     def _commit(self, transaction: Transaction) -> None:
@@ -131,85 +131,85 @@
         row = self.rows.get(key)
         return row.revision if row else ABSENT
 
-    def _admit(self, bucket: RateBucket, rate: float) -> None:
+    def _check_admitted(self, bucket: TokenBucket, rate: float) -> None:
         if self.script.down:
             raise StoreUnavailableError("scripted outage")
         if self.script.refuse_next > 0:
             self.script.refuse_next -= 1
             raise StoreUnavailableError("scripted refusal")
-        if not bucket.take(self.clock.monotonic(), rate):
+        if not bucket.try_acquire(self.clock.monotonic(), rate):
             self.throttled += 1
-            raise StoreThrottledError("rate limit")
+            raise StoreThrottledError("platform rate limit reached")
 
     def announce(self, entry: HostEntry) -> None:
-        """Take a host's word of itself."""
+        """Record a host's announcement."""
         now = self.clock.monotonic()
-        first = self._hosts[entry.host][0] if entry.host in self._hosts else now
+        announced_at = self._hosts[entry.host][0] if entry.host in self._hosts else now
         old = self._hosts.get(entry.host)
         if old and old[2].incarnation != entry.incarnation:
-            first = now
-        self._hosts[entry.host] = (first, now, entry)
+            announced_at = now
+        self._hosts[entry.host] = (announced_at, now, entry)
 
     def hosts(self) -> list[HostEntry]:
-        """Return hosts as they were some time ago; silent ones are leaving."""
-        self._admit(self._read_bucket, 0)
+        """Return the hosts after the listing lag; unresponsive ones as leaving."""
+        self._check_admitted(self._read_bucket, 0)
         now = self.clock.monotonic()
         listed = []
-        for first, last, entry in self._hosts.values():
-            silent = now - last > self.script.host_timeout
+        for announced_at, renewed_at, entry in self._hosts.values():
+            silent = now - renewed_at > self.script.host_timeout
             state = HostState.LEAVING if silent else entry.state
-            if first + self.script.host_lag <= now or first == last:
+            if announced_at + self.script.host_lag <= now or announced_at == renewed_at:
                 listed.append(msgspec.structs.replace(entry, state=state))
         return listed
 
     def weight_info(self, model: str, version: str) -> WeightInfo:
-        """Return a model version's size and what is left of the quota."""
-        self._admit(self._read_bucket, self.script.reads_per_second)
+        """Return a model version's size and the bytes left of the download quota."""
+        self._check_admitted(self._read_bucket, self.script.reads_per_second)
         return WeightInfo(
             model, version, DEFAULT_WEIGHT_BYTES, self._weight_bytes_left()
         )
 
-    def take_weights(self, model: str, version: str) -> WeightInfo:
-        """Hand out a model version's weights, as far as the quota goes."""
+    def download_weights(self, model: str, version: str) -> WeightInfo:
+        """Download a model version's weights; raise if the quota is too small."""
         info = self.weight_info(model, version)
         if info.bytes_left < info.size_bytes:
-            raise StoreThrottledError("weights are rate-limited")
-        self._weights_taken.append((self.clock.monotonic(), info.size_bytes))
+            raise StoreThrottledError("weight download quota exceeded")
+        self._weight_downloads.append((self.clock.monotonic(), info.size_bytes))
         return info
 
     def _weight_bytes_left(self) -> int:
-        since = self.clock.monotonic() - WEIGHT_WINDOW_SECONDS
-        taken = sum(size for at, size in self._weights_taken if at > since)
-        return self.script.weight_bytes_per_minute - taken
+        since = self.clock.monotonic() - WEIGHT_QUOTA_WINDOW_SECONDS
+        downloaded = sum(size for at, size in self._weight_downloads if at > since)
+        return self.script.weight_bytes_per_minute - downloaded
 
 
 class MemoryPlatform:
     """The four platform protocols over one ``FakePlatform``, for one process."""
 
     def __init__(self, fake: FakePlatform):
-        """Call ``fake``; ``cut`` makes it unreachable for this process alone."""
+        """Call ``fake``; ``is_unreachable`` cuts off this process alone."""
         self.fake = fake
-        self.cut = False
+        self.is_unreachable = False
 
     async def _reach(self) -> None:
         await trio.lowlevel.checkpoint()
-        if self.cut:
-            raise StoreUnavailableError("cut off")
+        if self.is_unreachable:
+            raise StoreUnavailableError("platform unreachable from this process")
         if self.fake.script.delay:
             await trio.sleep(self.fake.script.delay)
 
     async def read(self, keys: list[str]) -> list[StoredRow | None]:
-        """Return the rows as of one moment."""
+        """Return rows by key, all read at the same time."""
         await self._reach()
         return self.fake.read(keys)
 
     async def scan(self, prefix: str, after: str, limit: int) -> list[StoredRow]:
-        """Return rows by key after ``after``."""
+        """Return rows with a key prefix, in key order, after ``after``."""
         await self._reach()
         return self.fake.scan(prefix, after, limit)
 
     async def transact(self, transaction: Transaction) -> TransactionAnswer:
-        """Commit or name the failed conditions."""
+        """Commit, or return the keys of the conditions that fail."""
         await self._reach()
         return self.fake.transact(transaction)
 
@@ -233,13 +233,13 @@
         return self.fake.hosts()
 
     async def announce(self, entry: HostEntry) -> None:
-        """Tell the platform of this process."""
+        """Announce this process to the platform."""
         await self._reach()
         if self.fake.script.down:
             raise StoreUnavailableError("scripted outage")
         self.fake.announce(entry)
 
     async def info(self, model: str, version: str) -> WeightInfo | None:
-        """Return what is known of a model version."""
+        """Return the size and download quota of a model version."""
         await self._reach()
         return self.fake.weight_info(model, version)
--- a/berylshift/stand_ins/fake_service.py
+++ b/berylshift/stand_ins/fake_service.py
@@ -1,4 +1,4 @@
-"""A plain service in memory: answers lookups, counts each confirmation it ran."""
+"""A fake plain service: echoes calls and counts executions by idempotency key."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -13,13 +13,13 @@
 
 @dataclass
 class ServiceScript:
-    """Faults of a service; ``lose_answers`` counts answers to be cut off.
+    """Faults of a service; ``lose_answers`` is how many responses to drop.
 
-    A call with the body ``crashes_on`` ends the replica that runs it.
+    A call with the body ``crashes_on`` crashes the replica that runs it.
     """
 
     refuse: bool = False
-    # Seconds for which a refusal asks to back off.
+    # Back-off in seconds that a refusal asks for.
     retry_after: float = 0.0
     crashes_on: bytes | None = None
     lose_answers: int = 0
@@ -27,7 +27,7 @@
 
 
 class ServiceBody(msgspec.Struct, frozen=True):
-    """What the service answers."""
+    """Body of the service's response."""
 
     replica: str
     echo: str
@@ -35,7 +35,7 @@
 
 @dataclass
 class FakeService:
-    """State of one replica; ``ran`` is shared by the replicas of a service."""
+    """One replica; ``ran`` counts executions by key over all replicas of a service."""
 
     name: str
     ran: Counter = field(default_factory=Counter)
@@ -45,7 +45,7 @@
     alive: bool = True
 
     def run(self, call: ServiceCall) -> ServiceAnswer:
-        """Run a call and return its answer; raise ``TargetRefusedError``."""
+        """Run a call and return its response; raise ``TargetRefusedError``."""
         if self.script.refuse:
             self.refused += 1
             raise TargetRefusedError("scripted refusal", self.script.retry_after)
@@ -57,8 +57,8 @@
         body = msgspec.json.encode(ServiceBody(self.name, service_echo(call.body)))
         return ServiceAnswer(STATUS_OK, {"content-type": "application/json"}, body)
 
-    def loses_answer(self) -> bool:
-        """Return whether the answer just made is to be cut off."""
+    def take_lost_answer(self) -> bool:
+        """Return whether to drop the current response, and count it."""
         if self.script.lose_answers <= 0:
             return False
         self.script.lose_answers -= 1
@@ -66,5 +66,5 @@
 
 
 def service_echo(body: bytes) -> str:
-    """Return what every replica answers to ``body``."""
+    """Return the echo field of every replica's response to ``body``."""
     return xxhash.xxh64_hexdigest(body)
--- a/berylshift/stand_ins/memory_targets.py
+++ b/berylshift/stand_ins/memory_targets.py
@@ -1,4 +1,4 @@
-"""The target protocols over fakes in memory, as one host meets them."""
+"""The target protocols over in-memory fakes, as seen from one host."""
 
 from collections.abc import AsyncIterator
 from contextlib import aclosing, asynccontextmanager
@@ -24,7 +24,7 @@
 
 
 class MemoryEngines:
-    """Engines by address, as one host reaches them."""
+    """Engine client of one host, over fake engines by address."""
 
     def __init__(self, host: str, runners: dict[str, EngineRunner], network: Network):
         """Reach ``runners`` from ``host`` over ``network``."""
@@ -35,8 +35,8 @@
     async def _reach(self, address: str) -> EngineRunner:
         runner = self._runners.get(address)
         name = runner.engine.name if runner else address
-        open_link = await self._network.hop(self._host, name)
-        if runner is None or not open_link or not runner.engine.alive:
+        link_is_open = await self._network.hop(self._host, name)
+        if runner is None or not link_is_open or not runner.engine.alive:
             raise TargetNotReachedError(name)
         return runner
 
@@ -44,12 +44,12 @@
     async def generate(
         self, address: str, call: EngineCall
     ) -> AsyncIterator[AsyncIterator[list[EngineChunk]]]:
-        """Start an attempt and give its chunks as they come."""
+        """Start an attempt and yield its batches of chunks."""
         runner = await self._reach(address)
         if call.kv is not None:
             source = self._runners.get(call.kv.address)
             if source is None or source.engine.export_kv(call.kv.handle) is None:
-                raise TargetRefusedError("no such KV cache")
+                raise TargetRefusedError("source engine has no such KV cache")
         reader = runner.submit(call)
         try:
             yield self._batches(reader, runner.engine.name)
@@ -71,7 +71,7 @@
         await self._reach(address)
 
     async def cancel(self, address: str, attempt: AttemptId) -> None:
-        """Stop an attempt."""
+        """Cancel an attempt."""
         try:
             runner = await self._reach(address)
         except TargetNotReachedError:
@@ -85,12 +85,12 @@
         return runner.engine.report(trio.current_time())
 
     async def order(self, address: str, order: Order) -> None:
-        """Have an order carried out."""
+        """Send an order to the engine."""
         runner = await self._reach(address)
         runner.engine.order(order, trio.current_time())
         runner.notify()
         if not await self._network.hop(runner.engine.name, self._host):
-            raise TargetBrokenError("the answer was lost")
+            raise TargetBrokenError("connection lost before the response")
 
     async def cache_events(self, address: str, after: int) -> list[CacheEvent]:
         """Return the cache events after a sequence number."""
@@ -99,7 +99,7 @@
 
 
 class MemoryServices:
-    """Replicas by address, as one host reaches them."""
+    """Service client of one host, over fake replicas by address."""
 
     def __init__(self, host: str, replicas: dict[str, FakeService], network: Network):
         """Reach ``replicas`` from ``host`` over ``network``."""
@@ -111,8 +111,8 @@
         """Open a connection."""
         replica = self._replicas.get(address)
         name = replica.name if replica else address
-        open_link = await self._network.hop(self._host, name)
-        if replica is None or not open_link or not replica.alive:
+        link_is_open = await self._network.hop(self._host, name)
+        if replica is None or not link_is_open or not replica.alive:
             raise TargetNotReachedError(name)
 
     async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
@@ -125,7 +125,7 @@
             raise TargetNotReachedError(name)
         answer = replica.run(call)
         await trio.sleep(replica.script.seconds)
-        lost = replica.loses_answer() or not replica.alive
+        lost = replica.take_lost_answer() or not replica.alive
         if lost or not await self._network.hop(name, self._host):
-            raise TargetBrokenError("the answer was lost")
+            raise TargetBrokenError("connection lost before the response")
         return answer
--- a/berylshift/stand_ins/pipes.py
+++ b/berylshift/stand_ins/pipes.py
@@ -1,42 +1,42 @@
-"""Byte streams in memory that can be reset, as sockets can."""
+"""In-memory byte streams that can be reset like TCP sockets."""
 
 import trio
 import trio.testing
 
-# Bytes that one end may send ahead of the other's reading.
+# Flow-control window: bytes that may be sent before the other end reads them.
 WINDOW_BYTES = 65536
 
 
 class Pipe(trio.abc.HalfCloseableStream):
-    """One end of a connection; ``reset`` breaks both ends."""
+    """One end of a connection; ``reset`` resets both ends."""
 
     def __init__(self, inner: trio.StapledStream):
         """Wrap one end of a memory stream pair."""
         self._inner = inner
         self._broken = trio.Event()
-        self._unread = 0
-        self._read = trio.Event()
+        self._unread_bytes = 0
+        self._window_freed = trio.Event()
         self.peer: Pipe | None = None
-        # The client closes streams by their halves.
+        # The HTTP client closes the two halves of a stream separately.
         self.send_stream = inner.send_stream
         self.receive_stream = inner.receive_stream
 
     def reset(self) -> None:
-        """Break the connection: both ends get an error, nothing more arrives."""
+        """Reset the connection: both ends get an error, and data in transit is lost."""
         self._broken.set()
         if self.peer is not None:
             self.peer._broken.set()
 
     async def send_all(self, data: bytes) -> None:
-        """Send bytes; waits while the other end reads slowly."""
+        """Send bytes, waiting while the window is full."""
         for start in range(0, len(data), WINDOW_BYTES):
-            while self._unread >= WINDOW_BYTES:
-                await self._read.wait()
+            while self._unread_bytes >= WINDOW_BYTES:
+                await self._window_freed.wait()
             if self._broken.is_set():
-                raise trio.BrokenResourceError("reset")
-            part = data[start : start + WINDOW_BYTES]
-            self._unread += len(part)
-            await self._inner.send_all(part)
+                raise trio.BrokenResourceError("connection reset")
+            chunk = data[start : start + WINDOW_BYTES]
+            self._unread_bytes += len(chunk)
+            await self._inner.send_all(chunk)
 
     async def wait_send_all_might_not_block(self) -> None:
         """Wait until sending is possible."""
@@ -47,7 +47,7 @@
         await self._inner.send_eof()
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return bytes, or nothing at the end."""
+        """Return received bytes; empty at end of stream."""
         result = b""
         try:
             async with trio.open_nursery() as nursery:
@@ -55,17 +55,17 @@
                 result = await self._inner.receive_some(max_bytes)
                 nursery.cancel_scope.cancel()
         except* trio.ClosedResourceError as exc:
-            raise trio.ClosedResourceError("closed by its own side") from exc
+            raise trio.ClosedResourceError("stream was closed locally") from exc
         if self._broken.is_set():
-            raise trio.BrokenResourceError("reset")
+            raise trio.BrokenResourceError("connection reset")
         if self.peer is not None:
-            self.peer._taken(len(result))
+            self.peer._note_received(len(result))
         return bytes(result)
 
-    def _taken(self, size: int) -> None:
-        self._unread -= size
-        self._read.set()
-        self._read = trio.Event()
+    def _note_received(self, size: int) -> None:
+        self._unread_bytes -= size
+        self._window_freed.set()
+        self._window_freed = trio.Event()
 
     async def _cancel_on_reset(self, scope: trio.CancelScope) -> None:
         await self._broken.wait()
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -1,4 +1,4 @@
-"""The stand-in platform as an HTTP server."""
+"""The fake platform as an HTTP server."""
 
 import msgspec
 import trio
@@ -22,18 +22,18 @@
 
 
 class PlatformServer:
-    """Answers the platform's published interface; see docs/platform.md."""
+    """Serves the platform's published HTTP API; see docs/platform.md."""
 
     def __init__(self, fake: FakePlatform):
         """Serve ``fake``."""
         self._fake = fake
 
     async def handle(self, req: HttpRequest, responder: Responder) -> None:
-        """Answer one request; a scripted lost answer ends the connection."""
+        """Answer one request; a scripted lost response closes the connection."""
         if self._fake.script.delay:
             await trio.sleep(self._fake.script.delay)
         try:
-            status, body = self._answer(req)
+            status, body = self._respond(req)
         except StoreThrottledError:
             status, body = STATUS_THROTTLED, b"{}"
         except StoreUnavailableError:
@@ -42,22 +42,22 @@
             return
         await responder.full(status, JSON_TYPE, body)
 
-    def _answer(self, req: HttpRequest) -> tuple[int, bytes]:
+    def _respond(self, req: HttpRequest) -> tuple[int, bytes]:
         if req.path == "/script":
             script = msgspec.json.decode(req.body, type=PlatformScript)
             self._fake.script = script
             return STATUS_OK, b"{}"
         if req.path.startswith("/objects/"):
-            return self._object(req)
+            return self._handle_object(req)
         if req.path == "/hosts" and req.method == "POST":
             self._fake.announce(msgspec.json.decode(req.body, type=HostEntry))
             return STATUS_OK, b"{}"
-        found = self._rows(req)
-        if found is None:
+        result = self._handle_store_call(req)
+        if result is None:
             return STATUS_NOT_FOUND, b"{}"
-        return STATUS_OK, msgspec.json.encode(found)
+        return STATUS_OK, msgspec.json.encode(result)
 
-    def _rows(self, req: HttpRequest) -> object:
+    def _handle_store_call(self, req: HttpRequest) -> object:
         fake = self._fake
         if req.path == "/rows":
             return fake.read(req.multi("key"))
@@ -71,11 +71,11 @@
         if req.path.startswith("/weights/"):
             _, _, model, version = req.path.split("/")
             if req.method == "POST":
-                return fake.take_weights(model, version)
+                return fake.download_weights(model, version)
             return fake.weight_info(model, version)
         return None
 
-    def _object(self, req: HttpRequest) -> tuple[int, bytes]:
+    def _handle_object(self, req: HttpRequest) -> tuple[int, bytes]:
         if self._fake.script.down:
             raise StoreUnavailableError("scripted outage")
         name = req.path.removeprefix("/objects/")
--- a/berylshift/stand_ins/service_server.py
+++ b/berylshift/stand_ins/service_server.py
@@ -1,4 +1,4 @@
-"""The stand-in plain service as an HTTP server."""
+"""The fake plain service as an HTTP server."""
 
 import msgspec
 import trio
@@ -20,7 +20,7 @@
 
 
 class ServiceServer:
-    """Runs every call but those on its own control paths."""
+    """Runs each call, except those on the control paths of tests."""
 
     def __init__(self, service: FakeService):
         """Serve ``service``."""
@@ -58,5 +58,5 @@
             await responder.full(STATUS_REFUSED, headers, b"{}")
             return
         await trio.sleep(self._service.script.seconds)
-        if not self._service.loses_answer():
+        if not self._service.take_lost_answer():
             await responder.full(answer.status, answer.headers, answer.body)
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -110,7 +110,7 @@
 
     def test_host_cut_off_from_the_store_hears_of_it_from_peers(self):
         async def trouble(world):
-            world.store_links["host-2"].cut = True
+            world.store_links["host-2"].is_unreachable = True
 
         self.assert_left(self.drain_under(trouble))
 
@@ -118,7 +118,7 @@
         # Host-2 can't know that the engine is leaving. It must not go on for ever
         # by the table that it holds.
         async def trouble(world):
-            world.store_links["host-2"].cut = True
+            world.store_links["host-2"].is_unreachable = True
             world.network.cut("host-2", "host-1")
             world.network.cut("host-2", "host-3")
 
--- a/berylshift/tests/test_leader_lease.py
+++ b/berylshift/tests/test_leader_lease.py
@@ -109,7 +109,7 @@
         fails, so the row still names the second host.
         """
         world = Holders()
-        world.rows.lose_answers, world.rows.late_seconds = 1, 3.0
+        world.rows.lose_answers, world.rows.delayed_write_seconds = 1, 3.0
         self.assertIsNone(world.acquire(0))
         first = world.acquire(1)
         world.time += 4
@@ -191,7 +191,7 @@
                 world.order(number)
             elif what == "lose":
                 world.rows.lose_answers = 1
-                world.rows.late_seconds = seconds if number else None
+                world.rows.delayed_write_seconds = seconds if number else None
             elif what == "restore":
                 world.rows.restore(seconds)
             elif what == "hear":
--- a/berylshift/tests/test_platform_batch.py
+++ b/berylshift/tests/test_platform_batch.py
@@ -126,12 +126,12 @@
         async def task():
             script = PlatformScript(weight_bytes_per_minute=20_000_000_000)
             fake = FakePlatform(LoopClock(), script)
-            fake.take_weights("m", "2")
-            fake.take_weights("m", "2")
+            fake.download_weights("m", "2")
+            fake.download_weights("m", "2")
             with self.assertRaises(StoreThrottledError):
-                fake.take_weights("m", "2")
+                fake.download_weights("m", "2")
             await trio.sleep(61)
-            return fake.take_weights("m", "2").bytes_left
+            return fake.download_weights("m", "2").bytes_left
 
         self.assertEqual(self.run_virtual(task), 20_000_000_000)
 
--- a/berylshift/tests/test_quarantine_loop.py
+++ b/berylshift/tests/test_quarantine_loop.py
@@ -20,7 +20,10 @@
     WRITE_SECONDS,
     QuarantineLoop,
 )
-from berylshift.stand_ins.fake_directory import STORE_CLOCK_AHEAD_SECONDS, FakeCrashRows
+from berylshift.stand_ins.fake_directory import (
+    STORE_CLOCK_OFFSET_SECONDS,
+    FakeCrashRows,
+)
 from berylshift.tests.support import run_virtual
 
 BAD = combine_hashes(7, 1)
@@ -40,7 +43,7 @@
         """Start a host's loop."""
         quarantine = Quarantine(1.2)
         clock = StoreClock(trio.current_time)
-        clock.record(int((trio.current_time() + STORE_CLOCK_AHEAD_SECONDS) * 1000))
+        clock.record(int((trio.current_time() + STORE_CLOCK_OFFSET_SECONDS) * 1000))
         loop = QuarantineLoop(quarantine, self.rows, clock, LoopClock())
         self._nursery.start_soon(loop.run)
         return quarantine
--- a/berylshift/tests/test_store_eras_hosts.py
+++ b/berylshift/tests/test_store_eras_hosts.py
@@ -39,7 +39,7 @@
 
         async def task(world):
             world.store.restore(60)
-            world.store.put_routes(world.store._copies[0][1].routes[1])
+            world.store.put_routes(world.store._snapshots[0][1].routes[1])
             world.rows.lose([host.name for host in world.hosts], key=True)
             world.start(HOSTS, DOMAINS)
             await trio.sleep(BOUND_SECONDS + 4)
--- a/berylshift/tests/test_usage_loop.py
+++ b/berylshift/tests/test_usage_loop.py
@@ -192,7 +192,7 @@
             world.leases.down = world.rows.down = False
         elif kind in ("lose", "late"):
             world.leases.lose_answers = world.rows.lose_answers = 1
-            world.leases.late_seconds = seconds if kind == "late" else None
+            world.leases.delayed_write_seconds = seconds if kind == "late" else None
         elif kind == "restore":
             world.restore(seconds)
             for known in world.hosts:
