--- a/berylshift/model/days.py
+++ b/berylshift/model/days.py
@@ -1,7 +1,7 @@
 """Days to play: calm ones and heavy ones."""
 
-from berylshift.model.figures import SiteFigures
 from berylshift.model.fleet import Fault, PlaySpec
+from berylshift.model.parameters import SiteFigures
 from berylshift.model.traffic import Burst, Crasher
 
 # Kinds of prompts take turns this long in a swing, as the users' traffic does.
--- a/berylshift/model/engine.py
+++ b/berylshift/model/engine.py
@@ -9,8 +9,8 @@
 from berylshift.messages.replicas import EnginePhase, Replica
 from berylshift.messages.routed import Prompt, ReportedLoad
 from berylshift.model.event_queue import EventQueue
-from berylshift.model.figures import EngineFigures
-from berylshift.model.kept import KeptParts
+from berylshift.model.parameters import EngineFigures
+from berylshift.model.prefix_block_cache import KeptParts
 
 Done = Callable[[bool], None]
 
--- a/berylshift/model/fleet.py
+++ b/berylshift/model/fleet.py
@@ -8,8 +8,8 @@
 from berylshift.messages.replicas import EnginePhase, Replica
 from berylshift.model.engine import ModelEngine
 from berylshift.model.event_queue import EventQueue
-from berylshift.model.figures import SERVICE, SiteFigures
 from berylshift.model.host import ModelHost
+from berylshift.model.parameters import SERVICE, SiteFigures
 from berylshift.model.prompt_run import PromptRun
 from berylshift.model.result import CrashCount, PlayResult, PromptEnd, summarize
 from berylshift.model.traffic import Arrival, Burst, Crasher, Traffic
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -6,8 +6,8 @@
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.model.engine import Stream
-from berylshift.model.figures import SERVICE
 from berylshift.model.host import ModelHost
+from berylshift.model.parameters import SERVICE
 from berylshift.model.result import PromptEnd
 from berylshift.model.traffic import Arrival
 from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from berylshift.ids import RouteName
-from berylshift.model.figures import KindFigures
+from berylshift.model.parameters import KindFigures
 
 
 class PromptEnd(msgspec.Struct, frozen=True):
--- a/berylshift/model/traffic.py
+++ b/berylshift/model/traffic.py
@@ -8,7 +8,7 @@
 
 from berylshift.ids import Fingerprint, PartId
 from berylshift.messages.routed import Prompt, PromptBlock
-from berylshift.model.figures import KindFigures, PartFigures, SiteFigures
+from berylshift.model.parameters import KindFigures, PartFigures, SiteFigures
 
 OUTPUT_TOKENS = 80
 BISECTIONS = 40
--- a/berylshift/tests/test_model_engine.py
+++ b/berylshift/tests/test_model_engine.py
@@ -8,8 +8,8 @@
 from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.model.engine import ModelEngine, Stream
 from berylshift.model.event_queue import EventQueue
-from berylshift.model.figures import EngineFigures
-from berylshift.model.kept import KeptParts
+from berylshift.model.parameters import EngineFigures
+from berylshift.model.prefix_block_cache import KeptParts
 
 FIGURES = EngineFigures(pair_seconds=0.0, read_latency=0.0, move_setup=0.0)
 
--- a/berylshift/tests/test_model_fleet.py
+++ b/berylshift/tests/test_model_fleet.py
@@ -8,8 +8,8 @@
 
 from berylshift.model.days import DAYS
 from berylshift.model.experiment import NoSuchSettingError, vary
-from berylshift.model.figures import CONSORCIO, NESTWATCH, SITES, SiteFigures
 from berylshift.model.fleet import Fault, PlaySpec, play
+from berylshift.model.parameters import CONSORCIO, NESTWATCH, SITES, SiteFigures
 from berylshift.model.result import PromptEnd, summarize
 from berylshift.model.traffic import Burst, Traffic
 from berylshift.request import placement
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -7,8 +7,8 @@
 
 from berylshift.model.days import DAYS
 from berylshift.model.experiment import NoSuchSettingError, Row, vary
-from berylshift.model.figures import SITES
 from berylshift.model.fleet import ModelFleet, PlaySpec
+from berylshift.model.parameters import SITES
 from berylshift.model.plots import plot_day, plot_rows
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.tools.session import Exit
