--- a/berylshift/model/__init__.py
+++ b/berylshift/model/__init__.py
@@ -1,5 +1,5 @@
-"""A model of the fleet: engines, traffic and hosts, on a virtual clock.
+"""A simulation of the fleet: engines, traffic and hosts, on a virtual clock.
 
-It runs the real placement over modelled engines, so that an idea can be tried on many
-seeds in seconds. What it leaves out is said in docs/design/model.md.
+It runs the real placement code over simulated engines, so that a change can be tried on
+many seeds within seconds. Its limits are described in docs/design/model.md.
 """
--- a/berylshift/model/days.py
+++ b/berylshift/model/days.py
@@ -1,69 +1,72 @@
-"""Days to play: calm ones and heavy ones."""
+"""Simulated days: scenarios of traffic and faults, by name."""
 
-from berylshift.model.fleet import Fault, PlaySpec
-from berylshift.model.parameters import SiteFigures
-from berylshift.model.traffic import Burst, Crasher
+from berylshift.model.fleet import EngineFault, SimulationSpec
+from berylshift.model.parameters import SiteParameters
+from berylshift.model.traffic import Burst, CrashingCaller
 
-# Kinds of prompts take turns this long in a swing, as the users' traffic does.
-SWING_SECONDS = 2.8
-SWING_FACTOR = 1.9
+# Each kind of prompt bursts in turn for this long, as in the users' traffic.
+KIND_BURST_SECONDS = 2.8
+KIND_BURST_FACTOR = 1.9
 
 
-def _swing(site: SiteFigures, start: float, turns: int) -> tuple[Burst, ...]:
-    """Return bursts in which the kinds of a site take turns."""
+def _kind_bursts(site: SiteParameters, start: float, count: int) -> tuple[Burst, ...]:
+    """Return consecutive bursts, of each of a site's kinds in turn."""
     return tuple(
         Burst(
-            start + turn * SWING_SECONDS,
-            SWING_SECONDS,
-            SWING_FACTOR,
-            site.kinds[turn % len(site.kinds)].name,
+            start + index * KIND_BURST_SECONDS,
+            KIND_BURST_SECONDS,
+            KIND_BURST_FACTOR,
+            site.kinds[index % len(site.kinds)].name,
         )
-        for turn in range(turns)
+        for index in range(count)
     )
 
 
-def calm(site: SiteFigures) -> PlaySpec:
-    """Return a day without trouble."""
-    return PlaySpec(site=site)
+def calm(site: SiteParameters) -> SimulationSpec:
+    """Return a day without bursts and faults."""
+    return SimulationSpec(site=site)
 
 
-def swings(site: SiteFigures) -> PlaySpec:
-    """Return a day on which the mix of prompts moves all the time."""
-    return PlaySpec(site=site, bursts=_swing(site, 2.0, 9))
+def swings(site: SiteParameters) -> SimulationSpec:
+    """Return a day on which the mix of prompts shifts all the time."""
+    return SimulationSpec(site=site, bursts=_kind_bursts(site, 2.0, 9))
 
 
-def crashes(site: SiteFigures) -> PlaySpec:
+def crashes(site: SiteParameters) -> SimulationSpec:
     """Return a day on which engines crash, one after the other."""
-    faults = tuple(Fault(4.0 + 6 * turn, 2 * turn, 4.0) for turn in range(4))
-    return PlaySpec(site=site, faults=faults)
+    faults = tuple(EngineFault(4.0 + 6 * index, 2 * index, 4.0) for index in range(4))
+    return SimulationSpec(site=site, faults=faults)
 
 
-def slow(site: SiteFigures) -> PlaySpec:
-    """Return a day on which engines work slowly for some seconds."""
-    faults = tuple(Fault(4.0 + 8 * turn, turn, 6.0, 4.0) for turn in range(3))
-    return PlaySpec(site=site, faults=faults)
+def slow(site: SiteParameters) -> SimulationSpec:
+    """Return a day on which engines are slow for some seconds each."""
+    faults = tuple(EngineFault(4.0 + 8 * index, index, 6.0, 4.0) for index in range(3))
+    return SimulationSpec(site=site, faults=faults)
 
 
-def heavy(site: SiteFigures) -> PlaySpec:
-    """Return a day with swings, a rush, a crash and a slow engine."""
-    rush = Burst(14.0, 4.0, 1.7)
-    faults = (Fault(6.0, 1, 4.0), Fault(18.0, 3, 6.0, 4.0))
-    return PlaySpec(site=site, bursts=(*_swing(site, 2.0, 9), rush), faults=faults)
+def heavy(site: SiteParameters) -> SimulationSpec:
+    """Return a day with mix shifts, a burst of all kinds, a crash and a slow engine."""
+    surge = Burst(14.0, 4.0, 1.7)
+    faults = (EngineFault(6.0, 1, 4.0), EngineFault(18.0, 3, 6.0, 4.0))
+    return SimulationSpec(
+        site=site, bursts=(*_kind_bursts(site, 2.0, 9), surge), faults=faults
+    )
 
 
-def crashers(site: SiteFigures) -> PlaySpec:
-    """Return a day with swings on which two callers' prompts end engines.
+def crashers(site: SiteParameters) -> SimulationSpec:
+    """Return a day with mix shifts on which two callers' prompts crash engines.
 
-    Engines of one domain crash by themselves meanwhile.
+    The engines of one domain also crash for other reasons.
     """
-    callers = (Crasher(4.0, 0.6, 40), Crasher(9.0, 1.1, 18))
+    callers = (CrashingCaller(4.0, 0.6, 40), CrashingCaller(9.0, 1.1, 18))
     faults = tuple(
-        Fault(14.0, number, 4.0) for number in range(0, site.engines, site.domains)
+        EngineFault(14.0, number, 4.0)
+        for number in range(0, site.engines, site.domains)
     )
-    return PlaySpec(
-        site=site, bursts=_swing(site, 2.0, 9), faults=faults, crashers=callers
+    return SimulationSpec(
+        site=site, bursts=_kind_bursts(site, 2.0, 9), faults=faults, crashers=callers
     )
 
 
-MAKERS = (calm, swings, crashes, slow, heavy, crashers)
-DAYS = {make.__name__: make for make in MAKERS}
+DAY_FACTORIES = (calm, swings, crashes, slow, heavy, crashers)
+DAYS = {factory.__name__: factory for factory in DAY_FACTORIES}
--- a/berylshift/model/engine.py
+++ b/berylshift/model/engine.py
@@ -1,4 +1,4 @@
-"""A modelled engine: reads prompts piece by piece, answers in steps."""
+"""A simulated engine: prefills prompts in chunks and decodes streams in steps."""
 
 import heapq
 import itertools
@@ -9,215 +9,239 @@
 from berylshift.messages.replicas import EnginePhase, Replica
 from berylshift.messages.routed import Prompt, ReportedLoad
 from berylshift.model.event_queue import EventQueue
-from berylshift.model.parameters import EngineFigures
-from berylshift.model.prefix_block_cache import KeptParts
+from berylshift.model.parameters import EngineParameters
+from berylshift.model.prefix_block_cache import PrefixBlockCache
 
-Done = Callable[[bool], None]
+DoneCallback = Callable[[bool], None]
 
 
 @dataclass(order=True)
-class Reading:
-    """A prompt to read; ``done`` is told whether it was read."""
+class PrefillTask:
+    """A prompt to prefill; ``on_done`` gets whether the prefill succeeded."""
 
     rank: int
     number: int
     prompt: Prompt = field(compare=False)
-    done: Done = field(compare=False)
-    read: int = field(default=0, compare=False)
+    on_done: DoneCallback = field(compare=False)
+    prefilled_tokens: int = field(default=0, compare=False)
 
 
 @dataclass
 class Stream:
-    """An answer that is made; ``event`` is called at each, ``done`` at the end."""
+    """A response being decoded.
+
+    ``on_event`` is called for each event, ``on_done`` at the end with its success.
+    """
 
     prompt: Prompt
-    events: int
-    event: Callable[[], None]
-    done: Done
+    event_count: int
+    on_event: Callable[[], None]
+    on_done: DoneCallback
     tokens: int = 0
     cancelled: bool = False
 
 
 class ModelEngine:
-    """One engine, in one phase at a time."""
+    """One engine, which has one phase at a time."""
 
-    def __init__(self, queue: EventQueue, figures: EngineFigures, replica: Replica):
-        """Start empty and idle."""
+    def __init__(
+        self, queue: EventQueue, parameters: EngineParameters, replica: Replica
+    ):
+        """Start idle, with an empty cache."""
         self._queue = queue
-        self._figures = figures
+        self._parameters = parameters
         self.replica = replica
-        self.kept = KeptParts(figures.memory_tokens)
-        self.slowness = 1.0
+        self.cache = PrefixBlockCache(parameters.kv_capacity_tokens)
+        self.slowdown = 1.0
         self.alive = True
         self.again_tokens = 0
-        self._life = 0
+        self._incarnation = 0
         self._numbers = itertools.count()
-        self._readings: list[Reading] = []
-        self._reading: Reading | None = None
+        self._prefill_queue: list[PrefillTask] = []
+        self._current_prefill: PrefillTask | None = None
         self._running: list[Stream] = []
         self._waiting: deque[Stream] = deque()
         self._link_free_at = 0.0
-        self._busy = False
+        self._step_scheduled = False
 
-    # What is asked of it
+    # Calls
 
-    def read(self, prompt: Prompt, rank: int, done: Done) -> None:
-        """Read a prompt; the more urgent rank begins first."""
+    def prefill(self, prompt: Prompt, rank: int, on_done: DoneCallback) -> None:
+        """Queue a prompt for prefill; lower ranks start first."""
         if not self.alive:
-            done(False)
+            on_done(False)
             return
-        reading = Reading(rank, next(self._numbers), prompt, done)
-        heapq.heappush(self._readings, reading)
-        self._go_on()
+        task = PrefillTask(rank, next(self._numbers), prompt, on_done)
+        heapq.heappush(self._prefill_queue, task)
+        self._schedule_step()
 
-    def answer(self, stream: Stream, source: Replica | None, rank: int) -> None:
-        """Answer a prompt; one without a source is read here first."""
+    def decode(self, stream: Stream, source: Replica | None, rank: int) -> None:
+        """Decode a prompt's response; without a source, prefill it here first."""
         if not self.alive:
-            stream.done(False)
+            stream.on_done(False)
             return
         if source is None:
-            self.read(stream.prompt, rank, lambda good: self._start(stream, good))
+            self.prefill(
+                stream.prompt,
+                rank,
+                lambda succeeded: self._start_decode(stream, succeeded),
+            )
             return
-        seconds = self._move_seconds(stream.prompt, source)
-        starts = max(self._queue.monotonic(), self._link_free_at)
-        self._link_free_at = starts + seconds
-        life = self._life
-        self._queue.at(
-            self._link_free_at, lambda: self._start(stream, life == self._life)
+        seconds = self._kv_transfer_seconds(stream.prompt, source)
+        starts_at = max(self._queue.monotonic(), self._link_free_at)
+        self._link_free_at = starts_at + seconds
+        incarnation = self._incarnation
+        self._queue.call_at(
+            self._link_free_at,
+            lambda: self._start_decode(stream, incarnation == self._incarnation),
         )
 
     def report(self) -> ReportedLoad:
-        """Return what it says of its load."""
-        running = len(self._running) + (self._reading is not None)
-        waiting = len(self._waiting) + len(self._readings)
-        return ReportedLoad(running, waiting, self._figures.slots)
+        """Return the load that the engine reports."""
+        running = len(self._running) + (self._current_prefill is not None)
+        waiting = len(self._waiting) + len(self._prefill_queue)
+        return ReportedLoad(running, waiting, self._parameters.slots)
 
     # Faults and phases
 
     def crash(self) -> None:
-        """Lose all work and all kept parts."""
+        """Fail all work and lose the cache."""
         self.alive = False
-        self._life += 1
-        readings, self._readings = self._readings, []
-        if self._reading is not None:
-            readings.append(self._reading)
-            self._reading = None
+        self._incarnation += 1
+        tasks, self._prefill_queue = self._prefill_queue, []
+        if self._current_prefill is not None:
+            tasks.append(self._current_prefill)
+            self._current_prefill = None
         streams = [*self._running, *self._waiting]
         self._running.clear()
         self._waiting.clear()
-        self.kept.clear()
-        self._busy = False
-        for reading in readings:
-            reading.done(False)
+        self.cache.clear()
+        self._step_scheduled = False
+        for task in tasks:
+            task.on_done(False)
         for stream in streams:
-            stream.done(False)
+            stream.on_done(False)
 
     def restart(self, replica: Replica) -> None:
-        """Start empty as another instance."""
+        """Restart empty as another instance."""
         self.replica = replica
         self.alive = True
 
     # Work
 
-    def _move_seconds(self, prompt: Prompt, source: Replica) -> float:
-        bits = prompt.tokens * self._figures.kv_bytes * 8
-        seconds = self._figures.move_setup + bits / self._figures.link_bits
+    def _kv_transfer_seconds(self, prompt: Prompt, source: Replica) -> float:
+        bits = prompt.tokens * self._parameters.kv_bytes_per_token * 8
+        seconds = (
+            self._parameters.kv_transfer_setup_seconds
+            + bits / self._parameters.link_bits_per_second
+        )
         return seconds if source.domain == self.replica.domain else 2 * seconds
 
-    def _start(self, stream: Stream, good: bool) -> None:
-        if not good or not self.alive:
-            stream.done(False)
+    def _start_decode(self, stream: Stream, succeeded: bool) -> None:
+        if not succeeded or not self.alive:
+            stream.on_done(False)
             return
-        self.kept.hold(stream.prompt)
-        if len(self._running) < self._figures.slots:
+        self.cache.store(stream.prompt)
+        if len(self._running) < self._parameters.slots:
             self._running.append(stream)
         else:
             self._waiting.append(stream)
-        self._go_on()
+        self._schedule_step()
 
-    def _go_on(self) -> None:
-        if self._reading is None and self._readings:
-            self._begin(heapq.heappop(self._readings))
-        if self._busy or not (self._reading or self._running):
+    def _schedule_step(self) -> None:
+        if self._current_prefill is None and self._prefill_queue:
+            self._begin_prefill(heapq.heappop(self._prefill_queue))
+        if self._step_scheduled or not (self._current_prefill or self._running):
             return
-        self._busy = True
+        self._step_scheduled = True
         seconds = 0.0
-        if self._answers:
-            seconds += self._step_seconds()
-        if self._reading is not None:
-            seconds += self._read_piece(self._reading)
-        life = self._life
-        self._queue.after(
-            seconds * self.slowness, lambda: self._end_turn(life == self._life)
+        if self._is_decoding_engine:
+            seconds += self._decode_step_seconds()
+        if self._current_prefill is not None:
+            seconds += self._prefill_chunk(self._current_prefill)
+        incarnation = self._incarnation
+        self._queue.call_after(
+            seconds * self.slowdown,
+            lambda: self._end_step(incarnation == self._incarnation),
         )
 
     @property
-    def _answers(self) -> bool:
+    def _is_decoding_engine(self) -> bool:
         return self.replica.phase is not EnginePhase.PREFILL
 
-    def _step_seconds(self) -> float:
-        figures, running = self._figures, self._running
+    def _decode_step_seconds(self) -> float:
+        parameters, running = self._parameters, self._running
         if not running:
             return 0.0
         context = sum(stream.prompt.tokens for stream in running)
-        seconds = figures.step + figures.step_per_running * len(running)
-        return seconds + figures.step_per_context_token * context
-
-    def _begin(self, reading: Reading) -> None:
-        """Begin a prompt behind what is kept of it."""
-        reading.read = min(self.kept.begins(reading.prompt), _most_kept(reading))
-        self.again_tokens += max(0, reading.prompt.prefix_tokens - reading.read)
-        self._reading = reading
-
-    def _read_piece(self, reading: Reading) -> float:
-        """Read on; return the seconds that it takes."""
-        figures = self._figures
-        piece, rate = figures.piece, figures.read_rate
-        if self._answers:
-            piece = figures.answer_piece
-            rate *= figures.answer_read_factor
-        tokens = min(piece, reading.prompt.tokens - reading.read)
-        pairs = tokens * (reading.read + tokens / 2)
-        reading.read += tokens
-        return tokens / rate + pairs * figures.pair_seconds
-
-    def _end_turn(self, good: bool) -> None:
-        if not good:
+        seconds = parameters.step_seconds + parameters.step_seconds_per_stream * len(
+            running
+        )
+        return seconds + parameters.step_seconds_per_context_token * context
+
+    def _begin_prefill(self, task: PrefillTask) -> None:
+        """Start a prefill after the prompt's cached prefix."""
+        task.prefilled_tokens = min(
+            self.cache.cached_prefix_tokens(task.prompt), _max_cached_tokens(task)
+        )
+        self.again_tokens += max(0, task.prompt.prefix_tokens - task.prefilled_tokens)
+        self._current_prefill = task
+
+    def _prefill_chunk(self, task: PrefillTask) -> float:
+        """Prefill the next chunk; return its duration in seconds."""
+        parameters = self._parameters
+        chunk_tokens, rate = (
+            parameters.prefill_chunk_tokens,
+            parameters.prefill_tokens_per_second,
+        )
+        if self._is_decoding_engine:
+            chunk_tokens = parameters.decode_engine_chunk_tokens
+            rate *= parameters.decode_engine_prefill_factor
+        tokens = min(chunk_tokens, task.prompt.tokens - task.prefilled_tokens)
+        attention_pairs = tokens * (task.prefilled_tokens + tokens / 2)
+        task.prefilled_tokens += tokens
+        return tokens / rate + attention_pairs * parameters.attention_pair_seconds
+
+    def _end_step(self, succeeded: bool) -> None:
+        if not succeeded:
             return
-        self._busy = False
-        reading = self._reading
-        if reading is not None and reading.read >= reading.prompt.tokens:
-            self._finish(reading)
-        self._step()
-        self._go_on()
-
-    def _finish(self, reading: Reading) -> None:
-        self._reading = None
-        self.kept.hold(reading.prompt)
-        life = self._life
-        self._queue.after(
-            self._figures.read_latency * self.slowness,
-            lambda: reading.done(life == self._life),
+        self._step_scheduled = False
+        task = self._current_prefill
+        if task is not None and task.prefilled_tokens >= task.prompt.tokens:
+            self._finish_prefill(task)
+        self._decode_step()
+        self._schedule_step()
+
+    def _finish_prefill(self, task: PrefillTask) -> None:
+        self._current_prefill = None
+        self.cache.store(task.prompt)
+        incarnation = self._incarnation
+        self._queue.call_after(
+            self._parameters.prefill_latency_seconds * self.slowdown,
+            lambda: task.on_done(incarnation == self._incarnation),
         )
 
-    def _step(self) -> None:
-        """Give each running stream a token."""
-        if not self._answers:
+    def _decode_step(self) -> None:
+        """Produce one token for each running stream."""
+        if not self._is_decoding_engine:
             return
         for stream in list(self._running):
             if stream.cancelled:
                 self._running.remove(stream)
                 continue
             stream.tokens += 1
-            if (stream.tokens - 1) % self._figures.tokens_per_event == 0:
-                stream.event()
-            if stream.tokens > (stream.events - 1) * self._figures.tokens_per_event:
+            if (stream.tokens - 1) % self._parameters.tokens_per_event == 0:
+                stream.on_event()
+            if (
+                stream.tokens
+                > (stream.event_count - 1) * self._parameters.tokens_per_event
+            ):
                 self._running.remove(stream)
-                stream.done(True)
-        while self._waiting and len(self._running) < self._figures.slots:
+                stream.on_done(True)
+        while self._waiting and len(self._running) < self._parameters.slots:
             self._running.append(self._waiting.popleft())
 
 
-def _most_kept(reading: Reading) -> int:
-    """Return the tokens that may be taken as read: the last one is always read."""
-    return reading.prompt.tokens - 1
+def _max_cached_tokens(task: PrefillTask) -> int:
+    """Return how many cached tokens may be used: the last token is always computed."""
+    return task.prompt.tokens - 1
--- a/berylshift/model/event_queue.py
+++ b/berylshift/model/event_queue.py
@@ -1,37 +1,37 @@
-"""What happens next: calls at virtual times."""
+"""A discrete-event queue: callbacks at virtual times."""
 
 import heapq
 import itertools
 from collections.abc import Callable
 
-Call = Callable[[], None]
+Callback = Callable[[], None]
 
 
 class EventQueue:
-    """Calls in the order of their times, in seconds."""
+    """Callbacks in the order of their times, in seconds."""
 
     def __init__(self) -> None:
-        """Start at time zero with nothing to do."""
+        """Start empty at time zero."""
         self._now = 0.0
-        self._calls: list[tuple[float, int, Call]] = []
+        self._callbacks: list[tuple[float, int, Callback]] = []
         self._count = itertools.count()
 
     def monotonic(self) -> float:
         """Return the virtual time."""
         return self._now
 
-    def at(self, time: float, call: Call) -> None:
-        """Do ``call`` at a time; one that is over means now."""
-        entry = (max(time, self._now), next(self._count), call)
-        heapq.heappush(self._calls, entry)
+    def call_at(self, time: float, callback: Callback) -> None:
+        """Schedule ``callback``; a time in the past means now."""
+        entry = (max(time, self._now), next(self._count), callback)
+        heapq.heappush(self._callbacks, entry)
 
-    def after(self, seconds: float, call: Call) -> None:
-        """Do ``call`` after so many seconds."""
-        self.at(self._now + seconds, call)
+    def call_after(self, seconds: float, callback: Callback) -> None:
+        """Schedule ``callback`` after a delay in seconds."""
+        self.call_at(self._now + seconds, callback)
 
     def run(self, until: float) -> None:
-        """Do all that is due before ``until``."""
-        while self._calls and self._calls[0][0] <= until:
-            self._now, _, call = heapq.heappop(self._calls)
-            call()
+        """Run all callbacks that are due by ``until``."""
+        while self._callbacks and self._callbacks[0][0] <= until:
+            self._now, _, callback = heapq.heappop(self._callbacks)
+            callback()
         self._now = until
--- a/berylshift/model/fleet.py
+++ b/berylshift/model/fleet.py
@@ -1,4 +1,4 @@
-"""The modelled fleet: hosts, engines, traffic and faults of one play."""
+"""The simulated fleet: hosts, engines, traffic and faults of one simulation."""
 
 import random
 
@@ -9,56 +9,61 @@
 from berylshift.model.engine import ModelEngine
 from berylshift.model.event_queue import EventQueue
 from berylshift.model.host import ModelHost
-from berylshift.model.parameters import SERVICE, SiteFigures
+from berylshift.model.parameters import SERVICE, SiteParameters
 from berylshift.model.prompt_run import PromptRun
-from berylshift.model.result import CrashCount, PlayResult, PromptEnd, summarize
-from berylshift.model.traffic import Arrival, Burst, Crasher, Traffic
+from berylshift.model.result import (
+    CrashCount,
+    PromptOutcome,
+    SimulationResult,
+    summarize,
+)
+from berylshift.model.traffic import Arrival, Burst, CrashingCaller, Traffic
 from berylshift.process.directory.pools import Pool
 from berylshift.process.leader_tasks.phase_planner import PhasePlanner
 
-# A host and an engine of one domain.
-NEAR_SECONDS = 0.0002
-# An engine that has crashed is listed until its entry lapses.
-LAPSE_SECONDS = 3.0
-# An engine that a prompt has ended is back after this long.
-BACK_SECONDS = 3.0
-# Plays go on for this long, so that what has begun can end.
-TAIL_SECONDS = 10.0
+# One-way latency between a host and an engine of the same domain.
+SAME_DOMAIN_LATENCY_SECONDS = 0.0002
+# A crashed engine stays listed until its directory entry expires.
+ENTRY_TTL_SECONDS = 3.0
+# Time until an engine that a prompt has crashed is back.
+ENGINE_RESTART_SECONDS = 3.0
+# Simulations run on for this long after the arrivals, so that requests can finish.
+DRAIN_SECONDS = 10.0
 
 
-class Fault(msgspec.Struct, frozen=True):
-    """An engine crashes, or works ``slowness`` times as long, for some seconds."""
+class EngineFault(msgspec.Struct, frozen=True):
+    """A crash of an engine, or a slowdown by a factor, that lasts some seconds."""
 
     at: float
     engine: int
     seconds: float
-    slowness: float = 0.0
+    slowdown: float = 0.0
 
 
-class PlaySpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What one play is made of."""
+class SimulationSpec(msgspec.Struct, frozen=True, kw_only=True):
+    """The inputs of one simulation."""
 
-    site: SiteFigures
+    site: SiteParameters
     seconds: float = 30.0
     seed: int = 1
     placing: str = "warm"
     reading_share: float = 0.65
     load: float = 1.0
     bursts: tuple[Burst, ...] = ()
-    faults: tuple[Fault, ...] = ()
-    crashers: tuple[Crasher, ...] = ()
+    faults: tuple[EngineFault, ...] = ()
+    crashers: tuple[CrashingCaller, ...] = ()
     holds_back: bool = True
 
 
 class ModelFleet:
-    """One play."""
+    """One simulation."""
 
-    def __init__(self, spec: PlaySpec):
-        """Build hosts and engines; nothing runs yet."""
+    def __init__(self, spec: SimulationSpec):
+        """Build hosts and engines without starting them."""
         self._spec = spec
         self.site = spec.site
         self.queue = EventQueue()
-        self.ends: list[PromptEnd] = []
+        self.outcomes: list[PromptOutcome] = []
         self.crash_count = CrashCount()
         self.holds_back = spec.holds_back
         self._rng = random.Random(spec.seed)
@@ -84,11 +89,11 @@
         ]
 
     def _phases(self) -> list[EnginePhase]:
-        wanted = PhasePlanner(self._spec.reading_share).desired_prefill_engines(
+        prefill_count = PhasePlanner(self._spec.reading_share).desired_prefill_engines(
             self.site.engines
         )
         return [
-            EnginePhase.PREFILL if number < wanted else EnginePhase.DECODE
+            EnginePhase.PREFILL if number < prefill_count else EnginePhase.DECODE
             for number in range(self.site.engines)
         ]
 
@@ -107,15 +112,19 @@
             phase,
         )
 
-    def hop(self, one: DomainName, other: DomainName) -> float:
-        """Return the seconds from a host to an engine."""
-        return NEAR_SECONDS if one == other else self.site.domain_seconds
+    def latency_seconds(self, one: DomainName, other: DomainName) -> float:
+        """Return the one-way latency between a host and an engine."""
+        return (
+            SAME_DOMAIN_LATENCY_SECONDS
+            if one == other
+            else self.site.cross_domain_latency_seconds
+        )
 
-    def play(self) -> PlayResult:
-        """Play the traffic and the faults; return what came of it."""
+    def run(self) -> SimulationResult:
+        """Simulate the traffic and the faults; return the results."""
         spec = self._spec
         for host in self.hosts:
-            host.join([other for other in self.hosts if other is not host])
+            host.start_gossip([other for other in self.hosts if other is not host])
         site = msgspec.structs.replace(
             self.site,
             kinds=tuple(
@@ -125,67 +134,69 @@
         )
         traffic = Traffic(site, self._rng)
         for arrival in traffic.arrivals(spec.seconds, spec.bursts):
-            self.queue.at(arrival.at, PromptRun(self, arrival).begin)
+            self.queue.call_at(arrival.at, PromptRun(self, arrival).begin)
         for crasher in spec.crashers:
-            for arrival in traffic.of_crasher(crasher):
-                self.queue.at(arrival.at, PromptRun(self, arrival).begin)
+            for arrival in traffic.crashing_arrivals(crasher):
+                self.queue.call_at(arrival.at, PromptRun(self, arrival).begin)
         for fault in spec.faults:
-            self._plan_fault(fault)
-        self.queue.run(spec.seconds + TAIL_SECONDS)
+            self._schedule_fault(fault)
+        self.queue.run(spec.seconds + DRAIN_SECONDS)
         again = sum(engine.again_tokens for engine in self.engines.values())
-        return summarize(self.ends, again, self.crash_count)
+        return summarize(self.outcomes, again, self.crash_count)
 
-    # Prompts that end engines
+    # Prompts that crash engines
 
-    def lives(self, replica: Replica) -> bool:
-        """Return whether this very start of an engine is there."""
+    def is_running(self, replica: Replica) -> bool:
+        """Return whether this instance of an engine is running."""
         engine = self.engines[replica.address]
         return engine.alive and engine.replica is replica
 
-    def end_engine(self, replica: Replica) -> None:
-        """End an engine under a prompt; it is back after some seconds."""
-        if not self.lives(replica):
+    def crash_engine(self, replica: Replica) -> None:
+        """Crash an engine because of a prompt, and restart it some seconds later."""
+        if not self.is_running(replica):
             return
         self.crash_count.ended += 1
         number = list(self.engines).index(replica.address)
-        fault = Fault(self.queue.monotonic(), number, BACK_SECONDS)
+        fault = EngineFault(self.queue.monotonic(), number, ENGINE_RESTART_SECONDS)
         self._crash(replica.address, fault)
-        self.queue.after(BACK_SECONDS, lambda: self._restart(replica.address))
+        self.queue.call_after(
+            ENGINE_RESTART_SECONDS, lambda: self._restart(replica.address)
+        )
 
-    def note_held(self, arrival: Arrival) -> None:
-        """Count a prompt that a host holds back."""
+    def note_quarantined(self, arrival: Arrival) -> None:
+        """Count a prompt that a host quarantines, unless it crashes engines."""
         self.crash_count.held_others += not arrival.crashes
 
     def note_send(self, arrival: Arrival) -> None:
-        """Count a send of a prompt that ends engines."""
+        """Count an attempt of a prompt that crashes engines."""
         self.crash_count.sends += arrival.crashes
 
     # Faults
 
-    def _plan_fault(self, fault: Fault) -> None:
+    def _schedule_fault(self, fault: EngineFault) -> None:
         address = f"10.0.0.{fault.engine % self.site.engines}:80"
         begin, end = self._crash, self._restart
-        if fault.slowness:
-            begin, end = self._slow, self._quick
-        self.queue.at(fault.at, lambda: begin(address, fault))
-        self.queue.at(fault.at + fault.seconds, lambda: end(address))
+        if fault.slowdown:
+            begin, end = self._slow, self._restore_speed
+        self.queue.call_at(fault.at, lambda: begin(address, fault))
+        self.queue.call_at(fault.at + fault.seconds, lambda: end(address))
 
-    def _slow(self, address: str, fault: Fault) -> None:
-        self.engines[address].slowness = fault.slowness
+    def _slow(self, address: str, fault: EngineFault) -> None:
+        self.engines[address].slowdown = fault.slowdown
 
-    def _quick(self, address: str) -> None:
-        self.engines[address].slowness = 1.0
+    def _restore_speed(self, address: str) -> None:
+        self.engines[address].slowdown = 1.0
 
-    def _crash(self, address: str, fault: Fault) -> None:
-        gone = self.engines[address].replica
+    def _crash(self, address: str, fault: EngineFault) -> None:
+        crashed = self.engines[address].replica
         self.engines[address].crash()
-        lapses = min(LAPSE_SECONDS, fault.seconds)
-        self.queue.after(lapses, lambda: self._lapse(address, gone))
+        expiry_seconds = min(ENTRY_TTL_SECONDS, fault.seconds)
+        self.queue.call_after(expiry_seconds, lambda: self._expire(address, crashed))
 
-    def _lapse(self, address: str, gone: Replica) -> None:
-        if self._listed.get(address) is gone:
+    def _expire(self, address: str, crashed: Replica) -> None:
+        if self._listed.get(address) is crashed:
             del self._listed[address]
-            self._list()
+            self._update_pool()
 
     def _restart(self, address: str) -> None:
         engine = self.engines[address]
@@ -193,12 +204,12 @@
         replica = self._replica(number, engine.replica.phase)
         engine.restart(replica)
         self._listed[address] = replica
-        self._list()
+        self._update_pool()
 
-    def _list(self) -> None:
+    def _update_pool(self) -> None:
         self.pool = Pool(list(self._listed.values()))
 
 
-def play(spec: PlaySpec) -> PlayResult:
-    """Return the result of one play."""
-    return ModelFleet(spec).play()
+def simulate(spec: SimulationSpec) -> SimulationResult:
+    """Return the results of one simulation."""
+    return ModelFleet(spec).run()
--- a/berylshift/model/host.py
+++ b/berylshift/model/host.py
@@ -1,4 +1,4 @@
-"""A modelled host: the real placement and what it knows."""
+"""A simulated host: the real placement and the state that it uses."""
 
 import random
 
@@ -15,12 +15,12 @@
 from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.version.routes import EngineFacts
 
-# How often engines renew their entries.
+# Interval at which engines renew their directory entries.
 HEARTBEAT_SECONDS = 1.2
 
 
 class ModelHost:
-    """One host; it tells the others what a real one tells."""
+    """One host, which sends the load digests that a real one sends."""
 
     def __init__(
         self,
@@ -31,57 +31,66 @@
         seed: int,
         facts: EngineFacts,
     ):
-        """Place by the policy that ``placing`` names; ``facts`` are configured."""
+        """Place by the policy named ``placing``; ``facts`` are the configured ones."""
         self._queue = queue
         self.name = name
         self.domain = domain
         self.loads = TargetLoads()
         self.peers = PeerLoads(name)
-        self.warm = PrefixCacheIndex()
+        self.prefix_cache = PrefixCacheIndex()
         self.rng = random.Random(seed)
         self.speeds = EngineSpeeds(lambda service: facts)
-        parts = PlacementContext(
-            self.loads, self.peers, self.warm, self.speeds, domain, self.rng
+        context = PlacementContext(
+            self.loads, self.peers, self.prefix_cache, self.speeds, domain, self.rng
         )
-        self.placer = PLACEMENT_POLICIES[placing](parts)
+        self.placer = PLACEMENT_POLICIES[placing](context)
         self.quarantine = Quarantine(HEARTBEAT_SECONDS)
-        self._others: list[ModelHost] = []
-        self.readings = PrefillScheduler(
-            self.placer, self.speeds, lambda: len(self._others) + 1
+        self._other_hosts: list[ModelHost] = []
+        self.prefill_scheduler = PrefillScheduler(
+            self.placer, self.speeds, lambda: len(self._other_hosts) + 1
         )
         self._sequence = 0
-        self._last: object = None
-        self._last_at = float("-inf")
+        self._last_entries: object = None
+        self._last_sent_at = float("-inf")
 
-    def join(self, others: list["ModelHost"]) -> None:
-        """Begin to tell ``others``."""
-        self._others = others
-        self._queue.after(self.rng.uniform(0, SEND_SECONDS), self._tell)
+    def start_gossip(self, others: list["ModelHost"]) -> None:
+        """Start to send digests to ``others``."""
+        self._other_hosts = others
+        self._queue.call_after(self.rng.uniform(0, SEND_SECONDS), self._send_digest)
 
-    def _tell(self) -> None:
+    def _send_digest(self) -> None:
         now = self._queue.monotonic()
-        entries, reads = self.loads.entries(now), self.warm.prefills_to_send(now)
+        entries, prefills = (
+            self.loads.entries(now),
+            self.prefix_cache.prefills_to_send(now),
+        )
         crashes = self.quarantine.take_reports(now)
         finished = self.quarantine.pending_completions(now)
-        due = now - self._last_at >= REPEAT_SECONDS
-        if entries != self._last or reads or crashes or finished or due:
-            self._last, self._last_at = entries, now
+        repeat_due = now - self._last_sent_at >= REPEAT_SECONDS
+        if (
+            entries != self._last_entries
+            or prefills
+            or crashes
+            or finished
+            or repeat_due
+        ):
+            self._last_entries, self._last_sent_at = entries, now
             self._sequence += 1
             digest = LoadDigest(
                 self.name,
                 self._sequence,
                 entries,
-                reads,
+                prefills,
                 crashes=crashes,
                 finished=finished,
             )
-            for other in self._others:
-                other.hear(digest)
-        self._queue.after(SEND_SECONDS, self._tell)
+            for other in self._other_hosts:
+                other.receive(digest)
+        self._queue.call_after(SEND_SECONDS, self._send_digest)
 
-    def hear(self, digest: LoadDigest) -> None:
-        """Take over what another host tells."""
+    def receive(self, digest: LoadDigest) -> None:
+        """Merge another host's digest."""
         now = self._queue.monotonic()
         self.peers.receive(digest, now)
-        self.warm.merge(digest.prefills)
+        self.prefix_cache.merge(digest.prefills)
         self.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=False)
--- a/berylshift/model/parameters.py
+++ b/berylshift/model/parameters.py
@@ -1,228 +1,236 @@
-"""Published figures of engines and of two users' traffic; times in seconds."""
+"""Published parameters of engines and of users' traffic; times in seconds."""
 
 import msgspec
 
 from berylshift.ids import RouteName, ServiceName
 from berylshift.version.routes import EngineFacts
 
-# The one service of a modelled fleet.
+# The only service of a simulated fleet.
 SERVICE = ServiceName("model")
-# How unevenly shared parts are asked for: the larger, the fewer parts most have.
-SKEW = 1.4
+# Exponent of the power law by which prompts use prefix blocks: the larger, the fewer
+# blocks most prompts share.
+POPULARITY_SKEW = 1.4
 
 
-class EngineFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """What an engine can do, as its sheet says.
+class EngineParameters(msgspec.Struct, frozen=True, kw_only=True):
+    """Performance of an engine, from its data sheet.
 
-    ``pair_seconds`` is what each pair of a new token and one before it adds;
-    ``read_latency`` is what a prompt takes on top, while others are read;
-    ``answer_read_factor`` and ``answer_piece`` hold for an engine that answers.
+    ``attention_pair_seconds`` is the prefill time that each pair of a new token and an
+    earlier one adds; ``prefill_latency_seconds`` is a prompt's additional latency,
+    during which other prompts are prefilled; ``decode_engine_prefill_factor`` and
+    ``decode_engine_chunk_tokens`` apply to prefills on a decode engine.
     """
 
     slots: int = 64
-    step: float = 0.00455
-    step_per_running: float = 0.000181
-    step_per_context_token: float = 3.66e-9
-    read_rate: float = 61_400.0
-    pair_seconds: float = 0.525e-9
-    read_latency: float = 0.09
-    piece: int = 4096
-    answer_read_factor: float = 0.5
-    answer_piece: int = 1024
-    memory_tokens: int = 467_273
-    kv_bytes: float = 35_136.0
-    link_bits: float = 370e9
-    move_setup: float = 0.004
-    switch_seconds: float = 3.0
+    step_seconds: float = 0.00455
+    step_seconds_per_stream: float = 0.000181
+    step_seconds_per_context_token: float = 3.66e-9
+    prefill_tokens_per_second: float = 61_400.0
+    attention_pair_seconds: float = 0.525e-9
+    prefill_latency_seconds: float = 0.09
+    prefill_chunk_tokens: int = 4096
+    decode_engine_prefill_factor: float = 0.5
+    decode_engine_chunk_tokens: int = 1024
+    kv_capacity_tokens: int = 467_273
+    kv_bytes_per_token: float = 35_136.0
+    link_bits_per_second: float = 370e9
+    kv_transfer_setup_seconds: float = 0.004
+    role_change_seconds: float = 3.0
     tokens_per_event: int = 7
 
     @property
     def facts(self) -> EngineFacts:
-        """Return what a configuration says of such engines."""
+        """Return the facts that a configuration states of such engines."""
         return EngineFacts(
             self.slots,
-            self.memory_tokens,
-            round(self.kv_bytes),
-            self.link_bits / 1e6,
+            self.kv_capacity_tokens,
+            round(self.kv_bytes_per_token),
+            self.link_bits_per_second / 1e6,
         )
 
 
-class PartFigures(msgspec.Struct, frozen=True):
-    """A shared part: tokens (mean, spread, most), how many there are, their skew."""
+class SizeDistribution(msgspec.Struct, frozen=True):
+    """A log-normal size with a maximum; for prefix blocks also their count and skew."""
 
     mean: float
-    spread: float
-    most: float
+    sigma: float
+    maximum: float
     count: int
     skew: float = 0.0
 
 
-class KindFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """One kind of prompt; ``rate`` a second over all hosts, ``rank`` 0 goes first."""
+class KindParameters(msgspec.Struct, frozen=True, kw_only=True):
+    """One kind of prompt.
+
+    ``rate`` is in prompts per second over all hosts, ``rank`` 0 is the most urgent;
+    ``worth`` and ``late_worth`` are what an on-time and a late response are worth.
+    """
 
     name: RouteName
     rank: int
     rate: float
-    shared: tuple[PartFigures, ...]
-    own: PartFigures
-    events: PartFigures
+    prefix_blocks: tuple[SizeDistribution, ...]
+    suffix: SizeDistribution
+    event_counts: SizeDistribution
     objective: float
-    longest_pause: float
-    timeout: float
+    max_event_gap_seconds: float
+    timeout_seconds: float
     worth: float
     late_worth: float
     retries: int = 1
 
     @property
-    def patience(self) -> float:
-        """Return how long a caller waits for a first event."""
-        return max(2.0, 4 * self.objective, 8 * self.longest_pause)
+    def caller_patience_seconds(self) -> float:
+        """Return how long a caller waits for the first event."""
+        return max(2.0, 4 * self.objective, 8 * self.max_event_gap_seconds)
 
 
-class SiteFigures(msgspec.Struct, frozen=True, kw_only=True):
-    """One deployment; one way ``caller_seconds`` to callers, ``domain_seconds`` across.
+class SiteParameters(msgspec.Struct, frozen=True, kw_only=True):
+    """One deployment; its latencies are one-way.
 
-    Each domain's rate swings by ``swing`` in ``period`` seconds.
+    Each domain's rate oscillates by ``swing_fraction`` with ``swing_period_seconds``.
     """
 
     name: str
     hosts: int
     domains: int
     engines: int
-    engine: EngineFigures
-    kinds: tuple[KindFigures, ...]
-    caller_seconds: float
-    domain_seconds: float = 0.0009
-    swing: float = 0.15
-    period: float = 11.0
+    engine: EngineParameters
+    kinds: tuple[KindParameters, ...]
+    caller_latency_seconds: float
+    cross_domain_latency_seconds: float = 0.0009
+    swing_fraction: float = 0.15
+    swing_period_seconds: float = 11.0
 
 
-def _kinds(names: tuple[str, str, str], rates: tuple[float, float, float]):
+def _make_kinds(names: tuple[str, str, str], rates: tuple[float, float, float]):
     long, middle, short = names
     return (
-        KindFigures(
+        KindParameters(
             name=RouteName(long),
             rank=2,
             rate=rates[0],
-            shared=(PartFigures(13_300, 0.7, 39_900, 128, SKEW),),
-            own=PartFigures(3_720, 1.1, 53_200, 0),
-            events=PartFigures(17.1, 1.4, 68.4, 0),
+            prefix_blocks=(
+                SizeDistribution(13_300, 0.7, 39_900, 128, POPULARITY_SKEW),
+            ),
+            suffix=SizeDistribution(3_720, 1.1, 53_200, 0),
+            event_counts=SizeDistribution(17.1, 1.4, 68.4, 0),
             objective=0.8,
-            longest_pause=0.3,
-            timeout=6.0,
+            max_event_gap_seconds=0.3,
+            timeout_seconds=6.0,
             worth=1.9,
             late_worth=0.58,
         ),
-        KindFigures(
+        KindParameters(
             name=RouteName(middle),
             rank=1,
             rate=rates[1],
-            shared=(
-                PartFigures(2_520, 0.4, 6_290, 4),
-                PartFigures(3_780, 0.7, 11_300, 39, SKEW),
+            prefix_blocks=(
+                SizeDistribution(2_520, 0.4, 6_290, 4),
+                SizeDistribution(3_780, 0.7, 11_300, 39, POPULARITY_SKEW),
             ),
-            own=PartFigures(2_890, 1.0, 39_600, 0),
-            events=PartFigures(7.44, 1.4, 29.8, 0),
+            suffix=SizeDistribution(2_890, 1.0, 39_600, 0),
+            event_counts=SizeDistribution(7.44, 1.4, 29.8, 0),
             objective=0.6,
-            longest_pause=0.3,
-            timeout=4.0,
+            max_event_gap_seconds=0.3,
+            timeout_seconds=4.0,
             worth=2.0,
             late_worth=0.59,
         ),
-        KindFigures(
+        KindParameters(
             name=RouteName(short),
             rank=0,
             rate=rates[2],
-            shared=(
-                PartFigures(210, 0.4, 524, 8),
-                PartFigures(140, 0.7, 419, 127, SKEW),
+            prefix_blocks=(
+                SizeDistribution(210, 0.4, 524, 8),
+                SizeDistribution(140, 0.7, 419, 127, POPULARITY_SKEW),
             ),
-            own=PartFigures(1_110, 1.0, 3_790, 0),
-            events=PartFigures(24.6, 0.89, 85.9, 0),
+            suffix=SizeDistribution(1_110, 1.0, 3_790, 0),
+            event_counts=SizeDistribution(24.6, 0.89, 85.9, 0),
             objective=0.5,
-            longest_pause=0.3,
-            timeout=8.0,
+            max_event_gap_seconds=0.3,
+            timeout_seconds=8.0,
             worth=1.6,
             late_worth=0.47,
         ),
     )
 
 
-NESTWATCH = SiteFigures(
+NESTWATCH = SiteParameters(
     name="nestwatch",
     hosts=9,
     domains=4,
     engines=9,
-    engine=EngineFigures(),
-    kinds=_kinds(
+    engine=EngineParameters(),
+    kinds=_make_kinds(
         ("family-dossier", "sitter-vetting", "quick-match-note"), (14.1, 6.57, 14.1)
     ),
-    caller_seconds=0.001,
+    caller_latency_seconds=0.001,
 )
-CONSORCIO = SiteFigures(
+CONSORCIO = SiteParameters(
     name="consorcio",
     hosts=9,
     domains=4,
     engines=9,
-    engine=EngineFigures(memory_tokens=475_524),
-    kinds=_kinds(("spec-match", "quote-draft", "cross-ref"), (14.1, 6.57, 14.1)),
-    caller_seconds=0.003,
+    engine=EngineParameters(kv_capacity_tokens=475_524),
+    kinds=_make_kinds(("spec-match", "quote-draft", "cross-ref"), (14.1, 6.57, 14.1)),
+    caller_latency_seconds=0.003,
 )
-SHIFTED = SiteFigures(
+SHIFTED = SiteParameters(
     name="shifted",
     hosts=79,
     domains=4,
     engines=30,
-    engine=EngineFigures(memory_tokens=419_759, tokens_per_event=10),
+    engine=EngineParameters(kv_capacity_tokens=419_759, tokens_per_event=10),
     kinds=(
-        KindFigures(
+        KindParameters(
             name=RouteName("family-dossier"),
             rank=2,
             rate=26.2,
-            shared=(PartFigures(13_300, 0.7, 39_900, 264, 0.3),),
-            own=PartFigures(3_720, 1.1, 53_200, 0),
-            events=PartFigures(12.0, 1.4, 47.9, 0),
+            prefix_blocks=(SizeDistribution(13_300, 0.7, 39_900, 264, 0.3),),
+            suffix=SizeDistribution(3_720, 1.1, 53_200, 0),
+            event_counts=SizeDistribution(12.0, 1.4, 47.9, 0),
             objective=0.863,
-            longest_pause=0.4,
-            timeout=6.475,
+            max_event_gap_seconds=0.4,
+            timeout_seconds=6.475,
             worth=1.9,
             late_worth=0.58,
         ),
-        KindFigures(
+        KindParameters(
             name=RouteName("sitter-vetting"),
             rank=1,
             rate=21.2,
-            shared=(
-                PartFigures(2_520, 0.4, 6_290, 4),
-                PartFigures(3_780, 0.7, 11_300, 184, 0.3),
+            prefix_blocks=(
+                SizeDistribution(2_520, 0.4, 6_290, 4),
+                SizeDistribution(3_780, 0.7, 11_300, 184, 0.3),
             ),
-            own=PartFigures(2_890, 1.0, 39_600, 0),
-            events=PartFigures(5.21, 1.4, 20.8, 0),
+            suffix=SizeDistribution(2_890, 1.0, 39_600, 0),
+            event_counts=SizeDistribution(5.21, 1.4, 20.8, 0),
             objective=0.645,
-            longest_pause=0.4,
-            timeout=4.298,
+            max_event_gap_seconds=0.4,
+            timeout_seconds=4.298,
             worth=2.0,
             late_worth=0.59,
         ),
-        KindFigures(
+        KindParameters(
             name=RouteName("quick-match-note"),
             rank=0,
             rate=26.1,
-            shared=(
-                PartFigures(210, 0.4, 524, 40),
-                PartFigures(140, 0.7, 419, 591, 0.3),
+            prefix_blocks=(
+                SizeDistribution(210, 0.4, 524, 40),
+                SizeDistribution(140, 0.7, 419, 591, 0.3),
             ),
-            own=PartFigures(1_110, 1.0, 3_790, 0),
-            events=PartFigures(17.2, 0.89, 60.1, 0),
+            suffix=SizeDistribution(1_110, 1.0, 3_790, 0),
+            event_counts=SizeDistribution(17.2, 0.89, 60.1, 0),
             objective=0.526,
-            longest_pause=0.4,
-            timeout=8.419,
+            max_event_gap_seconds=0.4,
+            timeout_seconds=8.419,
             worth=1.6,
             late_worth=0.47,
         ),
     ),
-    caller_seconds=0.003,
-    domain_seconds=0.0014,
-    swing=0.27,
+    caller_latency_seconds=0.003,
+    cross_domain_latency_seconds=0.0014,
+    swing_fraction=0.27,
 )
 SITES = {site.name: site for site in (NESTWATCH, CONSORCIO, SHIFTED)}
--- a/berylshift/model/plots.py
+++ b/berylshift/model/plots.py
@@ -6,9 +6,9 @@
 import pygal
 
 from berylshift.model.experiment import Row
-from berylshift.model.result import WINDOW_SECONDS, PromptEnd, share_of_worth
+from berylshift.model.result import WINDOW_SECONDS, PromptOutcome, relative_worth
 
-# No script is loaded from elsewhere; the same play gives the same file.
+# No script is loaded from other sites, and the output is deterministic.
 STYLE = {
     "width": 900,
     "height": 420,
@@ -21,7 +21,7 @@
 
 
 def plot_rows(path: str, name: str, rows: list[Row]) -> None:
-    """Plot worth by value: the mean over seeds and what it is in the worst seconds."""
+    """Plot worth by value: over the whole day, its worst seconds and its worst kind."""
     chart = pygal.Bar(**STYLE)
     chart.title = f"Worth by {name}"
     chart.x_labels = [row.value for row in rows]
@@ -31,12 +31,14 @@
     _write(chart, path)
 
 
-def plot_day(path: str, title: str, plays: dict[str, list[PromptEnd]]) -> None:
-    """Plot worth over the time of a day, a line for each play."""
+def plot_day(
+    path: str, title: str, outcomes_by_name: dict[str, list[PromptOutcome]]
+) -> None:
+    """Plot worth over the time of a day, with one line per simulation."""
     chart = pygal.XY(**STYLE, dots_size=1.5, x_title="seconds")
     chart.title = title
-    for name, ends in plays.items():
-        chart.add(name, _line(ends))
+    for name, outcomes in outcomes_by_name.items():
+        chart.add(name, _worth_series(outcomes))
     _write(chart, path)
 
 
@@ -46,11 +48,11 @@
     Path(path).write_text(svg, encoding="utf-8")
 
 
-def _line(ends: list[PromptEnd]) -> list[tuple[float, float]]:
-    windows: dict[int, list[PromptEnd]] = {}
-    for end in ends:
-        windows.setdefault(int(end.at / WINDOW_SECONDS), []).append(end)
+def _worth_series(outcomes: list[PromptOutcome]) -> list[tuple[float, float]]:
+    windows: dict[int, list[PromptOutcome]] = {}
+    for outcome in outcomes:
+        windows.setdefault(int(outcome.at / WINDOW_SECONDS), []).append(outcome)
     return [
-        ((number + 0.5) * WINDOW_SECONDS, round(share_of_worth(group), 3))
-        for number, group in sorted(windows.items())
+        ((window + 0.5) * WINDOW_SECONDS, round(relative_worth(group), 3))
+        for window, group in sorted(windows.items())
     ]
--- a/berylshift/model/prefix_block_cache.py
+++ b/berylshift/model/prefix_block_cache.py
@@ -1,4 +1,4 @@
-"""Which prompt parts an engine's memory holds; the least lately used go first."""
+"""Prefix blocks cached in an engine's memory, with LRU eviction."""
 
 from collections import OrderedDict
 
@@ -6,39 +6,39 @@
 from berylshift.messages.routed import Prompt
 
 
-class KeptParts:
-    """Parts in an engine's memory, bounded in tokens."""
+class PrefixBlockCache:
+    """An LRU cache of prefix blocks, bounded in tokens."""
 
-    def __init__(self, most_tokens: int):
-        """Hold at most ``most_tokens``."""
-        self._most = most_tokens
-        self._parts: OrderedDict[PartId, int] = OrderedDict()
+    def __init__(self, max_tokens: int):
+        """Cache at most ``max_tokens``."""
+        self._max_tokens = max_tokens
+        self._blocks: OrderedDict[PartId, int] = OrderedDict()
         self._tokens = 0
 
-    def begins(self, prompt: Prompt) -> int:
-        """Return how many tokens of a prompt's beginning are held."""
-        found = 0
-        for part in prompt.blocks:
-            if part.id not in self._parts:
+    def cached_prefix_tokens(self, prompt: Prompt) -> int:
+        """Return how many leading tokens of a prompt are cached."""
+        cached_tokens = 0
+        for block in prompt.blocks:
+            if block.id not in self._blocks:
                 break
-            found += part.tokens
-        return found
+            cached_tokens += block.tokens
+        return cached_tokens
 
-    def hold(self, prompt: Prompt) -> None:
-        """Hold a prompt's shared parts, and let others go where room is short.
+    def store(self, prompt: Prompt) -> None:
+        """Cache a prompt's prefix blocks, evicting the least recently used ones.
 
-        Its own part goes with the answer: nothing begins with it again.
+        Its last block is not cached: no other prompt has it in its prefix.
         """
-        for part in prompt.prefix_blocks:
-            if part.id not in self._parts:
-                self._tokens += part.tokens
-                self._parts[part.id] = part.tokens
-            self._parts.move_to_end(part.id)
-        while self._tokens > self._most and self._parts:
-            _, tokens = self._parts.popitem(last=False)
+        for block in prompt.prefix_blocks:
+            if block.id not in self._blocks:
+                self._tokens += block.tokens
+                self._blocks[block.id] = block.tokens
+            self._blocks.move_to_end(block.id)
+        while self._tokens > self._max_tokens and self._blocks:
+            _, tokens = self._blocks.popitem(last=False)
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Lose everything, as an engine that starts anew."""
-        self._parts.clear()
+        """Drop all blocks, as an engine restart does."""
+        self._blocks.clear()
         self._tokens = 0
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -1,4 +1,4 @@
-"""One modelled prompt on its way through a host, a reading and an answering engine."""
+"""One simulated prompt: through a host, a prefill engine and a decode engine."""
 
 from typing import TYPE_CHECKING
 
@@ -8,7 +8,7 @@
 from berylshift.model.engine import Stream
 from berylshift.model.host import ModelHost
 from berylshift.model.parameters import SERVICE
-from berylshift.model.result import PromptEnd
+from berylshift.model.result import PromptOutcome
 from berylshift.model.traffic import Arrival
 from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.placement import Placement
@@ -20,262 +20,284 @@
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
 
-# What a host takes for a request and its first event on its way (2.4 ms of processor
-# time on half a core).
-HOST_SECONDS = 0.005
-# Callers honour a time to come back up to this share of what they have left.
-HONOURED_SHARE = 1 / 3
+# Latency that a host adds to a request and to its first event (2.4 ms of CPU time on
+# half a core).
+HOST_LATENCY_SECONDS = 0.005
+# Callers honour a retry-after time up to this fraction of their remaining time.
+MAX_RETRY_WAIT_FRACTION = 1 / 3
 
 
 class PromptRun:
-    """Serves one arrival; a refused caller comes back once."""
+    """Runs one arrival to its outcome; a refused caller retries."""
 
     def __init__(self, fleet: "ModelFleet", arrival: Arrival):
-        """Start with nothing sent."""
+        """Start without an attempt."""
         self._fleet = fleet
         self._queue = fleet.queue
         self._arrival = arrival
         self._kind = arrival.kind
-        self._standing = SloStatus.ON_TIME
-        self._began_at = 0.0
+        self._slo_status = SloStatus.ON_TIME
+        self._attempt_started_at = 0.0
         self._host: ModelHost = fleet.hosts[arrival.host]
-        self._tried: list[InstanceId] = []
-        self._reads = 0
-        self._refused = 0
-        self._tries = 0
-        self._first: float | None = None
-        self._last = 0.0
-        self._pause = 0.0
-        self._over = False
-        self._first_until = 0.0
+        self._tried_instances: list[InstanceId] = []
+        self._prefill_count = 0
+        self._refusal_count = 0
+        self._attempt_count = 0
+        self._first_event_seconds: float | None = None
+        self._last_event_at = 0.0
+        self._max_event_gap_seconds = 0.0
+        self._is_closed = False
+        self._first_event_deadline = 0.0
         self._sent_at = 0.0
         self._source: Replica | None = None
 
     def begin(self) -> None:
-        """Place the prompt; refuse it at once if it would come too late."""
+        """Start an attempt at a host, unless the host quarantines the prompt."""
         now = self._queue.monotonic()
-        if self._is_held(now):
+        if self._is_quarantined(now):
             return
-        self._tries += 1
-        self._began_at = now
-        self._first_until = now + self._kind.patience
-        self._tried.clear()
-        self._reads = 0
-        self._queue.after(HOST_SECONDS, self._read)
-        self._queue.at(self._first_until, self._leave_if_waiting)
+        self._attempt_count += 1
+        self._attempt_started_at = now
+        self._first_event_deadline = now + self._kind.caller_patience_seconds
+        self._tried_instances.clear()
+        self._prefill_count = 0
+        self._queue.call_after(HOST_LATENCY_SECONDS, self._prefill)
+        self._queue.call_at(self._first_event_deadline, self._abandon_if_waiting)
 
-    def _is_held(self, now: float) -> bool:
-        """Return whether the host holds the prompt back; refuse it then."""
+    def _is_quarantined(self, now: float) -> bool:
+        """Return whether the host quarantines the prompt; refuse it then."""
         if not self._fleet.holds_back:
             return False
         wait = self._host.quarantine.remaining_seconds(self._arrival.fingerprint, now)
         if wait <= 0:
             return False
-        self._fleet.note_held(self._arrival)
+        self._fleet.note_quarantined(self._arrival)
         self._refuse(wait)
         return True
 
     @property
     def _urgency(self) -> Urgency:
-        return urgency_for(self._kind, self._standing)
+        return urgency_for(self._kind, self._slo_status)
 
-    # Reading
+    # Prefill
 
-    def _read(self) -> None:
+    def _prefill(self) -> None:
         now, host = self._queue.monotonic(), self._host
         pool, prompt = self._fleet.pool, self._arrival.prompt
-        if self._over:
+        if self._is_closed:
             return
-        if self._reads >= MAX_PREFILLS:
+        if self._prefill_count >= MAX_PREFILLS:
             self._refuse(0.0)
             return
-        ask = PrefillJob(
+        job = PrefillJob(
             route=self._kind,
             service=SERVICE,
             pool=pool,
             prompt=prompt,
-            waited_seconds=now - self._began_at,
-            avoid=self._tried,
+            waited_seconds=now - self._attempt_started_at,
+            avoid=self._tried_instances,
         )
-        choice = host.readings.choose(ask, now)
-        self._standing = choice.slo_status if choice else SloStatus.ON_TIME
-        if choice is None:
-            self._answer(None)
+        decision = host.prefill_scheduler.choose(job, now)
+        self._slo_status = decision.slo_status if decision else SloStatus.ON_TIME
+        if decision is None:
+            self._decode(None)
             return
-        if now + choice.seconds > self._first_until:
-            self._refuse(choice.seconds - self._kind.patience)
+        if now + decision.seconds > self._first_event_deadline:
+            self._refuse(decision.seconds - self._kind.caller_patience_seconds)
             return
-        place = choice.placement
-        self._reads += 1
+        placement = decision.placement
+        self._prefill_count += 1
         self._sent_at = now
-        host.readings.note_sent(ask, choice, now)
-        host.loads.note_sent(place.target.instance, place.tokens, self._urgency)
-        engine = self._fleet.engines[place.target.address]
-        rank = engine_rank(self._kind, self._standing)
-        self._queue.after(
-            self._hop(place.target),
-            lambda: engine.read(prompt, rank, lambda good: self._was_read(place, good)),
+        host.prefill_scheduler.note_sent(job, decision, now)
+        host.loads.note_sent(placement.target.instance, placement.tokens, self._urgency)
+        engine = self._fleet.engines[placement.target.address]
+        rank = engine_rank(self._kind, self._slo_status)
+        self._queue.call_after(
+            self._latency(placement.target),
+            lambda: engine.prefill(
+                prompt,
+                rank,
+                lambda succeeded: self._on_prefill_end(placement, succeeded),
+            ),
         )
 
-    def _was_read(self, place: Placement, good: bool) -> None:
-        self._queue.after(
-            self._hop(place.target), lambda: self._take_reading(place, good)
+    def _on_prefill_end(self, placement: Placement, succeeded: bool) -> None:
+        self._queue.call_after(
+            self._latency(placement.target),
+            lambda: self._receive_prefill(placement, succeeded),
         )
 
-    def _take_reading(self, place: Placement, good: bool) -> None:
-        instance, host = place.target.instance, self._host
-        host.loads.note_prefilled(instance, place.tokens, self._urgency)
+    def _receive_prefill(self, placement: Placement, succeeded: bool) -> None:
+        instance, host = placement.target.instance, self._host
+        host.loads.note_prefilled(instance, placement.tokens, self._urgency)
         host.loads.note_ended(instance)
-        self._note(place.target, good)
-        if good:
+        self._note_outcome(placement.target, succeeded)
+        if succeeded:
             seconds = self._queue.monotonic() - self._sent_at
             host.speeds.note_prefill(
-                place.target.service, place.tokens, place.queued, seconds
+                placement.target.service, placement.tokens, placement.queued, seconds
             )
-            self._answer(place.target)
+            self._decode(placement.target)
         else:
-            self._tried.append(instance)
-            self._read()
+            self._tried_instances.append(instance)
+            self._prefill()
 
-    # Answering
+    # Decode
 
-    def _answer(self, source: Replica | None) -> None:
+    def _decode(self, source: Replica | None) -> None:
         now, host = self._queue.monotonic(), self._host
-        if self._over:
+        if self._is_closed:
             return
         prompt = self._arrival.prompt
-        place = host.placer.choose_decode(
-            self._fleet.pool, prompt, source, self._tried, now
+        placement = host.placer.choose_decode(
+            self._fleet.pool, prompt, source, self._tried_instances, now
         )
-        if place is None:
+        if placement is None:
             self._refuse(0.0)
             return
-        instance = place.target.instance
+        instance = placement.target.instance
         self._sent_at, self._source = now, source
-        host.loads.note_sent(instance, place.tokens, self._urgency)
-        engine = self._fleet.engines[place.target.address]
-        rank = engine_rank(self._kind, self._standing)
+        host.loads.note_sent(instance, placement.tokens, self._urgency)
+        engine = self._fleet.engines[placement.target.address]
+        rank = engine_rank(self._kind, self._slo_status)
         stream = Stream(
             prompt,
-            self._arrival.events,
-            lambda: self._event(place),
-            lambda good: self._ended(place, stream, good),
+            self._arrival.event_count,
+            lambda: self._on_event(placement),
+            lambda succeeded: self._on_stream_end(placement, stream, succeeded),
         )
         self._fleet.note_send(self._arrival)
-        self._queue.after(
-            self._hop(place.target),
-            lambda: engine.answer(stream, source, rank),
+        self._queue.call_after(
+            self._latency(placement.target),
+            lambda: engine.decode(stream, source, rank),
         )
 
-    def _event(self, place: Placement) -> None:
+    def _on_event(self, placement: Placement) -> None:
         if self._arrival.crashes:
-            self._queue.after(0.0, lambda: self._fleet.end_engine(place.target))
-        way = self._way_back(place.target)
-        self._queue.after(way, lambda: self._take_event(place))
+            self._queue.call_after(
+                0.0, lambda: self._fleet.crash_engine(placement.target)
+            )
+        latency = self._response_latency(placement.target)
+        self._queue.call_after(latency, lambda: self._receive_event(placement))
 
-    def _take_event(self, place: Placement) -> None:
+    def _receive_event(self, placement: Placement) -> None:
         now = self._queue.monotonic()
-        if self._over:
+        if self._is_closed:
             return
-        if self._first is None:
-            self._first = now - self._arrival.at
+        if self._first_event_seconds is None:
+            self._first_event_seconds = now - self._arrival.at
             host = self._host
             host.loads.note_prefilled(
-                place.target.instance, place.tokens, self._urgency
+                placement.target.instance, placement.tokens, self._urgency
             )
             if self._source is not None:
                 tokens = self._arrival.prompt.tokens
                 seconds = now - self._sent_at
                 host.speeds.note_first_token(
-                    place.target.service, tokens, place.queued, seconds
+                    placement.target.service, tokens, placement.queued, seconds
                 )
         else:
-            self._pause = max(self._pause, now - self._last)
-        self._last = now
+            self._max_event_gap_seconds = max(
+                self._max_event_gap_seconds, now - self._last_event_at
+            )
+        self._last_event_at = now
 
-    def _ended(self, place: Placement, stream: Stream, good: bool) -> None:
-        instance, host = place.target.instance, self._host
-        if self._first is None:
-            host.loads.note_prefilled(instance, place.tokens, self._urgency)
+    def _on_stream_end(
+        self, placement: Placement, stream: Stream, succeeded: bool
+    ) -> None:
+        instance, host = placement.target.instance, self._host
+        if self._first_event_seconds is None:
+            host.loads.note_prefilled(instance, placement.tokens, self._urgency)
         host.loads.note_ended(instance)
-        if good and self._first is not None:
+        if succeeded and self._first_event_seconds is not None:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.note_response(place.target.service, seconds)
-        self._note(place.target, good)
-        self._tell_quarantine(place.target, good)
-        way = self._way_back(place.target)
-        self._queue.after(way, lambda: self._end(good))
+            host.speeds.note_response(placement.target.service, seconds)
+        self._note_outcome(placement.target, succeeded)
+        self._update_quarantine(placement.target, succeeded)
+        latency = self._response_latency(placement.target)
+        self._queue.call_after(latency, lambda: self._finish(succeeded))
 
-    def _tell_quarantine(self, target: Replica, good: bool) -> None:
-        """Note what a host sees: an engine that is there has not ended."""
+    def _update_quarantine(self, target: Replica, succeeded: bool) -> None:
+        """Record what a host observes: an engine that still runs has not crashed."""
         now, request = self._queue.monotonic(), self._arrival.fingerprint
         quarantine = self._host.quarantine
-        if good:
+        if succeeded:
             quarantine.record_completion(request, now)
-        elif not self._fleet.lives(target):
+        elif not self._fleet.is_running(target):
             quarantine.record_crash(request, target.instance, now)
 
-    def _end(self, good: bool) -> None:
-        """End the prompt; a caller whose answer broke off comes back."""
-        left = self._arrival.at + self._kind.timeout - self._queue.monotonic()
-        if good or self._over or left <= 0 or self._tries > self._kind.retries:
-            self._close(good)
+    def _finish(self, succeeded: bool) -> None:
+        """Finish an attempt; a caller whose response was cut off retries."""
+        left = self._arrival.at + self._kind.timeout_seconds - self._queue.monotonic()
+        if (
+            succeeded
+            or self._is_closed
+            or left <= 0
+            or self._attempt_count > self._kind.retries
+        ):
+            self._close(succeeded)
             return
-        self._first, self._pause = None, 0.0
+        self._first_event_seconds, self._max_event_gap_seconds = None, 0.0
         self._host = self._host.rng.choice(self._fleet.hosts)
         self.begin()
 
-    # Ends
+    # Outcomes
 
-    def _note(self, target: Replica, good: bool) -> None:
+    def _note_outcome(self, target: Replica, succeeded: bool) -> None:
         now, host = self._queue.monotonic(), self._host
-        if good:
+        if succeeded:
             host.loads.note_success(target.instance, now)
             report = self._fleet.engines[target.address].report()
             host.loads.note_report(target.instance, report, now)
         else:
             host.loads.note_failure(
-                target.instance, SEVERE_FAILURE if self._first else MILD_FAILURE, now
+                target.instance,
+                SEVERE_FAILURE if self._first_event_seconds else MILD_FAILURE,
+                now,
             )
 
     def _refuse(self, seconds: float) -> None:
-        """Refuse the prompt; its caller comes back if it has tries and time left."""
-        self._refused += 1
+        """Refuse the prompt; its caller retries if it has attempts and time left."""
+        self._refusal_count += 1
         now, rng = self._queue.monotonic(), self._host.rng
         wait = max(0.0, seconds) + rng.uniform(
             MIN_RETRY_AFTER_SECONDS, MAX_RETRY_AFTER_SECONDS
         )
-        left = self._arrival.at + self._kind.timeout - now
-        if self._refused > self._kind.retries or left <= 0:
+        left = self._arrival.at + self._kind.timeout_seconds - now
+        if self._refusal_count > self._kind.retries or left <= 0:
             self._close(False)
             return
         self._host = rng.choice(self._fleet.hosts)
-        self._queue.after(min(wait, HONOURED_SHARE * left), self.begin)
+        self._queue.call_after(min(wait, MAX_RETRY_WAIT_FRACTION * left), self.begin)
 
-    def _leave_if_waiting(self) -> None:
-        late = self._queue.monotonic() >= self._first_until
-        if late and self._first is None:
+    def _abandon_if_waiting(self) -> None:
+        late = self._queue.monotonic() >= self._first_event_deadline
+        if late and self._first_event_seconds is None:
             self._close(False)
 
     def _close(self, complete: bool) -> None:
-        if self._over:
+        if self._is_closed:
             return
-        self._over = True
+        self._is_closed = True
         if self._arrival.crashes:
             return
-        end = PromptEnd(
+        outcome = PromptOutcome(
             self._kind,
             self._arrival.at,
-            self._first,
-            self._pause,
+            self._first_event_seconds,
+            self._max_event_gap_seconds,
             complete,
-            self._refused,
+            self._refusal_count,
         )
-        self._fleet.ends.append(end)
+        self._fleet.outcomes.append(outcome)
 
-    def _way_back(self, target: Replica) -> float:
-        """Return the seconds from an engine to the caller."""
-        return self._hop(target) + HOST_SECONDS + self._fleet.site.caller_seconds
+    def _response_latency(self, target: Replica) -> float:
+        """Return the latency from an engine to the caller."""
+        return (
+            self._latency(target)
+            + HOST_LATENCY_SECONDS
+            + self._fleet.site.caller_latency_seconds
+        )
 
-    def _hop(self, target: Replica) -> float:
-        return self._fleet.hop(self._host.domain, target.domain)
+    def _latency(self, target: Replica) -> float:
+        return self._fleet.latency_seconds(self._host.domain, target.domain)
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -1,33 +1,39 @@
-"""What a play came to, by kind of prompt."""
+"""Results of a simulation, by kind of prompt."""
 
 import msgspec
 
 from berylshift.ids import RouteName
-from berylshift.model.parameters import KindFigures
+from berylshift.model.parameters import KindParameters
 
 
-class PromptEnd(msgspec.Struct, frozen=True):
-    """How one prompt ended; ``first`` is counted from the caller's first attempt."""
+class PromptOutcome(msgspec.Struct, frozen=True):
+    """The outcome of one prompt.
 
-    kind: KindFigures
+    ``first_event_seconds`` counts from the caller's first attempt.
+    """
+
+    kind: KindParameters
     at: float
-    first: float | None = None
-    longest_pause: float = 0.0
+    first_event_seconds: float | None = None
+    max_event_gap_seconds: float = 0.0
     complete: bool = False
     refused: int = 0
 
     @property
     def worth(self) -> float:
-        """Return what the answer is worth to its caller."""
-        if not self.complete or self.first is None:
+        """Return what the response is worth to its caller."""
+        if not self.complete or self.first_event_seconds is None:
             return 0.0
         kind = self.kind
-        late = self.first > kind.objective or self.longest_pause > kind.longest_pause
+        late = (
+            self.first_event_seconds > kind.objective
+            or self.max_event_gap_seconds > kind.max_event_gap_seconds
+        )
         return kind.late_worth if late else kind.worth
 
 
 class KindResult(msgspec.Struct, frozen=True):
-    """One kind over a play; times in seconds."""
+    """Results of one kind of prompt; times in seconds."""
 
     kind: RouteName
     prompts: int
@@ -38,15 +44,22 @@
 
 
 class CrashCount(msgspec.Struct):
-    """Prompts that end engines: engines ended, sends; other prompts held back."""
+    """Counts about prompts that crash engines.
+
+    ``ended`` engines were crashed by ``sends`` attempts of such prompts; hosts
+    quarantined ``held_others`` other prompts.
+    """
 
     ended: int = 0
     sends: int = 0
     held_others: int = 0
 
 
-class PlayResult(msgspec.Struct, frozen=True):
-    """One play; ``worth`` is the share of what was to be had."""
+class SimulationResult(msgspec.Struct, frozen=True):
+    """Results of one simulation; ``worth`` is a fraction of the achievable worth.
+
+    ``again_tokens`` are prefix tokens that were prefilled since they were not cached.
+    """
 
     worth: float
     worst_kind: float
@@ -61,23 +74,26 @@
 
 
 WINDOW_SECONDS = 2.0
-# The share of windows that counts as the worst.
-WORST_SHARE = 0.1
+# The fraction of windows that ``worst_seconds`` averages.
+WORST_FRACTION = 0.1
 
 
 def summarize(
-    ends: list[PromptEnd], again_tokens: int, crashes: CrashCount | None = None
-) -> PlayResult:
-    """Return the result of a play's prompts."""
+    outcomes: list[PromptOutcome], again_tokens: int, crashes: CrashCount | None = None
+) -> SimulationResult:
+    """Return the results over a simulation's prompts."""
     crashes = crashes or CrashCount()
-    kinds = {end.kind.name: end.kind for end in ends}
-    by_kind = [[end for end in ends if end.kind.name == name] for name in sorted(kinds)]
-    return PlayResult(
-        worth=share_of_worth(ends),
-        worst_kind=min((share_of_worth(group) for group in by_kind), default=0.0),
-        worst_seconds=_worst_seconds(ends),
-        refused=sum(end.refused for end in ends),
-        failed=sum(not end.complete for end in ends),
+    kinds = {outcome.kind.name: outcome.kind for outcome in outcomes}
+    by_kind = [
+        [outcome for outcome in outcomes if outcome.kind.name == name]
+        for name in sorted(kinds)
+    ]
+    return SimulationResult(
+        worth=relative_worth(outcomes),
+        worst_kind=min((relative_worth(group) for group in by_kind), default=0.0),
+        worst_seconds=_worst_seconds(outcomes),
+        refused=sum(outcome.refused for outcome in outcomes),
+        failed=sum(not outcome.complete for outcome in outcomes),
         again_tokens=again_tokens,
         kinds=tuple(_kind_result(group) for group in by_kind),
         ended=crashes.ended,
@@ -86,35 +102,42 @@
     )
 
 
-def share_of_worth(ends: list[PromptEnd]) -> float:
-    """Return the worth of prompts as a share of what was to be had."""
-    most = sum(end.kind.worth for end in ends)
-    return sum(end.worth for end in ends) / most if most else 0.0
+def relative_worth(outcomes: list[PromptOutcome]) -> float:
+    """Return the worth of prompts as a fraction of the achievable worth."""
+    achievable = sum(outcome.kind.worth for outcome in outcomes)
+    return (
+        sum(outcome.worth for outcome in outcomes) / achievable if achievable else 0.0
+    )
 
 
-def _worst_seconds(ends: list[PromptEnd]) -> float:
-    windows: dict[int, list[PromptEnd]] = {}
-    for end in ends:
-        windows.setdefault(int(end.at / WINDOW_SECONDS), []).append(end)
-    shares = sorted(share_of_worth(group) for group in windows.values())
-    worst = shares[: max(1, round(WORST_SHARE * len(shares)))]
+def _worst_seconds(outcomes: list[PromptOutcome]) -> float:
+    windows: dict[int, list[PromptOutcome]] = {}
+    for outcome in outcomes:
+        windows.setdefault(int(outcome.at / WINDOW_SECONDS), []).append(outcome)
+    worths = sorted(relative_worth(group) for group in windows.values())
+    worst = worths[: max(1, round(WORST_FRACTION * len(worths)))]
     return sum(worst) / len(worst) if worst else 0.0
 
 
-def _kind_result(ends: list[PromptEnd]) -> KindResult:
-    firsts = sorted(end.first for end in ends if end.first is not None)
+def _kind_result(outcomes: list[PromptOutcome]) -> KindResult:
+    first_event_seconds = sorted(
+        outcome.first_event_seconds
+        for outcome in outcomes
+        if outcome.first_event_seconds is not None
+    )
     return KindResult(
-        kind=ends[0].kind.name,
-        prompts=len(ends),
-        first_p50=quantile(firsts, 0.5),
-        first_p95=quantile(firsts, 0.95),
-        on_time=sum(end.worth == end.kind.worth for end in ends) / len(ends),
-        failed=sum(not end.complete for end in ends),
+        kind=outcomes[0].kind.name,
+        prompts=len(outcomes),
+        first_p50=quantile(first_event_seconds, 0.5),
+        first_p95=quantile(first_event_seconds, 0.95),
+        on_time=sum(outcome.worth == outcome.kind.worth for outcome in outcomes)
+        / len(outcomes),
+        failed=sum(not outcome.complete for outcome in outcomes),
     )
 
 
-def quantile(values: list[float], share: float) -> float:
-    """Return the value below which ``share`` of sorted ``values`` lie."""
+def quantile(values: list[float], fraction: float) -> float:
+    """Return the value below which ``fraction`` of the sorted ``values`` lie."""
     if not values:
         return 0.0
-    return values[min(len(values) - 1, int(share * len(values)))]
+    return values[min(len(values) - 1, int(fraction * len(values)))]
--- a/berylshift/model/traffic.py
+++ b/berylshift/model/traffic.py
@@ -1,4 +1,4 @@
-"""Prompts as callers send them: waves, bursts and swings between kinds."""
+"""Simulated arrivals: rate oscillations, bursts and shifts between prompt kinds."""
 
 import math
 import random
@@ -8,164 +8,171 @@
 
 from berylshift.ids import Fingerprint, PartId
 from berylshift.messages.routed import Prompt, PromptBlock
-from berylshift.model.parameters import KindFigures, PartFigures, SiteFigures
+from berylshift.model.parameters import KindParameters, SiteParameters, SizeDistribution
 
 OUTPUT_TOKENS = 80
 BISECTIONS = 40
-LEAST_EVENTS = 4
+MIN_EVENTS = 4
 
 
 class Arrival(msgspec.Struct, frozen=True):
-    """A prompt that reaches ``host`` at a time; its answer has ``events`` events.
+    """A prompt that reaches ``host``; its response has ``event_count`` events.
 
-    One that ``crashes`` ends each engine that begins to answer it.
+    One that ``crashes`` crashes each engine that starts to decode it.
     """
 
     at: float
-    kind: KindFigures
+    kind: KindParameters
     prompt: Prompt
-    events: int
+    event_count: int
     host: int
     crashes: bool = False
 
     @property
     def fingerprint(self) -> Fingerprint:
-        """Return what all tries of the prompt share."""
-        own = self.prompt.blocks[-1].id
-        return Fingerprint(int(own, 16))
+        """Return the fingerprint that all attempts of the prompt share."""
+        suffix_id = self.prompt.blocks[-1].id
+        return Fingerprint(int(suffix_id, 16))
 
 
-class Crasher(msgspec.Struct, frozen=True):
-    """A caller that comes ``tries`` times with a prompt that ends engines."""
+class CrashingCaller(msgspec.Struct, frozen=True):
+    """A caller that sends a prompt that crashes engines ``attempts`` times."""
 
     at: float
-    pause: float
-    tries: int
+    interval_seconds: float
+    attempts: int
 
 
 class Burst(msgspec.Struct, frozen=True):
-    """``factor`` times the traffic of a kind, or of all, for some seconds."""
+    """A rate increase by ``factor`` for one kind, or for all, for some seconds."""
 
     at: float
     seconds: float
     factor: float
     kind: str = ""
 
-    def touches(self, time: float, kind: KindFigures) -> bool:
-        """Return whether it changes the rate of a kind at a time."""
+    def applies_to(self, time: float, kind: KindParameters) -> bool:
+        """Return whether the burst changes the rate of a kind at a time."""
         if self.kind and self.kind != kind.name:
             return False
         return self.at <= time < self.at + self.seconds
 
 
 class Traffic:
-    """Makes the prompts of one play."""
+    """Generates the prompts of one simulation."""
 
-    def __init__(self, site: SiteFigures, rng: random.Random):
-        """Draw the shared parts' sizes once: they belong to the site."""
+    def __init__(self, site: SiteParameters, rng: random.Random):
+        """Start without block sizes: each is drawn once, as it belongs to the site."""
         self._site = site
         self._rng = rng
         self._sizes: dict[PartId, int] = {}
 
     def arrivals(self, seconds: float, bursts: tuple[Burst, ...]) -> list[Arrival]:
-        """Return the prompts of so many seconds, in order."""
+        """Return the arrivals within ``seconds``, in order of time."""
         found = []
         for kind in self._site.kinds:
-            found += self._of_kind(kind, seconds, bursts)
+            found += self._kind_arrivals(kind, seconds, bursts)
         return sorted(found, key=lambda arrival: arrival.at)
 
-    def of_crasher(self, crasher: Crasher) -> list[Arrival]:
-        """Return the tries of one prompt, of a random kind, each at any host."""
+    def crashing_arrivals(self, caller: CrashingCaller) -> list[Arrival]:
+        """Return the attempts of one prompt of a random kind, each at a random host."""
         kind = self._rng.choice(self._site.kinds)
         prompt = self._prompt(kind)
-        # Never so few that the answer is whole before it has ended its engine.
-        events = max(LEAST_EVENTS, int(self._draw(kind.events)))
+        # With fewer events the response could complete before it crashes its engine.
+        event_count = max(MIN_EVENTS, int(self._draw(kind.event_counts)))
         return [
             Arrival(
-                crasher.at + number * crasher.pause,
+                caller.at + number * caller.interval_seconds,
                 kind,
                 prompt,
-                events,
+                event_count,
                 self._rng.randrange(self._site.hosts),
                 True,
             )
-            for number in range(crasher.tries)
+            for number in range(caller.attempts)
         ]
 
-    def _of_kind(
-        self, kind: KindFigures, seconds: float, bursts: tuple[Burst, ...]
+    def _kind_arrivals(
+        self, kind: KindParameters, seconds: float, bursts: tuple[Burst, ...]
     ) -> list[Arrival]:
-        """Draw arrivals at the highest rate and keep the share that the time has."""
-        highest = 1 + self._site.swing
+        """Draw arrivals at the peak rate and thin them to the rate of each time."""
+        peak_factor = 1 + self._site.swing_fraction
         for burst in bursts:
-            highest *= max(1.0, burst.factor)
+            peak_factor *= max(1.0, burst.factor)
         found, time = [], 0.0
         while True:
-            time += self._rng.expovariate(kind.rate * highest)
+            time += self._rng.expovariate(kind.rate * peak_factor)
             if time >= seconds:
                 return found
             host = self._rng.randrange(self._site.hosts)
-            if self._rng.random() * highest < self._factor(kind, host, time, bursts):
-                events = max(1, int(self._draw(kind.events)))
-                found.append(Arrival(time, kind, self._prompt(kind), events, host))
-
-    def _factor(
-        self, kind: KindFigures, host: int, time: float, bursts: tuple[Burst, ...]
+            if self._rng.random() * peak_factor < self._rate_factor(
+                kind, host, time, bursts
+            ):
+                event_count = max(1, int(self._draw(kind.event_counts)))
+                found.append(Arrival(time, kind, self._prompt(kind), event_count, host))
+
+    def _rate_factor(
+        self, kind: KindParameters, host: int, time: float, bursts: tuple[Burst, ...]
     ) -> float:
         site = self._site
         phase = (host % site.domains) / site.domains
-        factor = 1 + site.swing * math.sin(2 * math.pi * (time / site.period + phase))
+        factor = 1 + site.swing_fraction * math.sin(
+            2 * math.pi * (time / site.swing_period_seconds + phase)
+        )
         for burst in bursts:
-            if burst.touches(time, kind):
+            if burst.applies_to(time, kind):
                 factor *= burst.factor
         return factor
 
-    def _prompt(self, kind: KindFigures) -> Prompt:
-        parts = [
-            self._shared(kind, place, part) for place, part in enumerate(kind.shared)
+    def _prompt(self, kind: KindParameters) -> Prompt:
+        blocks = [
+            self._prefix_block(kind, index, sizes)
+            for index, sizes in enumerate(kind.prefix_blocks)
         ]
-        own = max(1, round(self._draw(kind.own)))
+        suffix_tokens = max(1, round(self._draw(kind.suffix)))
         name = PartId(f"{self._rng.getrandbits(64):016x}")
-        parts.append(PromptBlock(name, own))
-        tokens = sum(part.tokens for part in parts)
-        return Prompt(tuple(parts), tokens, OUTPUT_TOKENS)
-
-    def _shared(self, kind: KindFigures, place: int, part: PartFigures) -> PromptBlock:
-        weights = [(number + 1) ** -part.skew for number in range(part.count)]
-        (number,) = self._rng.choices(range(part.count), weights)
-        name = PartId(f"{kind.name}-{place}-{number}")
+        blocks.append(PromptBlock(name, suffix_tokens))
+        tokens = sum(block.tokens for block in blocks)
+        return Prompt(tuple(blocks), tokens, OUTPUT_TOKENS)
+
+    def _prefix_block(
+        self, kind: KindParameters, index: int, sizes: SizeDistribution
+    ) -> PromptBlock:
+        weights = [(number + 1) ** -sizes.skew for number in range(sizes.count)]
+        (number,) = self._rng.choices(range(sizes.count), weights)
+        name = PartId(f"{kind.name}-{index}-{number}")
         size = self._sizes.get(name)
         if size is None:
-            size = self._sizes[name] = max(1, round(self._draw(part)))
+            size = self._sizes[name] = max(1, round(self._draw(sizes)))
         return PromptBlock(name, size)
 
-    def _draw(self, part: PartFigures) -> float:
-        """Draw a size of the mean, spread and bound given, log-normally."""
-        if not part.spread:
-            return part.mean
-        middle = _middle(part.mean, part.spread, part.most)
-        return min(part.most, self._rng.lognormvariate(middle, part.spread))
+    def _draw(self, sizes: SizeDistribution) -> float:
+        """Draw a log-normal size, clipped at the maximum."""
+        if not sizes.sigma:
+            return sizes.mean
+        log_median = _log_median(sizes.mean, sizes.sigma, sizes.maximum)
+        return min(sizes.maximum, self._rng.lognormvariate(log_median, sizes.sigma))
 
 
 @lru_cache
-def _middle(mean: float, spread: float, most: float) -> float:
-    """Return the logarithm of the median that gives ``mean`` once sizes are cut."""
-    low, high = math.log(mean) - spread**2 / 2, math.log(mean)
+def _log_median(mean: float, sigma: float, maximum: float) -> float:
+    """Return the log of the median whose clipped distribution has ``mean``."""
+    low, high = math.log(mean) - sigma**2 / 2, math.log(mean)
     for _ in range(BISECTIONS):
-        middle = (low + high) / 2
-        if _cut_mean(middle, spread, most) < mean:
-            low = middle
+        log_median = (low + high) / 2
+        if _clipped_mean(log_median, sigma, maximum) < mean:
+            low = log_median
         else:
-            high = middle
+            high = log_median
     return (low + high) / 2
 
 
-def _cut_mean(middle: float, spread: float, most: float) -> float:
-    """Return the mean of log-normal sizes of which none counts over ``most``."""
-    far = (math.log(most) - middle) / spread
-    below = math.exp(middle + spread**2 / 2) * _normal(far - spread)
-    return below + most * (1 - _normal(far))
+def _clipped_mean(log_median: float, sigma: float, maximum: float) -> float:
+    """Return the mean of a log-normal distribution clipped at ``maximum``."""
+    bound = (math.log(maximum) - log_median) / sigma
+    below = math.exp(log_median + sigma**2 / 2) * _normal_cdf(bound - sigma)
+    return below + maximum * (1 - _normal_cdf(bound))
 
 
-def _normal(value: float) -> float:
+def _normal_cdf(value: float) -> float:
     return (1 + math.erf(value / math.sqrt(2))) / 2
--- a/berylshift/tests/test_model_engine.py
+++ b/berylshift/tests/test_model_engine.py
@@ -1,4 +1,4 @@
-"""The modelled engine keeps to its figures."""
+"""The simulated engine has the timing that its parameters give."""
 
 import unittest
 
@@ -8,78 +8,85 @@
 from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.model.engine import ModelEngine, Stream
 from berylshift.model.event_queue import EventQueue
-from berylshift.model.parameters import EngineFigures
-from berylshift.model.prefix_block_cache import KeptParts
+from berylshift.model.parameters import EngineParameters
+from berylshift.model.prefix_block_cache import PrefixBlockCache
 
-FIGURES = EngineFigures(pair_seconds=0.0, read_latency=0.0, move_setup=0.0)
+PARAMETERS = EngineParameters(
+    attention_pair_seconds=0.0,
+    prefill_latency_seconds=0.0,
+    kv_transfer_setup_seconds=0.0,
+)
 
 
-def prompt(part: str, shared: int = 4000, own: int = 2140) -> Prompt:
-    """Return a prompt of 6,140 tokens, read in 0.1 s where nothing is kept."""
-    parts = (PromptBlock(part, shared), PromptBlock(f"own-{part}", own))
-    return Prompt(parts, shared + own, 80)
+def prompt(block: str, prefix_tokens: int = 4000, suffix_tokens: int = 2140) -> Prompt:
+    """Return a prompt of 6,140 tokens, prefilled in 0.1 s when nothing is cached."""
+    blocks = (
+        PromptBlock(block, prefix_tokens),
+        PromptBlock(f"own-{block}", suffix_tokens),
+    )
+    return Prompt(blocks, prefix_tokens + suffix_tokens, 80)
 
 
-def engine(queue: EventQueue, phase: EnginePhase, figures=FIGURES) -> ModelEngine:
+def engine(queue: EventQueue, phase: EnginePhase, parameters=PARAMETERS) -> ModelEngine:
     """Return an idle engine."""
-    replica = Replica("i", "s", "10.0.0.1:80", "d1", figures.slots, False, phase)
-    return ModelEngine(queue, figures, replica)
+    replica = Replica("i", "s", "10.0.0.1:80", "d1", parameters.slots, False, phase)
+    return ModelEngine(queue, parameters, replica)
 
 
 class EventQueueTest(unittest.TestCase):
-    """Calls come in the order of their times."""
+    """Callbacks run in the order of their times."""
 
     def test_order(self):
         queue, seen = EventQueue(), []
-        queue.at(2.0, lambda: seen.append("late"))
-        queue.at(1.0, lambda: seen.append("early"))
-        queue.at(1.0, lambda: seen.append("early too"))
+        queue.call_at(2.0, lambda: seen.append("late"))
+        queue.call_at(1.0, lambda: seen.append("early"))
+        queue.call_at(1.0, lambda: seen.append("early too"))
         queue.run(1.5)
         self.assertEqual(seen, ["early", "early too"])
         self.assertEqual(queue.monotonic(), 1.5)
 
-    def test_a_call_may_plan_another(self):
+    def test_callback_may_schedule_another(self):
         queue, seen = EventQueue(), []
-        queue.after(1.0, lambda: queue.after(1.0, lambda: seen.append(1)))
+        queue.call_after(1.0, lambda: queue.call_after(1.0, lambda: seen.append(1)))
         queue.run(2.0)
         self.assertEqual(seen, [1])
 
 
-class ReadingTest(unittest.TestCase):
-    """Prompts at an engine that reads."""
+class PrefillTest(unittest.TestCase):
+    """Prompts at a prefill engine."""
 
     def setUp(self):
         self.queue = EventQueue()
         self.engine = engine(self.queue, EnginePhase.PREFILL)
         self.ends: list[tuple[str, float, bool]] = []
 
-    def read(self, of: Prompt, rank: int = 1) -> None:
-        name = of.blocks[0].id
+    def prefill(self, submitted: Prompt, rank: int = 1) -> None:
+        name = submitted.blocks[0].id
 
-        def done(good: bool) -> None:
-            self.ends.append((name, round(self.queue.monotonic(), 3), good))
+        def on_done(succeeded: bool) -> None:
+            self.ends.append((name, round(self.queue.monotonic(), 3), succeeded))
 
-        self.engine.read(of, rank, done)
+        self.engine.prefill(submitted, rank, on_done)
 
-    def test_kept_parts_are_not_read_again(self):
-        self.read(prompt("a"))
+    def test_cached_prefix_blocks_are_not_prefilled_again(self):
+        self.prefill(prompt("a"))
         self.queue.run(1.0)
-        self.read(prompt("a"))
+        self.prefill(prompt("a"))
         self.queue.run(2.0)
         self.assertEqual(self.ends, [("a", 0.1, True), ("a", 1.035, True)])
         self.assertEqual(self.engine.again_tokens, 4000)
 
-    def test_the_more_urgent_begins_first(self):
+    def test_more_urgent_prompt_is_prefilled_first(self):
         for name, rank in (("first", 2), ("patient", 2), ("urgent", 0)):
-            self.read(prompt(name), rank)
+            self.prefill(prompt(name), rank)
         self.queue.run(1.0)
         self.assertEqual([name for name, _, _ in self.ends[1:]], ["urgent", "patient"])
 
-    def test_a_crash_fails_what_is_under_way_and_forgets_what_was_kept(self):
-        self.read(prompt("a"))
+    def test_crash_fails_running_prefills_and_clears_the_cache(self):
+        self.prefill(prompt("a"))
         self.queue.run(1.0)
-        self.read(prompt("b"))
-        self.read(prompt("c"))
+        self.prefill(prompt("b"))
+        self.prefill(prompt("c"))
         self.queue.run(1.05)
         self.engine.crash()
         self.queue.run(2.0)
@@ -90,22 +97,22 @@
                 ("c", 1.05, False),
             },
         )
-        self.assertEqual(self.engine.kept.begins(prompt("a")), 0)
+        self.assertEqual(self.engine.cache.cached_prefix_tokens(prompt("a")), 0)
 
-    def test_a_slow_engine_takes_longer(self):
-        self.engine.slowness = 4.0
-        self.read(prompt("a"))
+    def test_slow_engine_takes_longer(self):
+        self.engine.slowdown = 4.0
+        self.prefill(prompt("a"))
         self.queue.run(1.0)
         self.assertEqual(self.ends, [("a", 0.4, True)])
 
 
-class AnsweringTest(unittest.TestCase):
-    """Streams at an engine that answers."""
+class DecodeTest(unittest.TestCase):
+    """Streams at a decode engine."""
 
     def setUp(self):
         self.queue = EventQueue()
-        figures = msgspec.structs.replace(FIGURES, slots=2)
-        self.engine = engine(self.queue, EnginePhase.DECODE, figures)
+        parameters = msgspec.structs.replace(PARAMETERS, slots=2)
+        self.engine = engine(self.queue, EnginePhase.DECODE, parameters)
         self.events: list[float] = []
         self.ends: list[float] = []
 
@@ -114,11 +121,11 @@
             prompt("a"),
             events,
             lambda: self.events.append(self.queue.monotonic()),
-            lambda good: self.ends.append(self.queue.monotonic()),
+            lambda succeeded: self.ends.append(self.queue.monotonic()),
         )
 
-    def test_each_event_takes_so_many_steps(self):
-        self.engine.answer(self.stream(3), self.engine.replica, 1)
+    def test_each_event_takes_tokens_per_event_steps(self):
+        self.engine.decode(self.stream(3), self.engine.replica, 1)
         self.queue.run(5.0)
         self.assertEqual(len(self.events), 3)
         step = 0.00455 + 0.000181 + 6140 * 3.66e-9
@@ -126,32 +133,34 @@
 
     def test_a_third_stream_waits_for_a_slot(self):
         for _ in range(3):
-            self.engine.answer(self.stream(2), self.engine.replica, 1)
+            self.engine.decode(self.stream(2), self.engine.replica, 1)
         self.queue.run(0.02)
         self.assertEqual(self.engine.report().waiting, 1)
         self.queue.run(5.0)
         self.assertEqual(len(self.ends), 3)
 
-    def test_moves_over_one_link_follow_each_other(self):
-        slow = msgspec.structs.replace(FIGURES, link_bits=6140 * 35_136 * 8 / 0.5)
+    def test_kv_transfers_over_one_link_are_serialized(self):
+        slow = msgspec.structs.replace(
+            PARAMETERS, link_bits_per_second=6140 * 35_136 * 8 / 0.5
+        )
         self.engine = engine(self.queue, EnginePhase.DECODE, slow)
         for _ in range(2):
-            self.engine.answer(self.stream(1), self.engine.replica, 1)
+            self.engine.decode(self.stream(1), self.engine.replica, 1)
         self.queue.run(5.0)
         self.assertAlmostEqual(self.ends[1] - self.ends[0], 0.5, delta=0.02)
 
 
-class KeptTest(unittest.TestCase):
-    """What an engine's memory holds."""
+class PrefixBlockCacheTest(unittest.TestCase):
+    """Prefix blocks cached in an engine's memory."""
 
-    def test_the_least_lately_used_go(self):
-        kept = KeptParts(9000)
+    def test_least_recently_used_blocks_are_evicted(self):
+        cache = PrefixBlockCache(9000)
         for name in ("a", "b"):
-            kept.hold(prompt(name))
-        kept.hold(prompt("a"))
-        kept.hold(prompt("c"))
-        self.assertEqual(kept.begins(prompt("a")), 4000)
-        self.assertEqual(kept.begins(prompt("b")), 0)
+            cache.store(prompt(name))
+        cache.store(prompt("a"))
+        cache.store(prompt("c"))
+        self.assertEqual(cache.cached_prefix_tokens(prompt("a")), 4000)
+        self.assertEqual(cache.cached_prefix_tokens(prompt("b")), 0)
 
 
 if __name__ == "__main__":
--- a/berylshift/tests/test_model_fleet.py
+++ b/berylshift/tests/test_model_fleet.py
@@ -1,4 +1,4 @@
-"""Plays of the whole model: traffic, faults, and who serves callers better."""
+"""Simulations of the whole fleet: traffic, faults, and which policy serves better."""
 
 import random
 import unittest
@@ -7,32 +7,32 @@
 from cleo.testers.command_tester import CommandTester
 
 from berylshift.model.days import DAYS
-from berylshift.model.experiment import NoSuchSettingError, vary
-from berylshift.model.fleet import Fault, PlaySpec, play
-from berylshift.model.parameters import CONSORCIO, NESTWATCH, SITES, SiteFigures
-from berylshift.model.result import PromptEnd, summarize
+from berylshift.model.experiment import UnknownSettingError, vary
+from berylshift.model.fleet import EngineFault, SimulationSpec, simulate
+from berylshift.model.parameters import CONSORCIO, NESTWATCH, SITES, SiteParameters
+from berylshift.model.result import PromptOutcome, summarize
 from berylshift.model.traffic import Burst, Traffic
 from berylshift.request import placement
 from berylshift.tools.experiment_command import ExperimentCommand
 
-SHORT = PlaySpec(site=NESTWATCH, seconds=8.0)
+SHORT = SimulationSpec(site=NESTWATCH, seconds=8.0)
 
 
 class TrafficTest(unittest.TestCase):
-    """The prompts of a play."""
+    """The prompts of a simulation."""
 
     def arrivals(self, *bursts: Burst, seconds: float = 120.0):
         return Traffic(NESTWATCH, random.Random(1)).arrivals(seconds, bursts)
 
-    def test_rates_and_sizes_are_those_of_the_sheet(self):
+    def test_rates_and_sizes_match_the_parameters(self):
         found = self.arrivals()
         for kind in NESTWATCH.kinds:
             with self.subTest(kind=kind.name):
                 prompts = [a.prompt for a in found if a.kind is kind]
                 self.assertAlmostEqual(len(prompts) / 120 / kind.rate, 1, delta=0.1)
-                own = [prompt.blocks[-1].tokens for prompt in prompts]
-                mean = sum(own) / len(own)
-                self.assertAlmostEqual(mean / kind.own.mean, 1, delta=0.15)
+                suffix_tokens = [prompt.blocks[-1].tokens for prompt in prompts]
+                mean = sum(suffix_tokens) / len(suffix_tokens)
+                self.assertAlmostEqual(mean / kind.suffix.mean, 1, delta=0.15)
 
     def test_a_burst_multiplies_one_kind(self):
         kind = NESTWATCH.kinds[0]
@@ -44,50 +44,53 @@
         self.assertAlmostEqual(halves[0] / halves[1], 3, delta=0.4)
 
 
-class PlayTest(unittest.TestCase):
-    """Whole plays."""
+class SimulationTest(unittest.TestCase):
+    """Whole simulations."""
 
-    def test_the_same_seed_gives_the_same_play(self):
-        self.assertEqual(play(SHORT), play(SHORT))
+    def test_same_seed_gives_the_same_result(self):
+        self.assertEqual(simulate(SHORT), simulate(SHORT))
 
     def test_every_prompt_ends_once(self):
         for name, make in DAYS.items():
             with self.subTest(day=name):
                 spec = msgspec.structs.replace(make(NESTWATCH), seconds=10.0)
-                result = play(spec)
+                result = simulate(spec)
                 prompts = sum(kind.prompts for kind in result.kinds)
                 traffic = Traffic(NESTWATCH, random.Random(spec.seed))
                 self.assertGreater(prompts, 0.6 * len(traffic.arrivals(10.0, ())))
 
-    def test_a_crash_costs_what_was_under_way_and_no_more(self):
-        calm = play(SHORT)
-        crash = play(msgspec.structs.replace(SHORT, faults=(Fault(3.0, 1, 3.0),)))
+    def test_crash_costs_only_running_requests(self):
+        calm = simulate(SHORT)
+        crash = simulate(
+            msgspec.structs.replace(SHORT, faults=(EngineFault(3.0, 1, 3.0),))
+        )
         self.assertLess(crash.failed - calm.failed, 40)
         self.assertGreater(crash.worth, 0.6)
 
-    def test_placings_rank_as_on_played_days(self):
-        # On played days of both users ours serves callers best, then the placement
-        # without homes; those that know neither prefixes nor queues come last.
+    def test_placement_policies_rank_as_on_full_runs(self):
+        # On full runs of both users' days, the default policy serves callers best, then
+        # the one without home engines; policies that know neither prefixes nor queues
+        # come last.
         for site in (NESTWATCH, CONSORCIO):
             with self.subTest(site=site.name):
-                worth = self.worths_by_placing(site)
+                worth = self.worth_by_policy(site)
                 self.assertGreater(worth["warm"], worth["no-homes"])
                 self.assertGreater(worth["no-homes"], worth["least-reported"])
                 self.assertGreater(worth["no-homes"], worth["round-robin"])
 
-    def test_placings_without_queues_come_last_on_every_site(self):
-        """Guards against a model in which it does not matter where prompts go."""
+    def test_policies_without_queue_data_come_last_on_every_site(self):
+        """Guards against a simulation in which placement has no effect."""
         for site in SITES.values():
             with self.subTest(site=site.name):
-                worth = self.worths_by_placing(site)
+                worth = self.worth_by_policy(site)
                 for placing in ("warm", "no-homes"):
                     self.assertGreater(worth[placing], worth["least-reported"])
                     self.assertGreater(worth[placing], worth["round-robin"])
 
-    def worths_by_placing(self, site: SiteFigures) -> dict[str, float]:
-        """Return the worth of twelve calm seconds by placing."""
+    def worth_by_policy(self, site: SiteParameters) -> dict[str, float]:
+        """Return the worth of twelve calm seconds by placement policy."""
         rows = vary(
-            PlaySpec(site=site, seconds=12.0),
+            SimulationSpec(site=site, seconds=12.0),
             "placing",
             ["warm", "no-homes", "least-reported", "round-robin"],
             seeds=1,
@@ -96,85 +99,89 @@
 
 
 class HeavyDayTest(unittest.TestCase):
-    """What callers get on heavy days, by what the placement goes by."""
+    """Worth on heavy days, by settings of the placement."""
 
     def worths(self, day: str, name: str, *values: str, seeds: int = 2) -> list[float]:
         rows = vary(DAYS[day](NESTWATCH), name, list(values), seeds)
         return [row.worth for row in rows]
 
-    def test_prompts_under_way_count_for_urgent_ones(self):
+    def test_prefills_in_progress_count_for_urgent_prompts(self):
         without, with_it = self.worths("swings", "BEGUN_TOKENS", "0", "8000", seeds=6)
         self.assertGreater(with_it, without)
 
-    def test_prompts_that_can_be_on_time_go_before_those_that_cannot(self):
-        # The mix swings, a rush comes, an engine crashes. Read in the order in which
-        # they came, all prompts of a rush wait alike, and nearly all of them are late.
-        alike, apart = self.worths("heavy", "ON_TIME_SHARE", "1000", "0.75", seeds=4)
-        self.assertGreater(apart, alike)
+    def test_prompts_that_can_be_on_time_are_prefilled_first(self):
+        # The mix shifts, a burst comes, and an engine crashes. In FIFO order all
+        # prompts of the burst wait equally long, and nearly all of them are late.
+        in_order, by_status = self.worths(
+            "heavy", "ON_TIME_SHARE", "1000", "0.75", seeds=4
+        )
+        self.assertGreater(by_status, in_order)
 
-    def test_shared_parts_are_read_anew_where_queues_are_long(self):
-        clings, spreads = self.worths("heavy", "SHARED_WEIGHT", "8", "1.5")
-        self.assertGreater(spreads, clings)
+    def test_prefix_blocks_are_recomputed_where_queues_are_long(self):
+        concentrated, spread = self.worths("heavy", "SHARED_WEIGHT", "8", "1.5")
+        self.assertGreater(spread, concentrated)
 
 
-class CrasherDayTest(unittest.TestCase):
-    """Two callers' prompts end engines, beside swings and the loss of a domain.
+class CrashingCallerDayTest(unittest.TestCase):
+    """Two callers' prompts crash engines, during mix shifts and the loss of a domain.
 
-    Each comes again and again. What counts is how many engines end, and how many other
-    callers are refused for having been beside it.
+    Each caller retries many times. The tests bound the engines that crash, and the
+    other callers that are refused because they ran on an engine that crashed.
     """
 
-    # Of other callers' prompts, the share that may be held back.
-    MOST_HELD = 0.01
+    # Fraction of other callers' prompts that may be quarantined.
+    MAX_QUARANTINED_FRACTION = 0.01
 
-    def plays(self, holds_back: bool):
+    def results(self, holds_back: bool):
         day = DAYS["crashers"](NESTWATCH)
         return [
-            play(msgspec.structs.replace(day, seed=seed, holds_back=holds_back))
+            simulate(msgspec.structs.replace(day, seed=seed, holds_back=holds_back))
             for seed in range(1, 4)
         ]
 
-    def test_each_ends_three_engines_at_most_and_others_are_served(self):
+    def test_each_caller_crashes_three_engines_at_most(self):
         callers = len(DAYS["crashers"](NESTWATCH).crashers)
-        for result in self.plays(holds_back=True):
+        for result in self.results(holds_back=True):
             prompts = sum(kind.prompts for kind in result.kinds)
             self.assertGreater(result.ended, 0)
             self.assertLessEqual(result.ended, 3 * callers)
-            self.assertLessEqual(result.held_others, self.MOST_HELD * prompts)
+            self.assertLessEqual(
+                result.held_others, self.MAX_QUARANTINED_FRACTION * prompts
+            )
 
-    def test_callers_are_served_better(self):
-        held = [result.worth for result in self.plays(holds_back=True)]
-        sent = [result.worth for result in self.plays(holds_back=False)]
-        self.assertGreater(min(held), 2 * max(sent))
+    def test_quarantine_raises_worth(self):
+        quarantined = [result.worth for result in self.results(holds_back=True)]
+        unprotected = [result.worth for result in self.results(holds_back=False)]
+        self.assertGreater(min(quarantined), 2 * max(unprotected))
 
 
 class ResultTest(unittest.TestCase):
-    """What a play is worth."""
+    """The worth of a simulation's prompts."""
 
-    def test_late_answers_are_worth_less_and_missing_ones_nothing(self):
+    def test_late_responses_are_worth_less_and_missing_ones_nothing(self):
         kind = NESTWATCH.kinds[0]
         ends = [
-            PromptEnd(kind, 0.0, 0.5, 0.1, True),
-            PromptEnd(kind, 0.0, 0.9, 0.1, True),
-            PromptEnd(kind, 0.0, 0.5, 0.4, True),
-            PromptEnd(kind, 0.0, 0.5, 0.1, False),
+            PromptOutcome(kind, 0.0, 0.5, 0.1, True),
+            PromptOutcome(kind, 0.0, 0.9, 0.1, True),
+            PromptOutcome(kind, 0.0, 0.5, 0.4, True),
+            PromptOutcome(kind, 0.0, 0.5, 0.1, False),
         ]
         worth = (1.9 + 0.58 + 0.58) / (4 * 1.9)
         self.assertAlmostEqual(summarize(ends, 0).worth, worth)
 
 
 class ExperimentTest(unittest.TestCase):
-    """One thing varies, all else stays."""
+    """One setting varies over seeds."""
 
-    def test_a_constant_is_put_back(self):
+    def test_constant_is_restored(self):
         former = placement.SHARED_WEIGHT
         rows = vary(SHORT, "SHARED_WEIGHT", ["0", "8"], 1)
         self.assertEqual(placement.SHARED_WEIGHT, former)
         self.assertNotEqual(rows[0].worth, rows[1].worth)
 
-    def test_unknown_names_are_said(self):
+    def test_unknown_names_are_rejected(self):
         for name in ("nothing", "NOTHING", "Placer"):
-            with self.subTest(name=name), self.assertRaises(NoSuchSettingError):
+            with self.subTest(name=name), self.assertRaises(UnknownSettingError):
                 vary(SHORT, name, ["1"], 1)
 
     def test_command(self):
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -6,8 +6,8 @@
 from cleo.ui.progress_bar import ProgressBar
 
 from berylshift.model.days import DAYS
-from berylshift.model.experiment import NoSuchSettingError, Row, vary
-from berylshift.model.fleet import ModelFleet, PlaySpec
+from berylshift.model.experiment import Row, UnknownSettingError, vary
+from berylshift.model.fleet import ModelFleet, SimulationSpec
 from berylshift.model.parameters import SITES
 from berylshift.model.plots import plot_day, plot_rows
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
@@ -47,7 +47,7 @@
         spec = DAYS[self.option("day")](SITES[self.option("site")])
         try:
             rows = self._rows(spec, name, values.split(","))
-        except (NoSuchSettingError, ValueError) as exc:
+        except (UnknownSettingError, ValueError) as exc:
             self.line_error(f"<error>{exc}</error>")
             return Exit.BAD_INPUT
         self._print(name, rows)
@@ -69,7 +69,7 @@
             return "--vary: NAME=VALUE,VALUE"
         return ""
 
-    def _rows(self, spec: PlaySpec, name: str, values: list[str]) -> list[Row]:
+    def _rows(self, spec: SimulationSpec, name: str, values: list[str]) -> list[Row]:
         bar = ProgressBar(self.io.error_output, len(values))
         bar.start()
         rows = []
@@ -91,12 +91,12 @@
         table.set_rows([[_cell(getattr(row, each)) for each in fields] for row in rows])
         table.render()
 
-    def _plot_day(self, spec: PlaySpec) -> None:
+    def _plot_day(self, spec: SimulationSpec) -> None:
         plays = {}
         for name in PLACEMENT_POLICIES:
             fleet = ModelFleet(msgspec.structs.replace(spec, placing=name))
-            fleet.play()
-            plays[name] = fleet.ends
+            fleet.run()
+            plays[name] = fleet.outcomes
         title = f"{self.option('day')} day of {spec.site.name}: worth by time"
         plot_day(self.option("plot-day"), title, plays)
 
