--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -1,28 +1,41 @@
 """Replays on a virtual clock, with callers, events and counts in one process."""
 
-import trio
-import trio.testing
-
-from berylshift.ids import ChangeId, CustomerName, FleetName, WorkName
+from berylshift.ids import ChangeId
+from berylshift.ids import CustomerName
+from berylshift.ids import FleetName
+from berylshift.ids import WorkName
 from berylshift.replay.determinism import seed_scheduler
-from berylshift.replay.result import CallerOutcome, ReplayResult, RequestResult
-from berylshift.replay.runner import Progress, TargetCounts, replay_trace
-from berylshift.replay.trace import EventKind, Kind, Trace, TraceEvent, TraceRequest
-from berylshift.replay.virtual_fleet import (
-    STORE,
-    FleetSpec,
-    HostDownError,
-    VirtualHost,
-    VirtualWorld,
-    find_row,
-    trace_rows,
-    with_cell,
-)
-from berylshift.request.messages import Caller, ModelCall, Outcome, PlainCall
+from berylshift.replay.result import CallerOutcome
+from berylshift.replay.result import ReplayResult
+from berylshift.replay.result import RequestResult
+from berylshift.replay.runner import Progress
+from berylshift.replay.runner import TargetCounts
+from berylshift.replay.runner import replay_trace
+from berylshift.replay.trace import EventKind
+from berylshift.replay.trace import Kind
+from berylshift.replay.trace import Trace
+from berylshift.replay.trace import TraceEvent
+from berylshift.replay.trace import TraceRequest
+from berylshift.replay.virtual_fleet import FleetSpec
+from berylshift.replay.virtual_fleet import HostDownError
+from berylshift.replay.virtual_fleet import STORE
+from berylshift.replay.virtual_fleet import VirtualHost
+from berylshift.replay.virtual_fleet import VirtualWorld
+from berylshift.replay.virtual_fleet import find_row
+from berylshift.replay.virtual_fleet import trace_rows
+from berylshift.replay.virtual_fleet import with_cell
+from berylshift.request.messages import Caller
+from berylshift.request.messages import ModelCall
+from berylshift.request.messages import Outcome
+from berylshift.request.messages import PlainCall
 from berylshift.stand_ins.fake_service import service_echo
-from berylshift.stand_ins.text import completion_text, make_prompt
+from berylshift.stand_ins.text import completion_text
+from berylshift.stand_ins.text import make_prompt
 from berylshift.version.diff import Edit
-from berylshift.version.rows import Row, RowKind
+from berylshift.version.rows import Row
+from berylshift.version.rows import RowKind
+import trio
+import trio.testing
 
 MAX_ATTEMPTS = 4
 RETRY_PAUSE_SECONDS = 0.2
@@ -84,8 +97,8 @@
         self, number: int, request: TraceRequest, start: float, deadline: float
     ) -> RequestResult:
         host = self._pick()
-        await trio.sleep(self.world.network.latency)
-        await self.world.network.awake(host.name)
+        await trio.sleep(self.world.network.latency_seconds)
+        await self.world.network.wait_resumed(host.name)
         with host.call() as app:
             caller = Caller(CustomerName(request.customer), FleetName(request.fleet))
             if request.kind is Kind.MODEL:
@@ -113,7 +126,7 @@
         )
         sink = _TextSink()
         ending = await app.handler.complete(call, sink)
-        await self.world.network.awake(app.cfg.host.name)
+        await self.world.network.wait_resumed(app.cfg.host.name)
         outcome = CALLER_OUTCOMES[ending.outcome]
         expected_text = completion_text(prompt, request.output_tokens)
         if outcome is CallerOutcome.COMPLETE and "".join(sink.texts) != expected_text:
@@ -144,7 +157,7 @@
             key="" if request.idempotent else str(number),
         )
         response = await app.handler.call_service(call)
-        await self.world.network.awake(app.cfg.host.name)
+        await self.world.network.wait_resumed(app.cfg.host.name)
         outcome = CALLER_OUTCOMES[response.ending.outcome]
         if (
             outcome is CallerOutcome.COMPLETE
@@ -184,7 +197,7 @@
         peers = [event.to] if event.to else [STORE, *world.hosts, *world.engines]
         for peer in peers:
             if peer == STORE and event.who in world.store_links:
-                world.store_links[event.who].cut = cut
+                world.store_links[event.who].is_unreachable = cut
             elif cut:
                 world.network.cut(event.who, peer)
             else:
--- a/berylshift/tests/test_platform_batch.py
+++ b/berylshift/tests/test_platform_batch.py
@@ -1,27 +1,21 @@
 """Batched writes, and the platform's stand-in."""
 
-import random
-
-import trio
-
 from berylshift.clock import LoopClock
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.stand_ins.fake_platform import (
-    FakePlatform,
-    MemoryPlatform,
-    PlatformScript,
-)
+from berylshift.stand_ins.fake_platform import FakePlatform
+from berylshift.stand_ins.fake_platform import MemoryPlatform
+from berylshift.stand_ins.fake_platform import PlatformScript
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import (
-    ABSENT,
-    Condition,
-    ResponseLostError,
-    StoreThrottledError,
-    Transaction,
-    Write,
-    as_raw,
-)
+from berylshift.store.interfaces import ABSENT
+from berylshift.store.interfaces import Condition
+from berylshift.store.interfaces import ResponseLostError
+from berylshift.store.interfaces import StoreThrottledError
+from berylshift.store.interfaces import Transaction
+from berylshift.store.interfaces import Write
+from berylshift.store.interfaces import as_raw
 from berylshift.tests.support import VirtualTestCase
+import random
+import trio
 
 
 class BatchTest(VirtualTestCase):
@@ -127,12 +121,12 @@
         async def task():
             script = PlatformScript(weight_bytes_per_minute=20_000_000_000)
             fake = FakePlatform(LoopClock(), script)
-            fake.take_weights("m", "2")
-            fake.take_weights("m", "2")
+            fake.download_weights("m", "2")
+            fake.download_weights("m", "2")
             with self.assertRaises(StoreThrottledError):
-                fake.take_weights("m", "2")
+                fake.download_weights("m", "2")
             await trio.sleep(61)
-            return fake.take_weights("m", "2").bytes_left
+            return fake.download_weights("m", "2").bytes_left
 
         self.assertEqual(self.run_virtual(task), 20_000_000_000)
 
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -1,17 +1,20 @@
 """The command that runs the fleet simulation."""
 
-import msgspec
-from cleo.commands.command import Command
-from cleo.helpers import option
-from cleo.ui.progress_bar import ProgressBar
-
 from berylshift.model.days import DAYS
-from berylshift.model.experiment import NoSuchSettingError, Row, vary
-from berylshift.model.figures import SITES
-from berylshift.model.fleet import ModelFleet, PlaySpec
-from berylshift.model.plots import plot_day, plot_rows
+from berylshift.model.experiment import Row
+from berylshift.model.experiment import UnknownSettingError
+from berylshift.model.experiment import vary
+from berylshift.model.fleet import ModelFleet
+from berylshift.model.fleet import SimulationSpec
+from berylshift.model.parameters import SITES
+from berylshift.model.plots import plot_day
+from berylshift.model.plots import plot_rows
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.tools.session import Exit
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.ui.progress_bar import ProgressBar
+import msgspec
 
 PLACEMENT_SETTING = "placing"
 
@@ -58,7 +61,7 @@
         spec = DAYS[self.option("day")](SITES[self.option("site")])
         try:
             rows = self._rows(spec, name, values.split(","))
-        except (NoSuchSettingError, ValueError) as exc:
+        except (UnknownSettingError, ValueError) as exc:
             self.line_error(f"<error>{exc}</error>")
             return Exit.BAD_INPUT
         self._print(name, rows)
@@ -80,7 +83,7 @@
             return "--vary must have the form NAME=VALUE,VALUE"
         return ""
 
-    def _rows(self, spec: PlaySpec, name: str, values: list[str]) -> list[Row]:
+    def _rows(self, spec: SimulationSpec, name: str, values: list[str]) -> list[Row]:
         bar = ProgressBar(self.io.error_output, len(values))
         bar.start()
         rows = []
@@ -104,12 +107,12 @@
         )
         table.render()
 
-    def _plot_day(self, spec: PlaySpec) -> None:
+    def _plot_day(self, spec: SimulationSpec) -> None:
         ends_by_policy = {}
         for name in PLACEMENT_POLICIES:
             fleet = ModelFleet(msgspec.structs.replace(spec, placing=name))
-            fleet.play()
-            ends_by_policy[name] = fleet.ends
+            fleet.run()
+            ends_by_policy[name] = fleet.outcomes
         title = f"{self.option('day')} day of {spec.site.name}: worth by time"
         plot_day(self.option("plot-day"), title, ends_by_policy)
 
