--- a/bench/relay.py
+++ b/bench/relay.py
@@ -4,19 +4,18 @@
 this process.
 """
 
-from bench.process_stats import read_cpu_seconds
-from bench.process_stats import resident_kb
+import tempfile
+from pathlib import Path
+
+import trio
+
+from bench.process_stats import read_cpu_seconds, resident_kb
 from bench.report import print_rows
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import Outgoing
 from berylshift.platform import names
-from berylshift.tools.demo_entry import EntryDemo
-from berylshift.tools.demo_entry import Kind
-from berylshift.tools.demo_entry import SITE
+from berylshift.tools.demo_entry import SITE, EntryDemo, Kind
 from berylshift.tools.processes import Programs
-from pathlib import Path
-import tempfile
-import trio
 
 REQUESTS = 1000
 STREAMS = 60
--- a/bench/table_propagation.py
+++ b/bench/table_propagation.py
@@ -1,17 +1,18 @@
 """Time until nine hosts all use an accepted table edit, on a virtual clock."""
 
+import random
+import statistics
+
+import trio
+import trio.testing
+
 from bench.report import print_rows
 from berylshift.ids import ChangeId
 from berylshift.replay.determinism import seed_scheduler
-from berylshift.replay.virtual_fleet import FleetSpec
-from berylshift.replay.virtual_fleet import VirtualWorld
+from berylshift.replay.virtual_fleet import FleetSpec, VirtualWorld
 from berylshift.tests.support import route_row
 from berylshift.tests.world import small_rows
 from berylshift.version.diff import Edit
-import random
-import statistics
-import trio
-import trio.testing
 
 EDITS = 30
 OUTAGE_SECONDS = 5.0
--- a/berylshift/connection/status.py
+++ b/berylshift/connection/status.py
@@ -1,8 +1,9 @@
 """Status report of an entry host for operators."""
 
+import msgspec
+
 from berylshift.application import Application
 from berylshift.version.rows import RowKind
-import msgspec
 
 
 class TargetStatus(msgspec.Struct, frozen=True):
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -28,7 +28,6 @@
             self.first_event_seconds > kind.objective_seconds
             or self.max_event_gap_seconds > kind.max_event_gap_seconds
         )
-        )
         return kind.late_worth if late else kind.worth
 
 
--- a/berylshift/stand_ins/fake_directory.py
+++ b/berylshift/stand_ins/fake_directory.py
@@ -1,30 +1,20 @@
 """The platform's directory, lease, crash and host rows in memory, with faults."""
 
-from berylshift.ids import ReplicaName
-from berylshift.ids import Revision
-from berylshift.ids import StoreEra
-from berylshift.messages.replicas import Replica
-from berylshift.messages.replicas import ReplicaChanges
-from berylshift.messages.replicas import RouteSnapshot
-from berylshift.store.crash_rows import CrashRow
-from berylshift.store.crash_rows import CrashRowsSnapshot
+from collections.abc import Awaitable, Callable, Iterable
+from dataclasses import dataclass, field
+
+import msgspec
+import trio
+
+from berylshift.ids import ReplicaName, Revision, StoreEra
+from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
+from berylshift.store.crash_rows import CrashRow, CrashRowsSnapshot
 from berylshift.store.directory import HistoryLostError
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.host_rows import HostRecord
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.lease_rows import ABSENT
-from berylshift.store.lease_rows import Granted
-from berylshift.store.lease_rows import LeaseRecord
-from berylshift.store.lease_rows import LeaseRow
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
+from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 from berylshift.version.routes import RouteTable
-from collections.abc import Awaitable
-from collections.abc import Callable
-from collections.abc import Iterable
-from dataclasses import dataclass
-from dataclasses import field
-import msgspec
-import trio
 
 # The store's clock counts from its own start, so it differs from the hosts' clocks.
 STORE_CLOCK_OFFSET_SECONDS = 7_000.0
--- a/berylshift/stand_ins/fake_platform.py
+++ b/berylshift/stand_ins/fake_platform.py
@@ -1,22 +1,25 @@
 """The platform in memory: rows, objects, hosts, weights, with scripted faults."""
 
-from berylshift.clock import Clock
-from berylshift.store.interfaces import ABSENT
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import HostState
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreThrottledError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.interfaces import StoredRow
-from berylshift.store.interfaces import Transaction
-from berylshift.store.interfaces import TransactionResult
-from berylshift.store.interfaces import WeightInfo
 from collections import deque
-from dataclasses import dataclass
-from dataclasses import field
-from sortedcontainers import SortedDict
+from dataclasses import dataclass, field
+
 import msgspec
 import trio
+from sortedcontainers import SortedDict
+
+from berylshift.clock import Clock
+from berylshift.store.interfaces import (
+    ABSENT,
+    HostEntry,
+    HostState,
+    ResponseLostError,
+    StoredRow,
+    StoreThrottledError,
+    StoreUnavailableError,
+    Transaction,
+    TransactionResult,
+    WeightInfo,
+)
 
 DEFAULT_WEIGHT_BYTES = 8_000_000_000
 WEIGHT_QUOTA_WINDOW_SECONDS = 60.0
--- a/berylshift/stand_ins/fake_service.py
+++ b/berylshift/stand_ins/fake_service.py
@@ -1,14 +1,13 @@
 """A fake plain service: echoes calls and counts executions by idempotency key."""
 
-from berylshift.targets import ServiceCall
-from berylshift.targets import ServiceResponse
-from berylshift.targets import TargetRefusedError
 from collections import Counter
-from dataclasses import dataclass
-from dataclasses import field
+from dataclasses import dataclass, field
+
 import msgspec
 import xxhash
 
+from berylshift.targets import ServiceCall, ServiceResponse, TargetRefusedError
+
 STATUS_OK = 200
 
 
--- a/berylshift/stand_ins/memory_targets.py
+++ b/berylshift/stand_ins/memory_targets.py
@@ -1,24 +1,26 @@
 """The target protocols over in-memory fakes, as seen from one host."""
 
+from collections.abc import AsyncIterator
+from contextlib import aclosing, asynccontextmanager
+
+import trio
+
 from berylshift.ids import AttemptId
-from berylshift.stand_ins.engine_runner import EngineRunner
-from berylshift.stand_ins.engine_runner import StreamReader
+from berylshift.stand_ins.engine_runner import EngineRunner, StreamReader
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.stand_ins.network import Network
-from berylshift.targets import CacheEvent
-from berylshift.targets import EngineCall
-from berylshift.targets import EngineChunk
-from berylshift.targets import LoadReport
-from berylshift.targets import Order
-from berylshift.targets import ServiceCall
-from berylshift.targets import ServiceResponse
-from berylshift.targets import TargetBrokenError
-from berylshift.targets import TargetNotReachedError
-from berylshift.targets import TargetRefusedError
-from collections.abc import AsyncIterator
-from contextlib import aclosing
-from contextlib import asynccontextmanager
-import trio
+from berylshift.targets import (
+    CacheEvent,
+    EngineCall,
+    EngineChunk,
+    LoadReport,
+    Order,
+    ServiceCall,
+    ServiceResponse,
+    TargetBrokenError,
+    TargetNotReachedError,
+    TargetRefusedError,
+)
 
 
 class MemoryEngines:
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -1,17 +1,19 @@
 """The fake platform as an HTTP server."""
 
-from berylshift.connection.http_request import HttpRequest
-from berylshift.connection.responder import Responder
-from berylshift.stand_ins.fake_platform import FakePlatform
-from berylshift.stand_ins.fake_platform import PlatformScript
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreThrottledError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.interfaces import Transaction
 import msgspec
 import trio
 
+from berylshift.connection.http_request import HttpRequest
+from berylshift.connection.responder import Responder
+from berylshift.stand_ins.fake_platform import FakePlatform, PlatformScript
+from berylshift.store.interfaces import (
+    HostEntry,
+    ResponseLostError,
+    StoreThrottledError,
+    StoreUnavailableError,
+    Transaction,
+)
+
 JSON_TYPE = {"content-type": "application/json"}
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
--- a/berylshift/tests/crash_scenario.py
+++ b/berylshift/tests/crash_scenario.py
@@ -1,14 +1,13 @@
 """A caller whose request crashes each replica that runs it, among other callers."""
 
-from berylshift.stand_ins.entry_replica import EntryReplica
-from berylshift.tests.entry_world import EntryWorld
-from berylshift.tests.entry_world import Reply
-from berylshift.tests.entry_world import prompt_headers
-from dataclasses import dataclass
-from dataclasses import field
 import itertools
+from dataclasses import dataclass, field
+
 import trio
 
+from berylshift.stand_ins.entry_replica import EntryReplica
+from berylshift.tests.entry_world import EntryWorld, Reply, prompt_headers
+
 # A crashed replica restarts after this long; its old entry expires a little later.
 RESTART_SECONDS = 3.0
 ENTRY_TTL_SECONDS = 3.3
--- a/berylshift/tests/test_entry_crashing_requests.py
+++ b/berylshift/tests/test_entry_crashing_requests.py
@@ -1,17 +1,19 @@
 """Tests requests that crash each replica that runs them."""
 
-from berylshift.stand_ins.entry_replica import Fault
-from berylshift.tests.crash_scenario import CrashScenario
-from berylshift.tests.crash_scenario import ENTRY_TTL_SECONDS
-from berylshift.tests.crash_scenario import MAX_CRASHES
-from berylshift.tests.crash_scenario import MAX_SENDS_AFTER
-from berylshift.tests.crash_scenario import RESTART_SECONDS
-from berylshift.tests.entry_world import ENGINES
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import run_entry
-import trio
 import unittest
 
+import trio
+
+from berylshift.stand_ins.entry_replica import Fault
+from berylshift.tests.crash_scenario import (
+    ENTRY_TTL_SECONDS,
+    MAX_CRASHES,
+    MAX_SENDS_AFTER,
+    RESTART_SECONDS,
+    CrashScenario,
+)
+from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
+
 RUN_SECONDS = 20.0
 
 
--- a/berylshift/tests/test_platform_batch.py
+++ b/berylshift/tests/test_platform_batch.py
@@ -1,21 +1,27 @@
 """Batched writes, and the platform's stand-in."""
 
+import random
+
+import trio
+
 from berylshift.clock import LoopClock
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.stand_ins.fake_platform import FakePlatform
-from berylshift.stand_ins.fake_platform import MemoryPlatform
-from berylshift.stand_ins.fake_platform import PlatformScript
+from berylshift.stand_ins.fake_platform import (
+    FakePlatform,
+    MemoryPlatform,
+    PlatformScript,
+)
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import ABSENT
-from berylshift.store.interfaces import Condition
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreThrottledError
-from berylshift.store.interfaces import Transaction
-from berylshift.store.interfaces import Write
-from berylshift.store.interfaces import as_raw
+from berylshift.store.interfaces import (
+    ABSENT,
+    Condition,
+    ResponseLostError,
+    StoreThrottledError,
+    Transaction,
+    Write,
+    as_raw,
+)
 from berylshift.tests.support import VirtualTestCase
-import random
-import trio
 
 
 class BatchTest(VirtualTestCase):
--- a/berylshift/tests/test_process_pools.py
+++ b/berylshift/tests/test_process_pools.py
@@ -1,43 +1,45 @@
 """Tests of plans, moves and role planning, as units and through whole hosts."""
 
-from berylshift.ids import Epoch
-from berylshift.ids import Incarnation
-from berylshift.ids import OrderNumber
-from berylshift.process.control.orders import InFlightOrders
-from berylshift.process.control.orders import OrderReconciler
-from berylshift.process.control.orders import role_order
-from berylshift.process.control.plans import Move
-from berylshift.process.control.plans import PlanRow
-from berylshift.process.control.plans import Plans
-from berylshift.process.control.plans import is_idle_since
-from berylshift.process.control.pool_reconciler import EngineSnapshot
-from berylshift.process.control.pool_reconciler import MAX_MOVE_SECONDS
-from berylshift.process.control.pool_reconciler import ObservationTimes
-from berylshift.process.control.pool_reconciler import PoolReconciler
-from berylshift.process.control.roles import EngineState
-from berylshift.process.control.roles import FixedRoles
-from berylshift.process.control.roles import HysteresisRoles
-from berylshift.process.control.roles import Loads
-from berylshift.process.control.roles import MIN_CONSECUTIVE_DECISIONS
-from berylshift.process.control.roles import PoolState
-from berylshift.process.control.roles import RoleChange
-from berylshift.process.control.roles import ThresholdRoles
-from berylshift.process.control.roles import utilization
+import unittest
+
+import trio
+
+from berylshift.ids import Epoch, Incarnation, OrderNumber
+from berylshift.process.control.orders import (
+    InFlightOrders,
+    OrderReconciler,
+    role_order,
+)
+from berylshift.process.control.plans import Move, PlanRow, Plans, is_idle_since
+from berylshift.process.control.pool_reconciler import (
+    MAX_MOVE_SECONDS,
+    EngineSnapshot,
+    ObservationTimes,
+    PoolReconciler,
+)
+from berylshift.process.control.roles import (
+    MIN_CONSECUTIVE_DECISIONS,
+    EngineState,
+    FixedRoles,
+    HysteresisRoles,
+    Loads,
+    PoolState,
+    RoleChange,
+    ThresholdRoles,
+    utilization,
+)
 from berylshift.process.membership.digest import Mix
-from berylshift.settings import HostSettings
-from berylshift.settings import PolicySettings
-from berylshift.settings import Settings
-from berylshift.targets import LoadReport
-from berylshift.targets import Role
+from berylshift.settings import HostSettings, PolicySettings, Settings
+from berylshift.targets import LoadReport, Role
 from berylshift.tests.support import engine_row
-from berylshift.tests.world import complete
-from berylshift.tests.world import expected_text
-from berylshift.tests.world import model_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
+from berylshift.tests.world import (
+    complete,
+    expected_text,
+    model_call,
+    run_world,
+    small_rows,
+)
 from berylshift.version.rows import RowState
-import trio
-import unittest
 
 ME = Incarnation("host-1/1/1")
 EPOCH = Epoch(3)
--- a/berylshift/tests/test_request_isolation.py
+++ b/berylshift/tests/test_request_isolation.py
@@ -1,21 +1,20 @@
 """Retries of suspect requests, which ran on a replica when it crashed."""
 
-from berylshift.ids import DomainName
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+import unittest
+
+import trio
+
+from berylshift.ids import DomainName, Fingerprint, InstanceId, ServiceName
 from berylshift.messages.replicas import Replica
-from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS
-from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.request.isolation import REPLICAS_PER_ISOLATION_REPLICA
-from berylshift.request.isolation import is_last_remaining
-from berylshift.request.isolation import isolation_replicas
-from berylshift.request.isolation import remaining_replicas
+from berylshift.process.quarantine.quarantine import CRASHED_HEARTBEATS, Quarantine
+from berylshift.request.isolation import (
+    REPLICAS_PER_ISOLATION_REPLICA,
+    is_last_remaining,
+    isolation_replicas,
+    remaining_replicas,
+)
 from berylshift.request.routed_crash_watch import LAST_REPLICA_RETRY_SECONDS
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import run_entry
-import trio
-import unittest
+from berylshift.tests.entry_world import prompt_headers, run_entry
 
 HEARTBEAT_SECONDS = 1.2
 
--- a/berylshift/tests/test_signals.py
+++ b/berylshift/tests/test_signals.py
@@ -1,18 +1,18 @@
 """Tests of repeated signals, as operators and the platform send them."""
 
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
-from berylshift.platform import names
-from berylshift.signals import watch_signals
-from berylshift.tools.demo_entry import EntryDemo
-from berylshift.tools.demo_entry import SITE
-from berylshift.tools.processes import Programs
-from pathlib import Path
 import signal
 import tempfile
+import unittest
+from pathlib import Path
+
 import trio
 import trio.testing
-import unittest
+
+from berylshift.connection.http_client import HttpClient, Outgoing
+from berylshift.platform import names
+from berylshift.signals import watch_signals
+from berylshift.tools.demo_entry import SITE, EntryDemo
+from berylshift.tools.processes import Programs
 
 PIECES = 40
 
--- a/berylshift/tools/demo.py
+++ b/berylshift/tools/demo.py
@@ -4,33 +4,38 @@
 or cut off.
 """
 
-from berylshift.connection.http_client import HttpClient
-from berylshift.replay.http_fleet import HttpBalancer
-from berylshift.replay.http_fleet import HttpFleet
-from berylshift.replay.result import ReplayResult
-from berylshift.replay.runner import replay_trace
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import Expect
-from berylshift.replay.trace import Kind
-from berylshift.replay.trace import Trace
-from berylshift.replay.trace import TraceEvent
-from berylshift.replay.trace import TraceRequest
-from berylshift.tools.demo_fleet import CUSTOMERS
-from berylshift.tools.demo_fleet import DemoFleet
-from berylshift.tools.demo_fleet import FLEET
-from berylshift.tools.demo_fleet import HOSTS
-from berylshift.tools.demo_fleet import MODEL
-from berylshift.tools.demo_fleet import SEED
-from berylshift.tools.demo_fleet import SERVICE
-from berylshift.tools.processes import Programs
-from pathlib import Path
-import msgspec
 import random
 import signal
 import sys
 import tempfile
+from pathlib import Path
+
+import msgspec
 import trio
 
+from berylshift.connection.http_client import HttpClient
+from berylshift.replay.http_fleet import HttpBalancer, HttpFleet
+from berylshift.replay.result import ReplayResult
+from berylshift.replay.runner import replay_trace
+from berylshift.replay.trace import (
+    EventKind,
+    Expect,
+    Kind,
+    Trace,
+    TraceEvent,
+    TraceRequest,
+)
+from berylshift.tools.demo_fleet import (
+    CUSTOMERS,
+    FLEET,
+    HOSTS,
+    MODEL,
+    SEED,
+    SERVICE,
+    DemoFleet,
+)
+from berylshift.tools.processes import Programs
+
 REQUESTS = 240
 TRACE_SECONDS = 15.0
 START_SECONDS = 30.0
--- a/berylshift/tools/demo_entry.py
+++ b/berylshift/tools/demo_entry.py
@@ -6,24 +6,24 @@
 was lost, run twice or cut off.
 """
 
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
-from berylshift.platform import names
-from berylshift.stand_ins.entry_replica import RUNS_PATH
-from berylshift.stand_ins.store_server import RESTORE_PATH
-from berylshift.tools.processes import Programs
-from dataclasses import dataclass
-from dataclasses import field
-from enum import StrEnum
-from pathlib import Path
-import msgspec
 import random
 import signal
 import sys
 import tempfile
+from dataclasses import dataclass, field
+from enum import StrEnum
+from pathlib import Path
+
+import msgspec
 import trio
 
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.http_client import HttpClient, Outgoing
+from berylshift.platform import names
+from berylshift.stand_ins.entry_replica import RUNS_PATH
+from berylshift.stand_ins.store_server import RESTORE_PATH
+from berylshift.tools.processes import Programs
+
 REQUESTS = 240
 DURATION_SECONDS = 10.0
 HOSTS = 3
--- a/berylshift/tools/demo_fleet.py
+++ b/berylshift/tools/demo_fleet.py
@@ -1,31 +1,27 @@
 """Starts the demonstration fleet's processes: platform, targets and entry hosts."""
 
+import random
+import signal
+import sys
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import msgspec
+from returns.result import Success
+
 from berylshift.clock import LoopClock
 from berylshift.connection.http_client import HttpClient
-from berylshift.connection.listeners import bound_address
-from berylshift.connection.listeners import open_listener
+from berylshift.connection.listeners import bound_address, open_listener
 from berylshift.ids import ChangeId
 from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import TraceEvent
+from berylshift.replay.trace import EventKind, TraceEvent
 from berylshift.store.batch import TableGate
-from berylshift.store.http import HttpObjectStore
-from berylshift.store.http import HttpTableService
+from berylshift.store.http import HttpObjectStore, HttpTableService
 from berylshift.tools.processes import Programs
 from berylshift.version.changelog import TableLog
 from berylshift.version.diff import Edit
-from berylshift.version.rows import OrderCheck
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
+from berylshift.version.rows import OrderCheck, Row, RowKind
 from berylshift.version.table_csv import with_cell
-from dataclasses import dataclass
-from dataclasses import field
-from pathlib import Path
-from returns.result import Success
-import msgspec
-import random
-import signal
-import sys
 
 ENGINES = 4
 REPLICAS = 2
--- a/berylshift/tools/experiment_command.py
+++ b/berylshift/tools/experiment_command.py
@@ -1,20 +1,17 @@
 """The command that runs the fleet simulation."""
 
+import msgspec
+from cleo.commands.command import Command
+from cleo.helpers import option
+from cleo.ui.progress_bar import ProgressBar
+
 from berylshift.model.days import DAYS
-from berylshift.model.experiment import Row
-from berylshift.model.experiment import UnknownSettingError
-from berylshift.model.experiment import vary
-from berylshift.model.fleet import ModelFleet
-from berylshift.model.fleet import SimulationSpec
+from berylshift.model.experiment import Row, UnknownSettingError, vary
+from berylshift.model.fleet import ModelFleet, SimulationSpec
 from berylshift.model.parameters import SITES
-from berylshift.model.plots import plot_day
-from berylshift.model.plots import plot_rows
+from berylshift.model.plots import plot_day, plot_rows
 from berylshift.request.placement_policies import PLACEMENT_POLICIES
 from berylshift.tools.session import Exit
-from cleo.commands.command import Command
-from cleo.helpers import option
-from cleo.ui.progress_bar import ProgressBar
-import msgspec
 
 PLACEMENT_SETTING = "placing"
 
--- a/berylshift/tools/make_traces.py
+++ b/berylshift/tools/make_traces.py
@@ -1,18 +1,17 @@
 """Regenerates the traces under ``traces/``; each has a fixed seed."""
 
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import Expect
-from berylshift.replay.trace import Trace
-from berylshift.replay.trace import TraceEvent
-from berylshift.replay.trace import TraceHeader
-from berylshift.replay.trace import write_trace
-from berylshift.replay.workloads import CONSORCIO
-from berylshift.replay.workloads import Mixture
-from berylshift.replay.workloads import NESTWATCH
-from berylshift.replay.workloads import Phase
-from berylshift.replay.workloads import make_trace
-from pathlib import Path
 import sys
+from pathlib import Path
+
+from berylshift.replay.trace import (
+    EventKind,
+    Expect,
+    Trace,
+    TraceEvent,
+    TraceHeader,
+    write_trace,
+)
+from berylshift.replay.workloads import CONSORCIO, NESTWATCH, Mixture, Phase, make_trace
 
 STRICT_EXPECT = Expect(lost=0, doubled=0, cut=0, goodput_min=0.95, role_changes_max=4)
 
--- a/berylshift/tools/mark_commands.py
+++ b/berylshift/tools/mark_commands.py
@@ -1,22 +1,22 @@
 """Commands that set the state of engines, replicas and hosts in the table."""
 
+import trio
+from cleo.helpers import argument, option
+
 from berylshift.connection.status import HostStatus
-from berylshift.tools.session import CONFIG
-from berylshift.tools.session import Exit
-from berylshift.tools.session import PLATFORM
-from berylshift.tools.session import PlatformCommand
-from berylshift.tools.session import PlatformSession
-from berylshift.tools.session import ToolError
-from berylshift.tools.session import decode_or_none
+from berylshift.tools.session import (
+    CONFIG,
+    PLATFORM,
+    Exit,
+    PlatformCommand,
+    PlatformSession,
+    ToolError,
+    decode_or_none,
+)
 from berylshift.tools.table_commands import find_row
 from berylshift.version.diff import Edit
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
-from berylshift.version.rows import RowState
+from berylshift.version.rows import Row, RowKind, RowState
 from berylshift.version.table_csv import with_cell
-from cleo.helpers import argument
-from cleo.helpers import option
-import trio
 
 POLL_SECONDS = 0.5
 STATES_BY_VERB = {
--- a/berylshift/tools/replay_command.py
+++ b/berylshift/tools/replay_command.py
@@ -1,28 +1,25 @@
 """The command that replays request traces."""
 
+import logging
+
+import msgspec
+import trio
+from cleo.commands.command import Command
+from cleo.helpers import argument, option
+from cleo.ui.progress_bar import ProgressBar
+from returns.result import Failure, Success
+
 from berylshift.connection.http_client import HttpClient
-from berylshift.replay.http_fleet import HttpBalancer
-from berylshift.replay.http_fleet import HttpFleet
+from berylshift.replay.http_fleet import HttpBalancer, HttpFleet
 from berylshift.replay.policies import POLICIES
 from berylshift.replay.result import ReplayResult
 from berylshift.replay.runner import replay_trace
-from berylshift.replay.trace import Trace
-from berylshift.replay.trace import read_trace
+from berylshift.replay.trace import Trace, read_trace
 from berylshift.replay.virtual import replay_virtual
 from berylshift.replay.virtual_fleet import FleetSpec
 from berylshift.settings import read_credentials
-from berylshift.tools.session import Exit
-from berylshift.tools.session import ToolError
+from berylshift.tools.session import Exit, ToolError
 from berylshift.version.checks import is_valid_address
-from cleo.commands.command import Command
-from cleo.helpers import argument
-from cleo.helpers import option
-from cleo.ui.progress_bar import ProgressBar
-from returns.result import Failure
-from returns.result import Success
-import logging
-import msgspec
-import trio
 
 COLUMNS = (
     "trace",
--- a/berylshift/tools/table_commands.py
+++ b/berylshift/tools/table_commands.py
@@ -1,26 +1,22 @@
 """Commands that read and edit the operators' table."""
 
-from berylshift.tools.session import CONFIG
-from berylshift.tools.session import Exit
-from berylshift.tools.session import PLATFORM
-from berylshift.tools.session import PlatformCommand
-from berylshift.tools.session import PlatformSession
-from berylshift.tools.session import ToolError
-from berylshift.version.diff import Edit
-from berylshift.version.diff import edit_between
-from berylshift.version.rows import COLUMNS
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
-from berylshift.version.table import Table
-from berylshift.version.table_csv import CsvTable
-from berylshift.version.table_csv import format_csv
-from berylshift.version.table_csv import parse_csv
-from berylshift.version.table_csv import with_cell
-from cleo.helpers import argument
-from cleo.helpers import option
 from pathlib import Path
-from returns.result import Failure
-from returns.result import Success
+
+from cleo.helpers import argument, option
+from returns.result import Failure, Success
+
+from berylshift.tools.session import (
+    CONFIG,
+    PLATFORM,
+    Exit,
+    PlatformCommand,
+    PlatformSession,
+    ToolError,
+)
+from berylshift.version.diff import Edit, edit_between
+from berylshift.version.rows import COLUMNS, Row, RowKind
+from berylshift.version.table import Table
+from berylshift.version.table_csv import CsvTable, format_csv, parse_csv, with_cell
 
 
 class TableShow(PlatformCommand):
