--- a/berylshift/model/figures.py
+++ b/berylshift/model/figures.py
@@ -66,7 +66,7 @@
     shared: tuple[PartFigures, ...]
     own: PartFigures
     events: PartFigures
-    objective: float
+    objective_seconds: float
     longest_pause: float
     timeout: float
     worth: float
@@ -76,7 +76,7 @@
     @property
     def patience(self) -> float:
         """Return how long a caller waits for a first event."""
-        return max(2.0, 4 * self.objective, 8 * self.longest_pause)
+        return max(2.0, 4 * self.objective_seconds, 8 * self.longest_pause)
 
 
 class SiteFigures(msgspec.Struct, frozen=True, kw_only=True):
@@ -107,7 +107,7 @@
             shared=(PartFigures(13_300, 0.7, 39_900, 128, SKEW),),
             own=PartFigures(3_720, 1.1, 53_200, 0),
             events=PartFigures(17.1, 1.4, 68.4, 0),
-            objective=0.8,
+            objective_seconds=0.8,
             longest_pause=0.3,
             timeout=6.0,
             worth=1.9,
@@ -123,7 +123,7 @@
             ),
             own=PartFigures(2_890, 1.0, 39_600, 0),
             events=PartFigures(7.44, 1.4, 29.8, 0),
-            objective=0.6,
+            objective_seconds=0.6,
             longest_pause=0.3,
             timeout=4.0,
             worth=2.0,
@@ -139,7 +139,7 @@
             ),
             own=PartFigures(1_110, 1.0, 3_790, 0),
             events=PartFigures(24.6, 0.89, 85.9, 0),
-            objective=0.5,
+            objective_seconds=0.5,
             longest_pause=0.3,
             timeout=8.0,
             worth=1.6,
@@ -182,7 +182,7 @@
             shared=(PartFigures(13_300, 0.7, 39_900, 264, 0.3),),
             own=PartFigures(3_720, 1.1, 53_200, 0),
             events=PartFigures(12.0, 1.4, 47.9, 0),
-            objective=0.863,
+            objective_seconds=0.863,
             longest_pause=0.4,
             timeout=6.475,
             worth=1.9,
@@ -198,7 +198,7 @@
             ),
             own=PartFigures(2_890, 1.0, 39_600, 0),
             events=PartFigures(5.21, 1.4, 20.8, 0),
-            objective=0.645,
+            objective_seconds=0.645,
             longest_pause=0.4,
             timeout=4.298,
             worth=2.0,
@@ -214,7 +214,7 @@
             ),
             own=PartFigures(1_110, 1.0, 3_790, 0),
             events=PartFigures(17.2, 0.89, 60.1, 0),
-            objective=0.526,
+            objective_seconds=0.526,
             longest_pause=0.4,
             timeout=8.419,
             worth=1.6,
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -22,7 +22,10 @@
         if not self.complete or self.first is None:
             return 0.0
         kind = self.kind
-        late = self.first > kind.objective or self.longest_pause > kind.longest_pause
+        late = (
+            self.first > kind.objective_seconds
+            or self.longest_pause > kind.longest_pause
+        )
         return kind.late_worth if late else kind.worth
 
 
--- a/berylshift/platform/codec.py
+++ b/berylshift/platform/codec.py
@@ -91,7 +91,7 @@
             target=target,
             headers=_forwarded(headers),
             body=body,
-            seconds_left=_seconds(single.get(names.TIME_LEFT_MS)),
+            seconds_left=_time_left_seconds(single.get(names.TIME_LEFT_MS)),
             prompt=_prompt(single),
             resume_after=single.get(names.LAST_EVENT_ID),
             key=_api_key(headers),
@@ -207,7 +207,7 @@
     return ApiKey(words[1]) if len(words[1]) <= MAX_KEY_BYTES else None
 
 
-def _seconds(value: bytes | None) -> float | None:
+def _time_left_seconds(value: bytes | None) -> float | None:
     if value is None:
         return None
     if not value.isdigit():
--- a/berylshift/platform/rows.py
+++ b/berylshift/platform/rows.py
@@ -142,7 +142,10 @@
 
 
 def _well_formed(rows: Iterable[msgspec.Raw]) -> list[Row]:
-    """Return the well-formed rows; a malformed one must not hide the others."""
+    """Return the well-formed rows that have an empty ``part``.
+
+    A malformed row must not hide the others.
+    """
     found = []
     for raw in rows:
         try:
--- a/berylshift/platform/unknown_headers.py
+++ b/berylshift/platform/unknown_headers.py
@@ -29,7 +29,7 @@
         b"www-authenticate",
     }
 )
-# Headers that describe the body are for the caller.
+# Headers that describe the body are for the caller to interpret.
 BODY_PREFIX = b"content-"
 
 logger = logging.getLogger(__name__)
@@ -59,5 +59,5 @@
         self._logged.update(new)
         decoded = [name.decode("latin-1") for name in new]
         logger.warning(
-            "unknown headers ignored", extra={"request": request, "headers": decoded}
+            "unknown response headers", extra={"request": request, "headers": decoded}
         )
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -48,7 +48,7 @@
         return await self._call(out, wait_seconds + MAX_READ_SECONDS, limit)
 
     async def post(self, path: str, body: bytes) -> StoreResponse:
-        """Return the response to a write; ``ResponseLostError``: it may take effect.
+        """Return the response to a write; ``ResponseLostError``: it may be done.
 
         Writes use a new connection: a pooled one may be closed by the server while the
         write is sent, and then its outcome is unknown.
--- a/berylshift/store/eras.py
+++ b/berylshift/store/eras.py
@@ -1,4 +1,4 @@
-"""Eras of the platform's store: a new one begins each time it is restored."""
+"""Eras of the platform's store; a restore from an older copy starts a new one."""
 
 from berylshift.ids import StoreEra
 
