--- a/berylshift/process/membership/members.py
+++ b/berylshift/process/membership/members.py
@@ -1,16 +1,18 @@
 """Membership: which peers are live, their last digests, and whom to send to next."""
 
-import random
+from berylshift.ids import HostName
+from berylshift.ids import Incarnation
+from berylshift.process.membership.digest import Digest
+from berylshift.process.membership.digest import Echo
+from berylshift.store.interfaces import HostEntry
+from berylshift.store.interfaces import HostState
+from berylshift.version.freshness import PeerConfirmation
 from collections import deque
-from dataclasses import dataclass, field
-
+from dataclasses import dataclass
+from dataclasses import field
+import random
 import xxhash
 
-from berylshift.ids import HostName, Incarnation
-from berylshift.process.membership.digest import Digest, Echo
-from berylshift.store.interfaces import HostEntry, HostState
-from berylshift.version.freshness import PeerConfirmation
-
 MAX_SENT_TIMES = 64
 MAX_PAST_INCARNATIONS = 8
 
@@ -37,12 +39,12 @@
 class Membership:
     """Peers of this process; synchronous, fed with datagrams and host lists.
 
-    A peer counts as live until ``silent_after`` seconds after its last datagram.
+    A peer counts as live until ``silent_after_seconds`` after its last datagram.
     """
 
     host: HostName
     incarnation: Incarnation
-    silent_after: float
+    silent_after_seconds: float
     rng: random.Random
     peers: dict[HostName, Peer] = field(default_factory=dict)
     dropped_count: int = 0
@@ -128,7 +130,7 @@
                     peer=digest.host,
                     asked_at=asked_at,
                     version=digest.table_version,
-                    store_age=digest.store_age,
+                    store_age=digest.store_age_seconds,
                     plan=digest.plan_version,
                 )
         return None
@@ -177,7 +179,7 @@
         live_peers = [
             host
             for host, peer in self.peers.items()
-            if now - peer.received_at <= self.silent_after
+            if now - peer.received_at <= self.silent_after_seconds
         ]
         return [self.host, *live_peers]
 
--- a/berylshift/process/quarantine/quarantine.py
+++ b/berylshift/process/quarantine/quarantine.py
@@ -55,14 +55,14 @@
     """Crash records of one host; times in seconds on the monotonic clock."""
 
     def __init__(
-        self, heartbeat: float, gossip_seconds: float = GOSSIP_SECONDS
+        self, heartbeat_seconds: float, gossip_seconds: float = GOSSIP_SECONDS
     ) -> None:
-        """Start without records; replicas send heartbeats every ``heartbeat`` seconds.
+        """Start without records; replicas send heartbeats every ``heartbeat_seconds``.
 
         Updates are sent to other hosts for ``gossip_seconds``.
         """
-        self._expiry_seconds = ENTRY_TTL_HEARTBEATS * heartbeat
-        self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat
+        self._entry_ttl_seconds = ENTRY_TTL_HEARTBEATS * heartbeat_seconds
+        self._crashed_seconds = CRASHED_HEARTBEATS * heartbeat_seconds
         self._observed: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._quarantined: OrderedDict[Fingerprint, CrashRecord] = OrderedDict()
         self._completed: OrderedDict[Fingerprint, float] = OrderedDict()
@@ -121,7 +121,7 @@
             return False
         if sent_at <= crash.at + SURVIVED_SECONDS:
             return True
-        return listed_at is not None and listed_at > crash.at + self._expiry_seconds
+        return listed_at is not None and listed_at > crash.at + self._entry_ttl_seconds
 
     # Queries
 
@@ -144,13 +144,13 @@
 
     def has_crashed(self, instance: InstanceId, now: float) -> bool:
         """Return whether a replica is known to have crashed, even if still listed."""
-        target, found = target_hash(instance), 0
+        target, broken_requests = target_hash(instance), 0
         for request in self._requests_by_target.get(target, ()):
             record = self._record(request)
             if record is None or not record.has_crashed(target):
                 continue
-            found += now - record.crashes[target].at < self._crashed_seconds
-            if found >= MIN_BROKEN_REQUESTS:
+            broken_requests += now - record.crashes[target].at < self._crashed_seconds
+            if broken_requests >= MIN_BROKEN_REQUESTS:
                 return True
         return False
 
@@ -159,7 +159,7 @@
         record = self._record(request)
         return 0 if record is None else record.crash_count
 
-    def crash_age(self, key: CrashKey, now: float) -> float:
+    def crash_age_seconds(self, key: CrashKey, now: float) -> float:
         """Return the seconds since a replica crashed during a request; 0: unknown."""
         request, target = key
         record = self._record(request)
@@ -217,11 +217,11 @@
     ) -> tuple[CrashReport, ...]:
         """Return the crash reports for the next digest."""
         self._expire(now)
-        due = self._gossip.take_crashes(now, own_domain_only)
-        found = [(request, target, self._record(request)) for request, target in due]
+        keys = self._gossip.take_crashes(now, own_domain_only)
+        records = [(request, target, self._record(request)) for request, target in keys]
         return tuple(
             CrashReport(request, target, now - record.crashes[target].at)
-            for request, target, record in found
+            for request, target, record in records
             if record is not None and record.has_crashed(target)
         )
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -28,7 +28,7 @@
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.expected_phases import (
-    MAX_ORDERS_PER_DIGEST as MOST_PHASES,
+    MAX_ORDERS_PER_DIGEST as MAX_PHASES,
 )
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.gossip.collector import MAX_PREFILLS, PREFILLS_PER_CRASH
@@ -299,7 +299,7 @@
         )
         phases = tuple(
             PhaseUpdate(2**31 + n * 77_777, EnginePhase.PREFILL, 2.5)
-            for n in range(MOST_PHASES)
+            for n in range(MAX_PHASES)
         )
         feed = FeedStatus(Revision(123_456), Revision(123_999), 86_400_000)
         digest = LoadDigest(
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -4,12 +4,12 @@
 berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
 """
 
+from dataclasses import dataclass
+from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
-from dataclasses import dataclass
-from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
@@ -85,7 +85,7 @@
     Proof(
         "usage is settled before it is sent",
         "process/usage/usage_loop.py",
-        "        return found.report\n",
+        "        return settled.report\n",
         "        return self._usage_counts.report(window)\n",
         f"{USAGE}.UsageLoopTest",
     ),
@@ -121,7 +121,7 @@
         "what is needed is kept, not found anew",
         "process/scaling/scale_loop.py",
         "                planner.needed = found\n",
-        "                planner.needed = planner.found\n",
+        "                planner.needed = planner.estimate\n",
         "test_scaling_loop.ScaleLoopTest",
     ),
     Proof(
@@ -195,7 +195,7 @@
         "process/targets/recent_durations.py",
         "max([*fresh, *ages])",
         "min(fresh)",
-        "test_targets_recent_durations.RecentTimesTest",
+        "test_targets_recent_durations.RecentDurationsTest",
     ),
     Proof(
         "a leaving host answers before it ends",
@@ -964,8 +964,8 @@
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
         "        throttled = self._parts.throttle.blocked(self._now())\n"
-        "        avoided",
-        "        throttled = []\n        avoided",
+        "        excluded",
+        "        throttled = []\n        excluded",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
     Proof(
