--- a/berylshift/model/parameters.py
+++ b/berylshift/model/parameters.py
@@ -1,9 +1,9 @@
 """Published parameters of engines and of users' traffic; times in seconds."""
 
-import msgspec
-
-from berylshift.ids import RouteName, ServiceName
+from berylshift.ids import RouteName
+from berylshift.ids import ServiceName
 from berylshift.version.routes import EngineFacts
+import msgspec
 
 # The only service of a simulated fleet.
 SERVICE = ServiceName("model")
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -1,15 +1,19 @@
 """HTTP client of the platform's store, with time limits."""
 
-from contextlib import AsyncExitStack, aclosing
-
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.http_client import HttpClient
+from berylshift.connection.http_client import Outgoing
+from berylshift.connection.read_timeout import NEVER
+from berylshift.connection.read_timeout import ReadTimeout
+from berylshift.connection.read_timeout import ReadTimeoutError
+from berylshift.store.interfaces import ResponseLostError
+from berylshift.store.interfaces import StoreUnavailableError
+from contextlib import AsyncExitStack
+from contextlib import aclosing
 import msgspec
 import trio
 
-from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
-from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
-from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
-
 # Upper bound on a read beyond its wait, even while data keeps arriving: a change must
 # be in force 11 s after it was acknowledged.
 MAX_READ_SECONDS = 10.0
@@ -48,7 +52,7 @@
         return await self._call(out, wait_seconds + MAX_READ_SECONDS, limit)
 
     async def post(self, path: str, body: bytes) -> StoreResponse:
-        """Return the response to a write; ``ResponseLostError``: it may take effect.
+        """Return the response to a write; ``ResponseLostError``: it may be done.
 
         Writes use a new connection: a pooled one may be closed by the server while the
         write is sent, and then its outcome is unknown.
