--- a/berylshift/model/parameters.py
+++ b/berylshift/model/parameters.py
@@ -1,10 +1,10 @@
 """Published parameters of engines and of users' traffic; times in seconds."""
 
-from berylshift.ids import RouteName
-from berylshift.ids import ServiceName
-from berylshift.version.routes import EngineFacts
 import msgspec
 
+from berylshift.ids import RouteName, ServiceName
+from berylshift.version.routes import EngineFacts
+
 # The only service of a simulated fleet.
 SERVICE = ServiceName("model")
 # Exponent of the power law by which prompts use prefix blocks: the larger, the fewer
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -1,8 +1,9 @@
 """Results of a simulation, by kind of prompt."""
 
+import msgspec
+
 from berylshift.ids import RouteName
 from berylshift.model.parameters import KindParameters
-import msgspec
 
 
 class PromptOutcome(msgspec.Struct, frozen=True):
@@ -28,7 +29,6 @@
             self.first_event_seconds > kind.objective_seconds
             or self.max_event_gap_seconds > kind.max_event_gap_seconds
         )
-        )
         return kind.late_worth if late else kind.worth
 
 
--- a/berylshift/store/client.py
+++ b/berylshift/store/client.py
@@ -1,19 +1,15 @@
 """HTTP client of the platform's store, with time limits."""
 
-from berylshift.connection.errors import ConnectFailedError
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
-from berylshift.connection.read_timeout import NEVER
-from berylshift.connection.read_timeout import ReadTimeout
-from berylshift.connection.read_timeout import ReadTimeoutError
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from contextlib import AsyncExitStack
-from contextlib import aclosing
+from contextlib import AsyncExitStack, aclosing
+
 import msgspec
 import trio
 
+from berylshift.connection.errors import ConnectFailedError, ConnectionLayerError
+from berylshift.connection.http_client import HttpClient, Outgoing
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
+
 # Upper bound on a read beyond its wait, even while data keeps arriving: a change must
 # be in force 11 s after it was acknowledged.
 MAX_READ_SECONDS = 10.0
