--- a/berylshift/process/membership/readiness.py
+++ b/berylshift/process/membership/readiness.py
@@ -52,7 +52,7 @@
         if self.phase is Phase.CLOSED or self._is_notice_over():
             return Reason.DRAINING
         if not self.may_route():
-            return Reason.STALE_TABLE
+            return Reason.STALE_VIEW
         return None
 
     def _host_state(self) -> RowState:
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -120,7 +120,7 @@
     def _choose(self) -> Result[Plan, Refusal]:
         # A retry is new work, which a draining host or a stale table must not place.
         if not self._deps.may_route():
-            return Failure(Refusal(Reason.STALE_TABLE, 1.0))
+            return Failure(Refusal(Reason.STALE_VIEW, 1.0))
         return self._deps.router.choose(
             self._work_item(), self._deps.table(), self._now()
         )
--- a/berylshift/request/confirmation.py
+++ b/berylshift/request/confirmation.py
@@ -163,7 +163,7 @@
                 self.answer = row.answer
                 self._end(Outcome.COMPLETE, Reason.OK)
             case RowState.UNKNOWN:
-                self._end(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN)
+                self._end(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
             case RowState.ABANDONED:
                 self.step = Step.TAKE_OVER
             case RowState.STARTED if now >= self.deadline:
@@ -189,7 +189,7 @@
             self.answer = answer
             self._record(RowState.DONE, Outcome.COMPLETE, Reason.OK)
         elif self.history.may_have_run:
-            self._record(RowState.UNKNOWN, Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN)
+            self._record(RowState.UNKNOWN, Outcome.UNKNOWN, Reason.FATE_UNKNOWN)
         elif may_retry(AT_MOST_ONCE_BOUNDS, self.history) and now < self.deadline:
             self.step = Step.SEND
         else:
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -29,13 +29,16 @@
 
 
 class Reason(StrEnum):
-    """Why a request ended as it did; the values are sent to callers."""
+    """Why a request ended as it did.
+
+    Callers receive the value as a problem's title and the name as its type.
+    """
 
     OK = "ok"
     BAD_REQUEST = "bad request"
     UNKNOWN_CALLER = "unknown caller"
     NO_SUCH_WORK = "the table has no such model or service"
-    STALE_TABLE = "this host can't confirm its table version"
+    STALE_VIEW = "this host can't confirm its table version"
     DRAINING = "this host is leaving"
     NO_TARGET = "no target takes this work now"
     AT_LIMIT = "the targets' limits are reached"
@@ -47,7 +50,7 @@
     STORE_DOWN = "the table service does not answer"
     KEY_REUSED = "the key was used with another body"
     KEY_PENDING = "another call with this key is under way"
-    OUTCOME_UNKNOWN = "the call may have run"
+    FATE_UNKNOWN = "the call may have run"
 
 
 class Caller(msgspec.Struct, frozen=True):
--- a/berylshift/request/response_writer.py
+++ b/berylshift/request/response_writer.py
@@ -24,7 +24,7 @@
     Reason.BAD_REQUEST: 400,
     Reason.UNKNOWN_CALLER: 401,
     Reason.NO_SUCH_WORK: 404,
-    Reason.STALE_TABLE: 503,
+    Reason.STALE_VIEW: 503,
     Reason.DRAINING: 503,
     Reason.NO_TARGET: 503,
     Reason.AT_LIMIT: 503,
@@ -36,7 +36,7 @@
     Reason.STORE_DOWN: 503,
     Reason.KEY_REUSED: 422,
     Reason.KEY_PENDING: 409,
-    Reason.OUTCOME_UNKNOWN: 502,
+    Reason.FATE_UNKNOWN: 502,
 }
 
 
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -101,9 +101,7 @@
             except Exception:
                 # An error must not stop the process and all other requests.
                 logger.exception("confirmation failed")
-                found.append(
-                    PlainEnding(Ending(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN))
-                )
+                found.append(PlainEnding(Ending(Outcome.UNKNOWN, Reason.FATE_UNKNOWN)))
             finally:
                 self.open_confirmations -= 1
             done.set()
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -58,7 +58,7 @@
     def place(self, call: PlainCall, exclude: frozenset[TargetName]) -> Plan | Ending:
         """Choose a replica for ``call``; return a refusal if there is none."""
         if not self.may_route():
-            return Ending(Outcome.NOT_RUN, Reason.STALE_TABLE, "", 1.0)
+            return Ending(Outcome.NOT_RUN, Reason.STALE_VIEW, "", 1.0)
         now = self.clock.monotonic()
         item = WorkItem(
             request=call.request,
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -240,7 +240,7 @@
             ending, _ = await complete(host, model_call(1))
             return host.app.readiness.is_ready(), ending.reason
 
-        self.assertEqual(run_world(task, hosts=3), (False, Reason.STALE_TABLE))
+        self.assertEqual(run_world(task, hosts=3), (False, Reason.STALE_VIEW))
 
     def test_lookups_and_model_calls_survive_long_outage(self):
         async def task(world):
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -30,6 +30,36 @@
 CALL = ServiceCall(AttemptId("a1"), "booking", "POST", "/book", {}, b"x", False, "k")
 
 
+class ProblemTypeTest(unittest.TestCase):
+    """Names of reasons that callers receive as types of problems."""
+
+    def test_types_are_the_published_ones(self):
+        """Guards against renaming a reason: callers match on the type of a problem."""
+        types = [reason.name.lower().replace("_", "-") for reason in Reason]
+        self.assertEqual(
+            types,
+            [
+                "ok",
+                "bad-request",
+                "unknown-caller",
+                "no-such-work",
+                "stale-view",
+                "draining",
+                "no-target",
+                "at-limit",
+                "customer-limit",
+                "too-late",
+                "retries-spent",
+                "quarantined",
+                "target-failed",
+                "store-down",
+                "key-reused",
+                "key-pending",
+                "fate-unknown",
+            ],
+        )
+
+
 class ServiceClientTest(VirtualTestCase):
     """How each end of a connection is interpreted."""
 
@@ -137,7 +167,7 @@
 
         outcome, ran, reason = self.confirm(prepare)
         self.assertEqual((outcome, ran), (Outcome.NOT_RUN, 0))
-        self.assertIs(reason, Reason.STALE_TABLE)
+        self.assertIs(reason, Reason.STALE_VIEW)
 
     def test_shutdown_waits_for_a_confirmation_under_way(self):
         async def task(world):
