--- a/berylshift/process/membership/members.py
+++ b/berylshift/process/membership/members.py
@@ -1,18 +1,16 @@
 """Membership: which peers are live, their last digests, and whom to send to next."""
 
-from berylshift.ids import HostName
-from berylshift.ids import Incarnation
-from berylshift.process.membership.digest import Digest
-from berylshift.process.membership.digest import Echo
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import HostState
-from berylshift.version.freshness import PeerConfirmation
-from collections import deque
-from dataclasses import dataclass
-from dataclasses import field
 import random
+from collections import deque
+from dataclasses import dataclass, field
+
 import xxhash
 
+from berylshift.ids import HostName, Incarnation
+from berylshift.process.membership.digest import Digest, Echo
+from berylshift.store.interfaces import HostEntry, HostState
+from berylshift.version.freshness import PeerConfirmation
+
 MAX_SENT_TIMES = 64
 MAX_PAST_INCARNATIONS = 8
 
--- a/berylshift/process/scaling/scale_planner.py
+++ b/berylshift/process/scaling/scale_planner.py
@@ -6,16 +6,15 @@
 once interruptible ones are running.
 """
 
-from berylshift.ids import DomainName
-from berylshift.ids import ServiceName
+import math
+from collections.abc import Iterable
+from dataclasses import dataclass
+
+from berylshift.ids import DomainName, ServiceName
 from berylshift.messages.leader_calls import CallResult
 from berylshift.messages.replicas import Replica
-from berylshift.messages.scaling import ReplicaKind
-from berylshift.messages.scaling import ScaleOrder
+from berylshift.messages.scaling import ReplicaKind, ScaleOrder
 from berylshift.version.routes import Scaling
-from collections.abc import Iterable
-from dataclasses import dataclass
-import math
 
 # While a system starts, replicas are listed one by one: they are counted once their
 # number has not changed for this long, in seconds.
--- a/berylshift/process/table/follower.py
+++ b/berylshift/process/table/follower.py
@@ -1,28 +1,23 @@
 """The loop that keeps this process's copy of the operators' table up to date."""
 
-from berylshift.clock import Clock
-from berylshift.ids import PoolName
-from berylshift.ids import TableVersion
-from berylshift.process.control.plans import PlanRow
-from berylshift.process.control.plans import Plans
-from berylshift.process.control.plans import plan_key
-from berylshift.process.membership.members import Membership
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import PlatformError
-from berylshift.store.interfaces import StoredRow
-from berylshift.version.changelog import TableLog
-from berylshift.version.changelog import TableLogError
-from berylshift.version.freshness import Freshness
-from berylshift.version.rows import Row
-from berylshift.version.table import EMPTY_TABLE
-from berylshift.version.table import Table
+import logging
 from collections.abc import Callable
 from dataclasses import dataclass
 from typing import Protocol
-import logging
+
 import msgspec
 import trio
 
+from berylshift.clock import Clock
+from berylshift.ids import PoolName, TableVersion
+from berylshift.process.control.plans import PlanRow, Plans, plan_key
+from berylshift.process.membership.members import Membership
+from berylshift.store.interfaces import HostEntry, PlatformError, StoredRow
+from berylshift.version.changelog import TableLog, TableLogError
+from berylshift.version.freshness import Freshness
+from berylshift.version.rows import Row
+from berylshift.version.table import EMPTY_TABLE, Table
+
 logger = logging.getLogger(__name__)
 
 
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -1,25 +1,25 @@
 """A burst of prompts for one engine: which are prefilled first, which are refused."""
 
+import random
+import unittest
+
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE
+from berylshift.process.targets.engine_speeds import PRIOR_PREFILL_RATE, EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placer
-from berylshift.request.prefill_scheduler import PrefillDecision
-from berylshift.request.prefill_scheduler import PrefillJob
-from berylshift.request.prefill_scheduler import PrefillScheduler
-from berylshift.request.slo_status import LEAST_LATE_SHARE
-from berylshift.request.slo_status import SloStatus
+from berylshift.request.prefill_scheduler import (
+    PrefillDecision,
+    PrefillJob,
+    PrefillScheduler,
+)
+from berylshift.request.slo_status import LEAST_LATE_SHARE, SloStatus
 from berylshift.tests.entry_world import route
-from berylshift.tests.test_request_placement import prompt
-from berylshift.tests.test_request_placement import replica
+from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
-import random
-import unittest
 
 ROUTE = route(
     "x", RouteKind.STREAM, objective_seconds=0.8, rank=0, event_gap_seconds=0.3
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -4,12 +4,12 @@
 berylshift.tools.proofs`` prints a row for each safeguard and exits 1 if one is green.
 """
 
-from dataclasses import dataclass
-from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
+from dataclasses import dataclass
+from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
--- a/berylshift/version/checks.py
+++ b/berylshift/version/checks.py
@@ -48,7 +48,7 @@
     if not 0 <= row.weight <= MAX_WEIGHT:
         yield _fault(row, "weight", f"must be 0 to {MAX_WEIGHT}")
     if row.limit < 0:
-        yield _fault(row, "limit", "must be 0 (no limit) or more")
+        yield _fault(row, "limit", "must be 0 (none) or more")
     if row.address and not is_valid_address(row.address):
         yield _fault(row, "address", "must be IP:PORT, as in 10.0.0.1:8000")
     if row.orders is not OrderCheck.NONE and row.kind is not RowKind.ENGINE:
