--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -145,13 +145,13 @@
         )
         response = await app.handler.call_service(call)
         await self.world.network.awake(app.cfg.host.name)
-        outcome = CALLER_OUTCOMES[response.ending.outcome]
+        outcome = CALLER_OUTCOMES[response.result.outcome]
         if (
             outcome is CallerOutcome.COMPLETE
             and service_echo(body).encode() not in response.body
         ):
             outcome = CallerOutcome.CUT
-        return _result(outcome, start, deadline, None, f"{number}: {response.ending}")
+        return _result(outcome, start, deadline, None, f"{number}: {response.result}")
 
     async def close(self) -> TargetCounts:
         """Compare the callers' outcomes with what the services ran."""
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -13,7 +13,13 @@
     CompletionDependencies,
     EngineAttempt,
 )
-from berylshift.request.messages import Ending, ModelCall, Outcome, Reason, ResponseSink
+from berylshift.request.messages import (
+    ModelCall,
+    NativeResult,
+    Outcome,
+    Reason,
+    ResponseSink,
+)
 from berylshift.request.retry_loop import StopReason, run_attempts
 from berylshift.request.retry_policy import (
     AttemptHistory,
@@ -53,16 +59,16 @@
         self._attempt_count = 0
         self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
 
-    async def run(self) -> Ending:
+    async def run(self) -> NativeResult:
         """Run the call; return how it ended, after all text was written to the sink."""
         scope = trio.CancelScope()
         with scope, self._deps.shutdown.bounding(scope):
             return await self._run()
         # The process stops before the completion has finished.
         outcome = self._history.outcome
-        return Ending(outcome, Reason.DRAINING, "", 1.0, self._answer.tokens)
+        return NativeResult(outcome, Reason.DRAINING, "", 1.0, self._answer.tokens)
 
-    async def _run(self) -> Ending:
+    async def _run(self) -> NativeResult:
         deps = self._deps
         stop_reason = await run_attempts(
             self, RETRY_BOUNDS, self._history, deps.retries, deps.clock
@@ -70,8 +76,8 @@
         if stop_reason is StopReason.DONE:
             tokens = self._answer.tokens
             deps.lengths.learn(self._call.caller.customer, self._call.model, tokens)
-            return Ending(Outcome.COMPLETE, tokens=tokens)
-        return self._failed_ending(stop_reason)
+            return NativeResult(Outcome.COMPLETE, tokens=tokens)
+        return self._failed_result(stop_reason)
 
     async def send(self) -> AttemptRecord | None:
         """Make one attempt, once an engine is available for it."""
@@ -157,7 +163,7 @@
         self._deps.decisions.log_refusal(self._call.request, "engine", refusal)
         return False
 
-    def _failed_ending(self, stop_reason: StopReason) -> Ending:
+    def _failed_result(self, stop_reason: StopReason) -> NativeResult:
         reason, wait = Reason.TARGET_FAILED, 1.0
         if stop_reason is StopReason.NO_PLACEMENT and self._refusal is not None:
             reason, wait = self._refusal.reason, self._refusal.retry_after
@@ -166,7 +172,7 @@
         elif stop_reason is StopReason.DEADLINE_PASSED and not self._answer.tokens:
             reason = Reason.TOO_LATE
         outcome = self._history.outcome
-        return Ending(outcome, reason, "", max(1.0, wait), self._answer.tokens)
+        return NativeResult(outcome, reason, "", max(1.0, wait), self._answer.tokens)
 
     async def _run_attempt(self, plan: Plan) -> AttemptRecord:
         """Make one attempt and return its record."""
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -8,7 +8,7 @@
 from berylshift.clock import Clock
 from berylshift.ids import RequestId, TargetName
 from berylshift.metrics import Metrics
-from berylshift.request.messages import Decision, Ending
+from berylshift.request.messages import Decision, NativeResult
 from berylshift.request.router import Plan, Refusal
 
 logger = logging.getLogger(__name__)
@@ -40,10 +40,10 @@
         """Record a failed attempt."""
         self._add(request, "failure", target, error, [])
 
-    def log_ending(self, request: RequestId, ending: Ending) -> None:
+    def log_result(self, request: RequestId, result: NativeResult) -> None:
         """Record how a request ended."""
-        self._metrics.incr(f"requests.{ending.outcome}")
-        detail = f"{ending.outcome}: {ending.reason} {ending.detail}".rstrip()
+        self._metrics.incr(f"requests.{result.outcome}")
+        detail = f"{result.outcome}: {result.reason} {result.detail}".rstrip()
         self._add(request, "ending", TargetName(""), detail, [])
 
     def explain(self, request: RequestId) -> list[Decision]:
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -84,8 +84,8 @@
     key: str = ""
 
 
-class Ending(msgspec.Struct, frozen=True):
-    """How a request ended; ``retry_after`` in seconds."""
+class NativeResult(msgspec.Struct, frozen=True):
+    """Outcome of a request of the native API; ``retry_after`` in seconds."""
 
     outcome: Outcome
     reason: Reason = Reason.OK
@@ -94,10 +94,10 @@
     tokens: int = 0
 
 
-class PlainEnding(msgspec.Struct, frozen=True):
-    """How a call to a plain service ended, with the response if there is one."""
+class ServiceCallResult(msgspec.Struct, frozen=True):
+    """Outcome of a call to a plain service, with the response if there is one."""
 
-    ending: Ending
+    result: NativeResult
     status: int = 0
     headers: dict[str, str] = {}
     body: bytes = b""
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -22,12 +22,12 @@
     DEADLINE_HEADER,
     KEY_HEADER,
     Caller,
-    Ending,
     ModelCall,
+    NativeResult,
     Outcome,
     PlainCall,
-    PlainEnding,
     Reason,
+    ServiceCallResult,
 )
 from berylshift.request.response_writer import (
     STATUS_BY_REASON,
@@ -160,7 +160,7 @@
             raise BadRequestError(f"{DEADLINE_HEADER}: must be whole milliseconds")
         return now + min(int(text) / 1000, self._deps.cfg.longest_request)
 
-    def admit(self, caller: Caller) -> Ending | None:
+    def admit(self, caller: Caller) -> NativeResult | None:
         """Return the refusal of a new request; ``None``: it is admitted."""
         reason = self._deps.closed()
         if reason is not None:
@@ -186,22 +186,22 @@
             deadline=self._deadline(req),
         )
         sink = StreamSink(out, body.model) if body.stream else BufferedSink()
-        ending = await self.complete(call, sink)
+        result = await self.complete(call, sink)
         if body.stream:
-            await sink.finish(ending)
-        elif ending.outcome is Outcome.COMPLETE:
+            await sink.finish(result)
+        elif result.outcome is Outcome.COMPLETE:
             await out.full(encode_completion(out.request, body.model, sink.joined()))
         else:
-            await out.problem(ending)
+            await out.problem(result)
 
-    async def complete(self, call: ModelCall, sink) -> Ending:
+    async def complete(self, call: ModelCall, sink) -> NativeResult:
         """Run a model call and log how it ended."""
-        ending = self.admit(call.caller)
-        if ending is None:
+        result = self.admit(call.caller)
+        if result is None:
             with self._in_flight():
-                ending = await Completion(self._deps.completions, call, sink).run()
-        self._deps.decisions.log_ending(call.request, ending)
-        return ending
+                result = await Completion(self._deps.completions, call, sink).run()
+        self._deps.decisions.log_result(call.request, result)
+        return result
 
     # Plain services
 
@@ -223,20 +223,20 @@
         )
         _check_key(call)
         found = await self.call_service(call)
-        if found.ending.outcome is Outcome.COMPLETE:
+        if found.result.outcome is Outcome.COMPLETE:
             await out.forward(found)
         else:
-            await out.problem(found.ending)
+            await out.problem(found.result)
 
-    async def call_service(self, call: PlainCall) -> PlainEnding:
+    async def call_service(self, call: PlainCall) -> ServiceCallResult:
         """Run a service call and log how it ended."""
-        ending = self.admit(call.caller)
-        if ending is None:
+        result = self.admit(call.caller)
+        if result is None:
             with self._in_flight():
                 found = await self._deps.services.run(call)
         else:
-            found = await self._deps.services.refuse(call, ending)
-        self._deps.decisions.log_ending(call.request, found.ending)
+            found = await self._deps.services.refuse(call, result)
+        self._deps.decisions.log_result(call.request, found.result)
         return found
 
 
@@ -279,8 +279,10 @@
         )
 
 
-def _not_run(reason: Reason, detail: str = "", wait_seconds: float = 1.0) -> Ending:
+def _not_run(
+    reason: Reason, detail: str = "", wait_seconds: float = 1.0
+) -> NativeResult:
     is_retryable = STATUS_BY_REASON[reason] in (429, 503)
-    return Ending(
+    return NativeResult(
         Outcome.NOT_RUN, reason, detail, wait_seconds if is_retryable else 0.0
     )
--- a/berylshift/request/response_writer.py
+++ b/berylshift/request/response_writer.py
@@ -10,10 +10,10 @@
     OUTCOME_HEADER,
     REQUEST_HEADER,
     RETRY_HEADER,
-    Ending,
+    NativeResult,
     Outcome,
-    PlainEnding,
     Reason,
+    ServiceCallResult,
 )
 
 PROBLEM_TYPE = "application/problem+json"
@@ -90,24 +90,24 @@
         headers = {**self._headers(Outcome.COMPLETE), "content-type": JSON_TYPE}
         await self._responder.full(STATUS_OK, headers, body)
 
-    async def forward(self, found: PlainEnding) -> None:
+    async def forward(self, found: ServiceCallResult) -> None:
         """Forward the response of a plain service."""
         headers = {**found.headers, **self._headers(Outcome.COMPLETE)}
         await self._responder.full(found.status, headers, found.body)
 
-    async def problem(self, ending: Ending) -> None:
+    async def problem(self, result: NativeResult) -> None:
         """Send an error, with Retry-After where a retry can help."""
-        status = STATUS_BY_REASON[ending.reason]
-        headers = {**self._headers(ending.outcome), "content-type": PROBLEM_TYPE}
-        if ending.retry_after > 0:
-            headers[RETRY_HEADER] = str(math.ceil(ending.retry_after))
+        status = STATUS_BY_REASON[result.reason]
+        headers = {**self._headers(result.outcome), "content-type": PROBLEM_TYPE}
+        if result.retry_after > 0:
+            headers[RETRY_HEADER] = str(math.ceil(result.retry_after))
         problem = Problem(
-            type=f"urn:berylshift:{ending.reason.name.lower().replace('_', '-')}",
-            title=ending.reason.value,
+            type=f"urn:berylshift:{result.reason.name.lower().replace('_', '-')}",
+            title=result.reason.value,
             status=status,
-            outcome=ending.outcome.value,
+            outcome=result.outcome.value,
             request=self.request,
-            detail=ending.detail,
+            detail=result.detail,
         )
         await self._responder.full(status, headers, msgspec.json.encode(problem))
 
@@ -168,16 +168,16 @@
             await self._out.start_events()
         await self._out.event(encode_completion(self._out.request, self._model, text))
 
-    async def finish(self, ending: Ending) -> None:
+    async def finish(self, result: NativeResult) -> None:
         """End the stream; if the completion is incomplete, send no end marker."""
         if not self._started:
-            await self._out.problem(ending)
+            await self._out.problem(result)
             return
         event = OutcomeEvent(
-            ending.outcome.value, self._out.request, ending.reason.value, ending.tokens
+            result.outcome.value, self._out.request, result.reason.value, result.tokens
         )
         await self._out.event(msgspec.json.encode(event), "outcome")
-        if ending.outcome is Outcome.COMPLETE:
+        if result.outcome is Outcome.COMPLETE:
             await self._out.event(b"[DONE]")
             await self._out.end()
 
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -2,7 +2,13 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import AttemptId
-from berylshift.request.messages import Ending, Outcome, PlainCall, PlainEnding, Reason
+from berylshift.request.messages import (
+    NativeResult,
+    Outcome,
+    PlainCall,
+    Reason,
+    ServiceCallResult,
+)
 from berylshift.request.retry_loop import Budget, StopReason, run_attempts
 from berylshift.request.retry_policy import AttemptHistory, AttemptRecord
 from berylshift.request.retry_targets import RETRY_BOUNDS, excluded_targets
@@ -23,31 +29,35 @@
         self._clock: Clock = sender.clock
         self._crash_watch = sender.crash_watches.for_service_call(call)
         self._history = AttemptHistory()
-        self._refusal: Ending | None = None
+        self._refusal: NativeResult | None = None
         self._response: ServiceResponse | None = None
 
-    async def run(self) -> PlainEnding:
+    async def run(self) -> ServiceCallResult:
         """Run the call and return how it ended."""
         end = await run_attempts(
             self, RETRY_BOUNDS, self._history, self._budget, self._clock
         )
         if self._response is not None:
             response = self._response
-            ending = Ending(Outcome.COMPLETE)
-            return PlainEnding(ending, response.status, response.headers, response.body)
-        return PlainEnding(self._failed(end))
+            result = NativeResult(Outcome.COMPLETE)
+            return ServiceCallResult(
+                result, response.status, response.headers, response.body
+            )
+        return ServiceCallResult(self._failed(end))
 
-    def shutdown_ending(self) -> PlainEnding:
+    def shutdown_result(self) -> ServiceCallResult:
         """Return how the call ended if the process stops before it completes."""
         outcome = self._history.outcome
-        return PlainEnding(Ending(outcome, Reason.DRAINING, "", RETRY_AFTER_SECONDS))
+        return ServiceCallResult(
+            NativeResult(outcome, Reason.DRAINING, "", RETRY_AFTER_SECONDS)
+        )
 
     async def send(self) -> AttemptRecord | None:
         """Make one attempt, on a replica that has not failed this call yet."""
         placed = self._sender.quarantine_refusal(
             self._crash_watch
         ) or self._sender.place(self._call, excluded_targets(self._history))
-        if isinstance(placed, Ending):
+        if isinstance(placed, NativeResult):
             self._refusal = placed
             return None
         number = len(self._history.attempts) + 1
@@ -67,11 +77,13 @@
         """Return ``False``: no part of the response has been passed on yet."""
         return False
 
-    def _failed(self, end: StopReason) -> Ending:
+    def _failed(self, end: StopReason) -> NativeResult:
         outcome = self._history.outcome
         if end is StopReason.NO_PLACEMENT and self._refusal is not None:
             refusal = self._refusal
-            return Ending(outcome, refusal.reason, refusal.detail, refusal.retry_after)
+            return NativeResult(
+                outcome, refusal.reason, refusal.detail, refusal.retry_after
+            )
         budget_spent = end is StopReason.RETRY_BUDGET_SPENT
         reason = Reason.RETRIES_SPENT if budget_spent else Reason.TARGET_FAILED
-        return Ending(outcome, reason, "", RETRY_AFTER_SECONDS)
+        return NativeResult(outcome, reason, "", RETRY_AFTER_SECONDS)
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -16,7 +16,13 @@
 from berylshift.request import confirmation
 from berylshift.request.confirmation import Confirmation, ConfirmRow, Event, Step
 from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.messages import Ending, Outcome, PlainCall, PlainEnding, Reason
+from berylshift.request.messages import (
+    NativeResult,
+    Outcome,
+    PlainCall,
+    Reason,
+    ServiceCallResult,
+)
 from berylshift.request.retry_policy import AttemptRecord
 from berylshift.request.retryable_call import RetryableCall
 from berylshift.request.service_sender import ServiceSender
@@ -72,27 +78,27 @@
             self._nursery = nursery
             await trio.sleep_forever()
 
-    async def run(self, call: PlainCall) -> PlainEnding:
+    async def run(self, call: PlainCall) -> ServiceCallResult:
         """Run a call and return how it ended."""
         if call.idempotent:
             return await self._run_lookup(call)
         return await self._confirm_in_background(call)
 
-    async def _run_lookup(self, call: PlainCall) -> PlainEnding:
+    async def _run_lookup(self, call: PlainCall) -> ServiceCallResult:
         lookup = RetryableCall(self._deps.sender, call, self._deps.retries)
         scope = trio.CancelScope()
         with scope, self._deps.shutdown.bounding(scope):
             return await lookup.run()
-        return lookup.shutdown_ending()
+        return lookup.shutdown_result()
 
-    async def _confirm_in_background(self, call: PlainCall) -> PlainEnding:
+    async def _confirm_in_background(self, call: PlainCall) -> ServiceCallResult:
         """Run the confirmation in a task that is not cancelled with the request.
 
         Otherwise a caller that disconnects would leave its key's row without a result,
         and the key's outcome would stay unknown for ever.
         """
         done = trio.Event()
-        found: list[PlainEnding] = []
+        found: list[ServiceCallResult] = []
 
         async def run_confirmation() -> None:
             self.open_confirmations += 1
@@ -102,7 +108,9 @@
                 # An error must not stop the process and all other requests.
                 logger.exception("confirmation failed")
                 found.append(
-                    PlainEnding(Ending(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN))
+                    ServiceCallResult(
+                        NativeResult(Outcome.UNKNOWN, Reason.OUTCOME_UNKNOWN)
+                    )
                 )
             finally:
                 self.open_confirmations -= 1
@@ -112,14 +120,14 @@
         await done.wait()
         return found[0]
 
-    async def refuse(self, call: PlainCall, ending: Ending) -> PlainEnding:
+    async def refuse(self, call: PlainCall, result: NativeResult) -> ServiceCallResult:
         """Return the refusal of a call that is not admitted.
 
         "Not run" may be reported for a key only if its row can be read: an earlier
         request with the key, at another host, may have run.
         """
         if call.idempotent:
-            return PlainEnding(ending)
+            return ServiceCallResult(result)
         state = self._new_state(call)
         with trio.move_on_after(KEY_LOOKUP_TIMEOUT_SECONDS):
             await self._read(
@@ -128,13 +136,13 @@
             if state.step is Step.ANSWER:
                 return _confirmed(state)
             if state.step in (Step.INSERT, Step.TAKE_OVER):
-                return PlainEnding(ending)
-        unknown = msgspec.structs.replace(ending, outcome=Outcome.UNKNOWN)
-        return PlainEnding(unknown)
+                return ServiceCallResult(result)
+        unknown = msgspec.structs.replace(result, outcome=Outcome.UNKNOWN)
+        return ServiceCallResult(unknown)
 
     # Confirmations
 
-    async def _confirm(self, call: PlainCall) -> PlainEnding:
+    async def _confirm(self, call: PlainCall) -> ServiceCallResult:
         state = self._new_state(call)
         key = confirmation.row_key(call.caller.customer, call.key)
         tried: set[TargetName] = set()
@@ -145,7 +153,7 @@
         with self._deps.last_sends.bounding(state):
             if self._deps.clock.monotonic() >= state.deadline:
                 # The process would stop before the call has finished.
-                draining = Ending(
+                draining = NativeResult(
                     Outcome.NOT_RUN, Reason.DRAINING, "", DRAINING_RETRY_SECONDS
                 )
                 return await self.refuse(call, draining)
@@ -231,7 +239,7 @@
     ) -> None:
         sender = self._deps.sender
         plan = sender.place(call, frozenset(tried))
-        if isinstance(plan, Ending):
+        if isinstance(plan, NativeResult):
             state.on_no_target(plan.reason)
             return
         tried.add(plan.target.name)
@@ -257,9 +265,9 @@
         state.on_recorded()
 
 
-def _confirmed(state: Confirmation) -> PlainEnding:
-    ending = Ending(state.outcome, state.reason, "", state.retry_after)
+def _confirmed(state: Confirmation) -> ServiceCallResult:
+    result = NativeResult(state.outcome, state.reason, "", state.retry_after)
     if state.answer is None or state.outcome is not Outcome.COMPLETE:
-        return PlainEnding(ending)
+        return ServiceCallResult(result)
     answer = state.answer
-    return PlainEnding(ending, answer.status, answer.headers, answer.body)
+    return ServiceCallResult(result, answer.status, answer.headers, answer.body)
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -12,7 +12,7 @@
 from berylshift.request.crash_watch import CrashWatch, QuarantinedError
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
-from berylshift.request.messages import Ending, Outcome, PlainCall, Reason
+from berylshift.request.messages import NativeResult, Outcome, PlainCall, Reason
 from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
 from berylshift.request.router import Plan, ReplicaChooser, RoutingContext, WorkItem
 from berylshift.request.target_check import accepts_connections
@@ -47,18 +47,20 @@
     timeout_seconds: float
     crash_watches: CrashWatchFactory
 
-    def quarantine_refusal(self, watch: CrashWatch) -> Ending | None:
+    def quarantine_refusal(self, watch: CrashWatch) -> NativeResult | None:
         """Return the refusal of a call that is quarantined for crashing replicas."""
         try:
             watch.check()
         except QuarantinedError as exc:
-            return Ending(Outcome.NOT_RUN, Reason.QUARANTINED, "", exc.seconds)
+            return NativeResult(Outcome.NOT_RUN, Reason.QUARANTINED, "", exc.seconds)
         return None
 
-    def place(self, call: PlainCall, exclude: frozenset[TargetName]) -> Plan | Ending:
+    def place(
+        self, call: PlainCall, exclude: frozenset[TargetName]
+    ) -> Plan | NativeResult:
         """Choose a replica for ``call``; return a refusal if there is none."""
         if not self.may_route():
-            return Ending(Outcome.NOT_RUN, Reason.STALE_TABLE, "", 1.0)
+            return NativeResult(Outcome.NOT_RUN, Reason.STALE_TABLE, "", 1.0)
         now = self.clock.monotonic()
         item = WorkItem(
             request=call.request,
@@ -77,7 +79,9 @@
                 return plan
             case Failure(refusal):
                 self.decisions.log_refusal(call.request, "replica", refusal)
-                return Ending(Outcome.NOT_RUN, refusal.reason, "", refusal.retry_after)
+                return NativeResult(
+                    Outcome.NOT_RUN, refusal.reason, "", refusal.retry_after
+                )
 
     async def run(
         self, plan: Plan, call: PlainCall, attempt: AttemptId, watch: CrashWatch
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -27,7 +27,7 @@
             outcomes = []
             for _ in range(90):
                 end = await call_service(world.hosts["host-1"], plain_call())
-                outcomes.append(end.ending.outcome)
+                outcomes.append(end.result.outcome)
                 await trio.sleep(0.08)
             return refusing.refused, set(outcomes)
 
--- a/berylshift/tests/test_confirmations.py
+++ b/berylshift/tests/test_confirmations.py
@@ -149,14 +149,14 @@
 
         found, ran = run_world(task)
         self.assertEqual(ran, 1)
-        self.assertEqual({item.ending.outcome for item in found}, {Outcome.COMPLETE})
+        self.assertEqual({item.result.outcome for item in found}, {Outcome.COMPLETE})
         self.assertEqual(found[0].body, found[1].body)
 
     def test_lost_store_responses_still_run_the_call_once(self):
         async def task(world):
             world.platform.script.lose_answers = 2
             found = await call_service(world.hosts["host-1"], plain_call("k"))
-            return found.ending.outcome, world.ran["k"]
+            return found.result.outcome, world.ran["k"]
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, 1))
 
@@ -168,7 +168,7 @@
                 replica.script.lose_answers = 1
             first = await call_service(world.hosts["host-1"], plain_call("k"))
             again = await call_service(world.hosts["host-2"], plain_call("k"))
-            return first.ending.outcome, again.ending.outcome, world.ran["k"]
+            return first.result.outcome, again.result.outcome, world.ran["k"]
 
         found = run_world(task)
         self.assertEqual(found, (Outcome.UNKNOWN, Outcome.UNKNOWN, 1))
@@ -190,7 +190,7 @@
                 world.hosts["host-1"].kill()
             world.platform.script.down = True
             found = await call_service(world.hosts["host-2"], plain_call("k"))
-            return found.ending, world.ran["k"]
+            return found.result, world.ran["k"]
 
         ending, ran = run_world(task)
         self.assertEqual(ran, 1)
@@ -206,7 +206,7 @@
             app.limits.admit = lambda customer, now: 5.0
             same = await call_service(world.hosts["host-2"], plain_call("k"))
             other = await call_service(world.hosts["host-2"], plain_call("k2"))
-            return first.ending, same.ending, other.ending
+            return first.result, same.result, other.result
 
         first, same, other = run_world(task)
         self.assertIs(first.outcome, Outcome.COMPLETE)
@@ -233,7 +233,7 @@
             world.platform.script.down = False
             await trio.sleep(8)
             again = await call_service(world.hosts["host-2"], plain_call("k"))
-            return found[0].ending.outcome, again.ending.outcome, world.ran["k"]
+            return found[0].result.outcome, again.result.outcome, world.ran["k"]
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, Outcome.COMPLETE, 1))
 
@@ -255,7 +255,7 @@
             again = await call_service(
                 world.hosts["host-2"], plain_call("k", seconds=2.0)
             )
-            return again.ending, world.ran["k"]
+            return again.result, world.ran["k"]
 
         ending, ran = run_world(task)
         self.assertIs(ending.outcome, Outcome.UNKNOWN, ending)
@@ -272,7 +272,7 @@
                 replica.script.refuse = False
             await trio.sleep(3)
             again = await call_service(world.hosts["host-2"], plain_call("k"))
-            return first.ending.outcome, again.ending.outcome, world.ran["k"]
+            return first.result.outcome, again.result.outcome, world.ran["k"]
 
         found = run_world(task)
         self.assertEqual(found, (Outcome.NOT_RUN, Outcome.COMPLETE, 1))
@@ -281,7 +281,7 @@
         async def task(world):
             await call_service(world.hosts["host-1"], plain_call("k", b"one"))
             found = await call_service(world.hosts["host-2"], plain_call("k", b"two"))
-            return found.ending.reason, world.ran["k"]
+            return found.result.reason, world.ran["k"]
 
         self.assertEqual(run_world(task), (Reason.KEY_REUSED, 1))
 
--- a/berylshift/tests/test_crashing_calls.py
+++ b/berylshift/tests/test_crashing_calls.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from berylshift.request.messages import Ending, Outcome, Reason
+from berylshift.request.messages import NativeResult, Outcome, Reason
 from berylshift.tests.world import (
     call_service,
     complete,
@@ -25,7 +25,9 @@
 BAD_BODY = b"ends what runs it"
 
 
-async def retry_repeatedly(ask: Callable[[int], Awaitable[Ending]]) -> list[Ending]:
+async def retry_repeatedly(
+    ask: Callable[[int], Awaitable[NativeResult]],
+) -> list[NativeResult]:
     """Have one caller retry every half second, at each host in turn."""
     endings = []
     end = trio.current_time() + SCENARIO_SECONDS
@@ -100,7 +102,7 @@
             for replica in world.replicas.values():
                 replica.script.lose_answers = 0
             again = await call_service(world.hosts["host-2"], plain_call())
-            return first.ending.outcome, again.ending.outcome
+            return first.result.outcome, again.result.outcome
 
         found = run_world(task, small_rows(replicas=3))
         self.assertEqual(found, (Outcome.UNKNOWN, Outcome.COMPLETE))
@@ -117,7 +119,7 @@
             async def ask(number):
                 host = world.hosts[f"host-{number % 2 + 1}"]
                 call = plain_call(keys(number), BAD_BODY)
-                return (await call_service(host, call)).ending
+                return (await call_service(host, call)).result
 
             endings = await retry_repeatedly(ask)
             crashed = sum(not replica.alive for replica in world.replicas.values())
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -248,7 +248,7 @@
             await trio.sleep(120)
             ending, _ = await complete(world.hosts["host-1"], model_call(1))
             lookup = await call_service(world.hosts["host-2"], plain_call())
-            return ending.outcome, lookup.ending.outcome
+            return ending.outcome, lookup.result.outcome
 
         found = run_world(task, hosts=3)
         self.assertEqual(found, (Outcome.COMPLETE, Outcome.COMPLETE))
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -102,7 +102,7 @@
             await prepare(world)
             found = await call_service(world.hosts["host-1"], plain_call("k"))
             await trio.sleep(3)
-            return found.ending.outcome, world.ran["k"], found.ending.reason
+            return found.result.outcome, world.ran["k"], found.result.reason
 
         return run_world(task)
 
@@ -153,7 +153,7 @@
                 nursery.start_soon(ask)
                 await trio.sleep(0.5)
                 nursery.start_soon(host.stop)
-            return found[0].ending.outcome, world.ran["k"]
+            return found[0].result.outcome, world.ran["k"]
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, 1))
 
@@ -168,7 +168,7 @@
                 await call_service(world.hosts["host-1"], plain_call())
                 for _ in range(6)
             ]
-            return {item.ending.outcome for item in found}
+            return {item.result.outcome for item in found}
 
         self.assertEqual(run_world(task), {Outcome.COMPLETE})
 
@@ -177,7 +177,7 @@
             for service in world.services.values():
                 service.script.lose_answers = 100
             found = await call_service(world.hosts["host-1"], plain_call())
-            return found.ending.outcome
+            return found.result.outcome
 
         self.assertIs(run_world(task), Outcome.UNKNOWN)
 
--- a/berylshift/tests/test_shutdown.py
+++ b/berylshift/tests/test_shutdown.py
@@ -212,7 +212,7 @@
             async def caller(ask):
                 with contextlib.suppress(HostDownError):
                     call = plain_call("k", seconds=30.0)
-                    found.append((await call_service(stop.host, call)).ending.outcome)
+                    found.append((await call_service(stop.host, call)).result.outcome)
 
             async def store():
                 await trio.sleep(back)
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -6,10 +6,10 @@
 from berylshift.replay.virtual_fleet import FleetSpec, VirtualHost, VirtualWorld
 from berylshift.request.messages import (
     Caller,
-    Ending,
     ModelCall,
+    NativeResult,
     PlainCall,
-    PlainEnding,
+    ServiceCallResult,
 )
 from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.tests.support import (
@@ -75,7 +75,7 @@
     return completion_text(call.prompt, call.max_tokens)
 
 
-async def complete(host: VirtualHost, call: ModelCall) -> tuple[Ending, str]:
+async def complete(host: VirtualHost, call: ModelCall) -> tuple[NativeResult, str]:
     """Make a model call at a host."""
     sink = TextSink()
     with host.call() as app:
@@ -99,7 +99,7 @@
     )
 
 
-async def call_service(host: VirtualHost, call: PlainCall) -> PlainEnding:
+async def call_service(host: VirtualHost, call: PlainCall) -> ServiceCallResult:
     """Make a plain call at a host."""
     with host.call() as app:
         return await app.handler.call_service(call)
