--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -198,7 +198,7 @@
             client=ports.engines,
             context=self.context,
             router=router,
-            retries=retries,
+            retry_budget=retries,
             lengths=OutputLengths(),
             decisions=self.decisions,
             meter=self.meter,
@@ -223,7 +223,7 @@
         services = ServiceDependencies(
             clock=ports.clock,
             sender=sender,
-            retries=retries,
+            retry_budget=retries,
             gate=self.gate,
             pending=self.pending,
             rng=ports.rng,
--- a/berylshift/messages/routed.py
+++ b/berylshift/messages/routed.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from berylshift.ids import CustomerName, PartId, ReplicaName, RequestId
+from berylshift.ids import BlockId, CustomerName, ReplicaName, RequestId
 from berylshift.version.customers import ApiKey
 
 Header = tuple[bytes, bytes]
@@ -14,7 +14,7 @@
 class PromptBlock(msgspec.Struct, frozen=True):
     """One block of a prompt; prompts with the same leading blocks share a prefix."""
 
-    id: PartId
+    id: BlockId
     tokens: int
 
 
--- a/berylshift/model/kept.py
+++ b/berylshift/model/kept.py
@@ -2,7 +2,7 @@
 
 from collections import OrderedDict
 
-from berylshift.ids import PartId
+from berylshift.ids import BlockId
 from berylshift.messages.routed import Prompt
 
 
@@ -12,7 +12,7 @@
     def __init__(self, most_tokens: int):
         """Hold at most ``most_tokens``."""
         self._most = most_tokens
-        self._parts: OrderedDict[PartId, int] = OrderedDict()
+        self._parts: OrderedDict[BlockId, int] = OrderedDict()
         self._tokens = 0
 
     def begins(self, prompt: Prompt) -> int:
--- a/berylshift/model/traffic.py
+++ b/berylshift/model/traffic.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from berylshift.ids import Fingerprint, PartId
+from berylshift.ids import BlockId, Fingerprint
 from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.model.figures import KindFigures, PartFigures, SiteFigures
 
@@ -65,7 +65,7 @@
         """Draw the shared parts' sizes once: they belong to the site."""
         self._site = site
         self._rng = rng
-        self._sizes: dict[PartId, int] = {}
+        self._sizes: dict[BlockId, int] = {}
 
     def arrivals(self, seconds: float, bursts: tuple[Burst, ...]) -> list[Arrival]:
         """Return the prompts of so many seconds, in order."""
@@ -125,7 +125,7 @@
             self._shared(kind, place, part) for place, part in enumerate(kind.shared)
         ]
         own = max(1, round(self._draw(kind.own)))
-        name = PartId(f"{self._rng.getrandbits(64):016x}")
+        name = BlockId(f"{self._rng.getrandbits(64):016x}")
         parts.append(PromptBlock(name, own))
         tokens = sum(part.tokens for part in parts)
         return Prompt(tuple(parts), tokens, OUTPUT_TOKENS)
@@ -133,7 +133,7 @@
     def _shared(self, kind: KindFigures, place: int, part: PartFigures) -> PromptBlock:
         weights = [(number + 1) ** -part.skew for number in range(part.count)]
         (number,) = self._rng.choices(range(part.count), weights)
-        name = PartId(f"{kind.name}-{place}-{number}")
+        name = BlockId(f"{kind.name}-{place}-{number}")
         size = self._sizes.get(name)
         if size is None:
             size = self._sizes[name] = max(1, round(self._draw(part)))
--- a/berylshift/platform/codec.py
+++ b/berylshift/platform/codec.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from berylshift.ids import CustomerName, PartId, ReplicaName, RequestId
+from berylshift.ids import BlockId, CustomerName, ReplicaName, RequestId
 from berylshift.messages.retry_after import parse_retry_after
 from berylshift.messages.routed import (
     Body,
@@ -235,7 +235,7 @@
     found = []
     for entry in value.decode("ascii").split(","):
         block, _, tokens = entry.strip().partition(":")
-        found.append(PromptBlock(PartId(block), int(tokens)))
+        found.append(PromptBlock(BlockId(block), int(tokens)))
     return tuple(found)
 
 
--- a/berylshift/process/directory/pools.py
+++ b/berylshift/process/directory/pools.py
@@ -8,7 +8,7 @@
 
 import xxhash
 
-from berylshift.ids import InstanceId, PartId
+from berylshift.ids import BlockId, InstanceId
 from berylshift.messages.load_digest import target_hash
 from berylshift.messages.replicas import EnginePhase, Replica
 
@@ -33,9 +33,9 @@
         self._prefill_engines_by_hash = {
             target_hash(rep.instance): rep for rep in self.prefill_engines
         }
-        self._homes: OrderedDict[PartId, tuple[Replica, ...]] = OrderedDict()
+        self._homes: OrderedDict[BlockId, tuple[Replica, ...]] = OrderedDict()
 
-    def homes(self, block: PartId) -> tuple[Replica, ...]:
+    def homes(self, block: BlockId) -> tuple[Replica, ...]:
         """Return the prefill engines that are a block's homes, the primary one first.
 
         Rendezvous hashing: an engine's rank depends only on the block and the engine,
@@ -61,5 +61,5 @@
 EMPTY_POOL = Pool([])
 
 
-def _rendezvous_rank(block: PartId, instance: InstanceId) -> int:
+def _rendezvous_rank(block: BlockId, instance: InstanceId) -> int:
     return xxhash.xxh64_intdigest(f"{block}/{instance}".encode())
--- a/berylshift/process/targets/prefix_cache_index.py
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -17,7 +17,7 @@
 
 import xxhash
 
-from berylshift.ids import InstanceId, PartId
+from berylshift.ids import BlockId, InstanceId
 from berylshift.messages.load_digest import MAX_CACHED_HASHES, BlockPrefill, target_hash
 
 # The share of an engine's KV cache that prefix blocks fill: prompts in prefill, and
@@ -31,7 +31,7 @@
 
 
 @functools.lru_cache(MAX_CACHED_HASHES)
-def block_hash(block: PartId) -> int:
+def block_hash(block: BlockId) -> int:
     """Return the 32-bit hash that stands for a prefix block in digests."""
     return xxhash.xxh32_intdigest(block.encode())
 
@@ -82,7 +82,7 @@
         self._count = 0
 
     def note_sent(
-        self, block: PartId, tokens: int, instance: InstanceId, now: float
+        self, block: BlockId, tokens: int, instance: InstanceId, now: float
     ) -> None:
         """Record that this host sends a block to an engine.
 
@@ -122,7 +122,7 @@
             del self._engines[target]
 
     def is_cached(
-        self, block: PartId, instance: InstanceId, capacity_tokens: float
+        self, block: BlockId, instance: InstanceId, capacity_tokens: float
     ) -> bool:
         """Return whether an engine with a KV cache of that size caches a block."""
         target = target_hash(instance)
@@ -133,7 +133,7 @@
             self._evict_oldest(target)
         return False
 
-    def engines_caching(self, block: PartId) -> list[int]:
+    def engines_caching(self, block: BlockId) -> list[int]:
         """Return the engines that may cache a block, by their short hashes."""
         return list(self._engines_by_block.get(block_hash(block), ()))
 
--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -41,7 +41,7 @@
         self.texts: list[str] = []
         self.first_token_at: float | None = None
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         if self.first_token_at is None:
             self.first_token_at = trio.current_time()
         self.texts.append(text)
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -31,7 +31,7 @@
     excluded_targets,
     preferred_target,
 )
-from berylshift.request.router import Plan, Refusal, WorkItem
+from berylshift.request.router import PlacementRefusal, Plan, WorkItem
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import EngineCall, KvSource
 from berylshift.utils import estimate_token_count
@@ -51,7 +51,7 @@
         self._call = call
         self._sink = sink
         self._history = AttemptHistory()
-        self._refusal: Refusal | None = None
+        self._refusal: PlacementRefusal | None = None
         self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
         self._prompt_tokens = estimate_token_count(call.prompt)
@@ -71,7 +71,7 @@
     async def _run(self) -> NativeResult:
         deps = self._deps
         stop_reason = await run_attempts(
-            self, RETRY_BOUNDS, self._history, deps.retries, deps.clock
+            self, RETRY_BOUNDS, self._history, deps.retry_budget, deps.clock
         )
         if stop_reason is StopReason.DONE:
             tokens = self._answer.tokens
@@ -99,7 +99,7 @@
         try:
             self._crash_watch.check(response_started=self._answer.tokens > 0)
         except QuarantinedError as exc:
-            self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
+            self._refusal = PlacementRefusal(Reason.QUARANTINED, exc.seconds)
             self._deps.decisions.log_refusal(
                 self._call.request, "engine", self._refusal
             )
@@ -123,10 +123,10 @@
     def _now(self) -> float:
         return self._deps.clock.monotonic()
 
-    def _choose(self) -> Result[Plan, Refusal]:
+    def _choose(self) -> Result[Plan, PlacementRefusal]:
         # A retry is new work, which a draining host or a stale table must not place.
         if not self._deps.may_route():
-            return Failure(Refusal(Reason.STALE_TABLE, 1.0))
+            return Failure(PlacementRefusal(Reason.STALE_TABLE, 1.0))
         return self._deps.router.choose(
             self._work_item(), self._deps.table(), self._now()
         )
@@ -150,7 +150,7 @@
             must_place=self._history.may_have_run,
         )
 
-    async def _wait_for_placement(self, refusal: Refusal) -> bool:
+    async def _wait_for_placement(self, refusal: PlacementRefusal) -> bool:
         """Wait for an engine if the response has started; else record the refusal.
 
         Return whether to try again.
@@ -255,7 +255,7 @@
             self._deps.meter.decode(pool, count, self._now())
             text = self._answer.take_new_text()
             if text:
-                await self._sink.text(text)
+                await self._sink.write_text(text)
             return status is ChunkStatus.COMPLETE
 
         before = self._answer.tokens
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -9,7 +9,7 @@
 from berylshift.ids import RequestId, TargetName
 from berylshift.metrics import Metrics
 from berylshift.request.messages import Decision, NativeResult
-from berylshift.request.router import Plan, Refusal
+from berylshift.request.router import PlacementRefusal, Plan
 
 logger = logging.getLogger(__name__)
 
@@ -31,7 +31,9 @@
             reason = f"{reason}; prefill on {plan.prefill_on.name}"
         self._add(request, kind, plan.target.name, reason, plan.estimates)
 
-    def log_refusal(self, request: RequestId, kind: str, refusal: Refusal) -> None:
+    def log_refusal(
+        self, request: RequestId, kind: str, refusal: PlacementRefusal
+    ) -> None:
         """Record that a request was refused."""
         no_target = TargetName("")
         self._add(request, kind, no_target, refusal.reason, refusal.estimates)
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -42,7 +42,7 @@
     client: EngineClient
     context: RoutingContext
     router: Router
-    retries: RetryBudget
+    retry_budget: RetryBudget
     lengths: OutputLengths
     decisions: DecisionLog
     meter: DemandMeter
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -106,7 +106,7 @@
 class ResponseSink(Protocol):
     """Receives the text of a response while it is generated."""
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Forward a piece of text; waits while the caller reads slowly."""
 
 
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -127,7 +127,7 @@
     async def _route(self, req: HttpRequest, out: ResponseWriter) -> None:
         caller = self._caller(req)
         if caller is None:
-            await out.problem(_not_run(Reason.UNKNOWN_CALLER))
+            await out.send_problem(_not_run(Reason.UNKNOWN_CALLER))
             return
         try:
             if req.path == COMPLETIONS_PATH:
@@ -135,9 +135,9 @@
             elif req.path.startswith(SERVICES_PATH):
                 await self._service(req, out, caller)
             else:
-                await out.problem(_not_run(Reason.NO_SUCH_WORK, "no such path"))
+                await out.send_problem(_not_run(Reason.NO_SUCH_WORK, "no such path"))
         except BadRequestError as exc:
-            await out.problem(_not_run(Reason.BAD_REQUEST, str(exc)))
+            await out.send_problem(_not_run(Reason.BAD_REQUEST, str(exc)))
 
     async def _health(self, req: HttpRequest, responder: Responder) -> None:
         is_healthy = req.path == LIVE_PATH or self._deps.ready()
@@ -190,9 +190,11 @@
         if body.stream:
             await sink.finish(result)
         elif result.outcome is Outcome.COMPLETE:
-            await out.full(encode_completion(out.request, body.model, sink.joined()))
+            await out.send_full(
+                encode_completion(out.request, body.model, sink.full_text())
+            )
         else:
-            await out.problem(result)
+            await out.send_problem(result)
 
     async def complete(self, call: ModelCall, sink) -> NativeResult:
         """Run a model call and log how it ended."""
@@ -226,7 +228,7 @@
         if found.result.outcome is Outcome.COMPLETE:
             await out.forward(found)
         else:
-            await out.problem(found.result)
+            await out.send_problem(found.result)
 
     async def call_service(self, call: PlainCall) -> ServiceCallResult:
         """Run a service call and log how it ended."""
--- a/berylshift/request/response_writer.py
+++ b/berylshift/request/response_writer.py
@@ -85,7 +85,7 @@
         self._responder = responder
         self.request = request
 
-    async def full(self, body: bytes) -> None:
+    async def send_full(self, body: bytes) -> None:
         """Send a complete response."""
         headers = {**self._headers(Outcome.COMPLETE), "content-type": JSON_TYPE}
         await self._responder.full(STATUS_OK, headers, body)
@@ -95,7 +95,7 @@
         headers = {**found.headers, **self._headers(Outcome.COMPLETE)}
         await self._responder.full(found.status, headers, found.body)
 
-    async def problem(self, result: NativeResult) -> None:
+    async def send_problem(self, result: NativeResult) -> None:
         """Send an error, with Retry-After where a retry can help."""
         status = STATUS_BY_REASON[result.reason]
         headers = {**self._headers(result.outcome), "content-type": PROBLEM_TYPE}
@@ -120,7 +120,7 @@
         }
         await self._responder.start(STATUS_OK, headers)
 
-    async def event(self, data: bytes, name: str = "") -> None:
+    async def send_event(self, data: bytes, name: str = "") -> None:
         """Send one server-sent event."""
         head = f"event: {name}\n".encode() if name else b""
         await self._responder.send(head + b"data: " + data + b"\n\n")
@@ -140,11 +140,11 @@
         """Start empty."""
         self._texts: list[str] = []
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Append text."""
         self._texts.append(text)
 
-    def joined(self) -> str:
+    def full_text(self) -> str:
         """Return all text."""
         return "".join(self._texts)
 
@@ -161,24 +161,26 @@
         self._model = model
         self._started = False
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Send text as one event."""
         if not self._started:
             self._started = True
             await self._out.start_events()
-        await self._out.event(encode_completion(self._out.request, self._model, text))
+        await self._out.send_event(
+            encode_completion(self._out.request, self._model, text)
+        )
 
     async def finish(self, result: NativeResult) -> None:
         """End the stream; if the completion is incomplete, send no end marker."""
         if not self._started:
-            await self._out.problem(result)
+            await self._out.send_problem(result)
             return
         event = OutcomeEvent(
             result.outcome.value, self._out.request, result.reason.value, result.tokens
         )
-        await self._out.event(msgspec.json.encode(event), "outcome")
+        await self._out.send_event(msgspec.json.encode(event), "outcome")
         if result.outcome is Outcome.COMPLETE:
-            await self._out.event(b"[DONE]")
+            await self._out.send_event(b"[DONE]")
             await self._out.end()
 
 
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -37,7 +37,7 @@
         """Return whether the request is retried even if the retry budget is spent."""
 
 
-class Budget(Protocol):
+class RetryBudgetInterface(Protocol):
     """Retry budget shared by all requests."""
 
     def note_first_attempt(self, now: float) -> None:
@@ -51,7 +51,7 @@
     sender: Sender,
     bounds: RetryBounds,
     history: AttemptHistory,
-    budget: Budget,
+    budget: RetryBudgetInterface,
     clock: Clock,
 ) -> StopReason:
     """Make attempts until one succeeds or no retry is allowed; add each to ``history``.
--- a/berylshift/request/retryable_call.py
+++ b/berylshift/request/retryable_call.py
@@ -9,7 +9,7 @@
     Reason,
     ServiceCallResult,
 )
-from berylshift.request.retry_loop import Budget, StopReason, run_attempts
+from berylshift.request.retry_loop import RetryBudgetInterface, StopReason, run_attempts
 from berylshift.request.retry_policy import AttemptHistory, AttemptRecord
 from berylshift.request.retry_targets import RETRY_BOUNDS, excluded_targets
 from berylshift.request.service_sender import ServiceSender
@@ -21,7 +21,9 @@
 class RetryableCall:
     """One call, retried on other replicas while the retry rules allow it."""
 
-    def __init__(self, sender: ServiceSender, call: PlainCall, budget: Budget):
+    def __init__(
+        self, sender: ServiceSender, call: PlainCall, budget: RetryBudgetInterface
+    ):
         """Send ``call`` with ``sender``."""
         self._sender = sender
         self._call = call
--- a/berylshift/request/router.py
+++ b/berylshift/request/router.py
@@ -77,7 +77,7 @@
     load: Estimate | None = None
 
 
-class Refusal(msgspec.Struct, frozen=True):
+class PlacementRefusal(msgspec.Struct, frozen=True):
     """Why a request is not placed, and the seconds after which to retry."""
 
     reason: Reason
@@ -88,7 +88,9 @@
 class Router(Protocol):
     """Chooses targets."""
 
-    def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
+    def choose(
+        self, item: WorkItem, table: Table, now: float
+    ) -> Result[Plan, PlacementRefusal]:
         """Return where ``item`` goes, or why it is refused."""
 
 
@@ -147,11 +149,11 @@
         return rest[:count]
 
 
-def no_target(pool: CandidatePool) -> Refusal:
+def no_target(pool: CandidatePool) -> PlacementRefusal:
     """Return the refusal for a pool without a usable target."""
     if not pool.size:
-        return Refusal(Reason.NO_TARGET, MAX_RETRY_AFTER_SECONDS)
-    return Refusal(Reason.AT_LIMIT, MIN_RETRY_AFTER_SECONDS)
+        return PlacementRefusal(Reason.NO_TARGET, MAX_RETRY_AFTER_SECONDS)
+    return PlacementRefusal(Reason.AT_LIMIT, MIN_RETRY_AFTER_SECONDS)
 
 
 class LeastLateness:
@@ -166,7 +168,9 @@
         self._slack = slack
         self._prefill_rate = prefill_rate
 
-    def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
+    def choose(
+        self, item: WorkItem, table: Table, now: float
+    ) -> Result[Plan, PlacementRefusal]:
         """Return the plan with the lowest score: predicted end plus side cost."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         resume_plan = self._resume_plan(pool, item, now)
@@ -182,7 +186,7 @@
             if late <= 0 or item.must_place:
                 return Success(_with_reason(best, estimates, "least predicted end"))
         wait = min(MAX_RETRY_AFTER_SECONDS, max(MIN_RETRY_AFTER_SECONDS, late))
-        return Failure(Refusal(Reason.TOO_LATE, wait, estimates))
+        return Failure(PlacementRefusal(Reason.TOO_LATE, wait, estimates))
 
     def _resume_plan(
         self, pool: CandidatePool, item: WorkItem, now: float
@@ -321,7 +325,9 @@
         """Use the loads in ``context``."""
         self._context = context
 
-    def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
+    def choose(
+        self, item: WorkItem, table: Table, now: float
+    ) -> Result[Plan, PlacementRefusal]:
         """Return the sampled replica with the fewest open calls for its weight."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         sampler = pool.samplers[Role.MIXED]
--- a/berylshift/request/router_baselines.py
+++ b/berylshift/request/router_baselines.py
@@ -7,7 +7,13 @@
 from berylshift.ids import TargetName
 from berylshift.process.engine_state.cost_model import Prediction
 from berylshift.request.candidate_pool import CandidatePool
-from berylshift.request.router import Plan, Refusal, RoutingContext, WorkItem, no_target
+from berylshift.request.router import (
+    PlacementRefusal,
+    Plan,
+    RoutingContext,
+    WorkItem,
+    no_target,
+)
 from berylshift.targets import Role
 from berylshift.version.table import Candidate, Table
 
@@ -22,7 +28,9 @@
         self._context = context
         self._turn = 0
 
-    def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
+    def choose(
+        self, item: WorkItem, table: Table, now: float
+    ) -> Result[Plan, PlacementRefusal]:
         """Return the next usable target."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         self._turn += 1
@@ -39,7 +47,9 @@
         """Use the reports in ``context``."""
         self._context = context
 
-    def choose(self, item: WorkItem, table: Table, now: float) -> Result[Plan, Refusal]:
+    def choose(
+        self, item: WorkItem, table: Table, now: float
+    ) -> Result[Plan, PlacementRefusal]:
         """Return the target with the fewest reported streams."""
         pool = self._context.pools.get(table, item.fleet, item.work)
         return _place(self._context, pool, item, now, self._least)
@@ -56,7 +66,7 @@
 
 def _place(
     context: RoutingContext, pool: CandidatePool, item: WorkItem, now: float, pick: Pick
-) -> Result[Plan, Refusal]:
+) -> Result[Plan, PlacementRefusal]:
     """Place an item with ``pick`` in each role that it needs."""
     usable = {
         role: [
--- a/berylshift/request/service_call.py
+++ b/berylshift/request/service_call.py
@@ -55,7 +55,7 @@
 
     clock: Clock
     sender: ServiceSender
-    retries: RetryBudget
+    retry_budget: RetryBudget
     gate: TableGate
     pending: PendingRecords
     rng: random.Random
@@ -85,7 +85,7 @@
         return await self._confirm_in_background(call)
 
     async def _run_lookup(self, call: PlainCall) -> ServiceCallResult:
-        lookup = RetryableCall(self._deps.sender, call, self._deps.retries)
+        lookup = RetryableCall(self._deps.sender, call, self._deps.retry_budget)
         scope = trio.CancelScope()
         with scope, self._deps.shutdown.bounding(scope):
             return await lookup.run()
--- a/berylshift/tests/test_answers.py
+++ b/berylshift/tests/test_answers.py
@@ -99,7 +99,7 @@
         # Other requests have spent the retry budget when the engine crashes. The
         # response has started and is still resumed, since it would be truncated.
         async def fail(world, engine):
-            retries = world.hosts["host-1"].app.handler._deps.completions.retries
+            retries = world.hosts["host-1"].app.handler._deps.completions.retry_budget
             while retries.try_acquire(trio.current_time()):
                 pass
             engine.crash(trio.current_time())
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -4,7 +4,7 @@
 
 import trio
 
-from berylshift.ids import InstanceId, PartId
+from berylshift.ids import BlockId, InstanceId
 from berylshift.messages.engine_control import OrderAnswer
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.targets.target_load import SEVERE_FAILURE
@@ -31,7 +31,7 @@
             old_instance = InstanceId(f"engine-1@{FIRST_START_MS}")
             now = host.ports.clock.monotonic()
             cached_before = host.prefix_cache.is_cached(
-                PartId("a1"), old_instance, KV_CAPACITY_TOKENS
+                BlockId("a1"), old_instance, KV_CAPACITY_TOKENS
             )
             host.loads.note_failure(old_instance, SEVERE_FAILURE, now)
             host.phases.record_order(old_instance, EnginePhase.DECODE, now)
@@ -46,7 +46,7 @@
         self.assertEqual(prefill_engine.instance, f"engine-1@{SECOND_START_MS}")
         self.assertFalse(
             host.prefix_cache.is_cached(
-                PartId("a1"), prefill_engine.instance, KV_CAPACITY_TOKENS
+                BlockId("a1"), prefill_engine.instance, KV_CAPACITY_TOKENS
             )
         )
         self.assertEqual(host.loads.of(prefill_engine.instance).failures(now), 0.0)
--- a/berylshift/tests/world.py
+++ b/berylshift/tests/world.py
@@ -39,10 +39,10 @@
     def __init__(self) -> None:
         self.parts: list[str] = []
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         self.parts.append(text)
 
-    def joined(self) -> str:
+    def full_text(self) -> str:
         return "".join(self.parts)
 
 
@@ -80,7 +80,7 @@
     sink = TextSink()
     with host.call() as app:
         ending = await app.handler.complete(call, sink)
-    return ending, sink.joined()
+    return ending, sink.full_text()
 
 
 def plain_call(key: str = "", body: bytes = b"x", seconds: float = 5.0) -> PlainCall:
