--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -50,8 +50,8 @@
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.request.relay_dependencies import RelayDependencies
+from berylshift.request.replica_gate import ReplicaGate
 from berylshift.request.routed_handler import RoutedHandler
-from berylshift.request.target_gate import ReplicaGate
 from berylshift.settings import Settings
 from berylshift.store.crash_rows import CrashRows
 from berylshift.store.directory import Directory
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_replica_gate.py
@@ -18,7 +18,7 @@
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.throttle import Throttle
-from berylshift.request.target_gate import ReplicaGate
+from berylshift.request.replica_gate import ReplicaGate
 from berylshift.stand_ins.entry_replica import EntryReplica, Fault
 from berylshift.stand_ins.pipes import pipe_pair
 from berylshift.tests.support import VirtualTestCase
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -37,7 +37,7 @@
 RATES = "test_targets_rate_limits"
 LEAVING = "test_entry_draining"
 BACKOFF = "test_entry_backoff"
-TARGET_GATE = "test_request_target_gate"
+REPLICA_GATE = "test_request_replica_gate"
 REPLICA_SET = "test_directory_replica_set.ReplicaSetTest"
 PROOFS = (
     Proof(
@@ -923,7 +923,7 @@
         "connection/target_client.py",
         "        admitted_at = self._gate.admit(out.instance, out.limit_exempt)\n",
         "        admitted_at = 0.0\n",
-        TARGET_GATE,
+        REPLICA_GATE,
     ),
     Proof(
         "every answer's head is heard",
@@ -991,7 +991,7 @@
     ),
     Proof(
         "a replica's own word that it leaves counts",
-        "request/target_gate.py",
+        "request/replica_gate.py",
         "if control.draining and",
         "if False and",
         LEAVING,
