--- a/berylshift/messages/load_digest.py
+++ b/berylshift/messages/load_digest.py
@@ -95,10 +95,10 @@
 
 
 class FeedStatus(msgspec.Struct, frozen=True):
-    """What a reader of one of the store's feeds knows of it.
+    """State of one of the store's feeds, as a host last read it.
 
-    Nothing has changed after revision ``last_change`` as of ``store_ms``, the store's
-    steady clock in milliseconds; the store was at ``revision`` then. The values are
+    At ``store_ms`` (the store's monotonic clock, in milliseconds) the store was at
+    ``revision``, and the feed's last change was at ``last_change``. The values are
     valid in ``era`` only.
     """
 
@@ -126,9 +126,10 @@
     ``domain`` is the sender's; ``hosts`` is the number of hosts whose load it holds. A
     sender that ``reads_feeds`` reads the store's feeds for the others. ``finished`` are
     requests that completed after a replica crashed while serving them. ``runs`` counts
-    requests that began, either in the sender's process, which started at ``started_ms``
-    (Unix milliseconds), or in its domain; usage is reported up to and including window
-    ``usage_done``.
+    requests that started to run: with the scope ``DOMAIN`` at all hosts of the sender's
+    domain, otherwise in the sender's process, which started at ``started_ms`` (Unix
+    milliseconds). Windows up to and including ``usage_done`` need no usage report any
+    more.
     """
 
     host: str
--- a/berylshift/replay/trace.py
+++ b/berylshift/replay/trace.py
@@ -162,14 +162,14 @@
     if not 0 <= request.at_ms <= MAX_TIME_MS:
         reason = "at_ms is out of range"
     elif not request.work:
-        reason = f"a request of kind {request.kind} names its {request.kind}"
+        reason = f"a request of kind {request.kind} requires the field {request.kind}"
     elif request.deadline_ms <= 0:
         reason = "deadline_ms must be above 0"
     elif (
         request.kind is Kind.MODEL
         and min(request.prompt_tokens, request.output_tokens) < 1
     ):
-        reason = "a model request has prompt_tokens and output_tokens above 0"
+        reason = "a model request requires prompt_tokens and output_tokens above 0"
     if reason:
         errors.append(LineError(number, reason))
     return not reason
@@ -179,9 +179,9 @@
     is_store_event = event.event in (EventKind.STORE_DOWN, EventKind.STORE_UP)
     reason = ""
     if not event.who and not is_store_event:
-        reason = f"event {event.event} names who"
+        reason = f"event {event.event} requires the field who"
     elif event.event is EventKind.EDIT and not event.column:
-        reason = "an edit names the column"
+        reason = "event edit requires the field column"
     if reason:
         errors.append(LineError(number, reason))
     return not reason
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -26,14 +26,17 @@
 # Shorter prefixes have no home engine: prefilling them again takes so little time that
 # a hop to a home engine is not worth it.
 HOME_TOKENS = 1000
-# Replicas considered per decision; in a larger pool this many are sampled. Two samples
-# already avoid long queues; a dozen make the longest ones unlikely.
+# Maximum number of replicas considered per decision; of a larger pool a random sample
+# of this size is considered. Comparing two replicas already avoids long queues, and
+# comparing a dozen makes the longest ones unlikely.
 LOOKED_AT = 12
-# A prefix that no engine has cached goes to one of its home engines unless each of them
-# has this many more tokens queued than another engine, so that hosts that do not know
-# of each other's prompts yet choose the same engine.
+# Cost, in tokens of prefill work, of an engine that neither is a home engine of the
+# prefix nor has it cached: it is chosen only if the first home engine has at least this
+# many more tokens queued. Hosts that do not know of each other's prompts yet thereby
+# choose the same engine.
 AWAY_TOKENS = 37_000
-# The same for the second home engine: each spill prefills and caches the prefix twice.
+# The same for the second home engine: a prefix that is also sent there is prefilled and
+# cached twice.
 SECOND_TOKENS = 20_000
 # Prompts up to this size may be prefilled by the engine that decodes them: they stall
 # its streams for less than the longest pause allowed between tokens.
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -82,7 +82,7 @@
         out: TargetRequest,
         seconds: float,
     ) -> PrefillResult:
-        """Have the engine of ``place`` prefill the prompt of ``out``.
+        """Have the engine of ``placement`` prefill the prompt of ``out``.
 
         The call times out after ``seconds``.
         """
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -50,9 +50,9 @@
 # Time reserved at the end of the caller's timeout, so that the final response arrives
 # before the caller disconnects.
 FINAL_RESPONSE_SECONDS = 0.02
-# Extra time for a write to the caller after the request's deadline. A 64 KB window
-# drains over a 10 Mbit/s link in 50 ms; a caller that has stopped reading blocks its
-# engine slot for no longer than this.
+# How long a write to the caller may last beyond the request's deadline. It allows for
+# slow links (a 64 KB window drains in 50 ms at 10 Mbit/s), but a caller that has
+# stopped reading occupies its engine slot for no longer than this.
 WRITE_GRACE_SECONDS = 0.25
 # Prefill engines that are tried for one prompt.
 MAX_PREFILLS = 2
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -25,14 +25,16 @@
 # The largest response that is buffered before it is forwarded.
 MAX_BUFFERED_BODY_BYTES = 8 << 20
 MAX_REFUSAL_BODY_BYTES = 65536
-# A repeatable request is retried elsewhere after this multiple of its route's latency
-# objective without a response: three times the usual work, well before the deadline.
+# A repeatable request is retried at another replica if there is no response within this
+# multiple of its route's latency objective: three times its usual duration, and well
+# before its deadline.
 SILENCE_FACTOR = 1.5
 # Before its first event, a stream also waits for an engine slot and its prefill.
 STREAM_SILENCE_FACTOR = 3.0
 MIN_SILENCE_SECONDS = 0.05
-# A resumable stream is resumed elsewhere after this long without an event: several
-# times the pause that still meets the objective, so that a preempted run is not moved.
+# A resumable stream is resumed at another replica after this long without an event. A
+# run that is merely preempted pauses for less: this is several times the longest pause
+# that still meets the objective.
 MAX_EVENT_GAP_SECONDS = 1.2
 
 
--- a/berylshift/request/replica_gate.py
+++ b/berylshift/request/replica_gate.py
@@ -1,4 +1,4 @@
-"""Flow control between all calls to replicas and their connections."""
+"""Applies replicas' flow control to all calls to them."""
 
 import logging
 
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -33,8 +33,8 @@
     def may_have_run(self) -> bool:
         """Return whether the target may have run the request.
 
-        It did not only if the request was never sent or the target says so. After a
-        connection reset, silence or a timeout it may have run.
+        This is assumed unless the request was never sent, or the target states that it
+        did not run it; so also after a connection reset, silence or a timeout.
         """
         return self not in (*NEVER_SENT, AttemptOutcome.NOT_RUN)
 
--- a/berylshift/request/slo_status.py
+++ b/berylshift/request/slo_status.py
@@ -1,4 +1,7 @@
-"""Prefill priority: prompts that can still meet their latency objective go first.
+"""SLO status: whether a prompt can still meet its latency objective.
+
+The status decides the order of prefills: prompts that can still meet their objective
+go first.
 
 When the request mix shifts, more prompts arrive than the engines can prefill. In FIFO
 order all of them wait equally long and nearly all miss their objective. Prompts that
@@ -72,8 +75,8 @@
     """Return the expected wait of a late prompt for ``seconds`` of prefill work.
 
     ``on_time_share`` is the share of engine time taken by prompts that are on time,
-    which keep overtaking it. The wait must not be underestimated: a caller that is
-    refused only after it has waited learns too late that its request was not run, and
-    leaves after two seconds or more.
+    which keep overtaking it. Don't underestimate the wait: a request that is refused
+    only after waiting in vain is refused too late, since its caller disconnects after
+    two seconds or more (``Route.caller_patience_seconds``).
     """
     return seconds / max(LEAST_LATE_SHARE, 1.0 - on_time_share)
--- a/berylshift/request/target_check.py
+++ b/berylshift/request/target_check.py
@@ -9,7 +9,7 @@
 async def accepts_connections(
     client: EngineClient | ServiceClient, address: str
 ) -> bool:
-    """Return whether a target accepts a new connection within ``CONNECT_SECONDS``.
+    """Return whether a target accepts a connection in ``PROBE_TIMEOUT_SECONDS``.
 
     A busy process does, however slowly it responds; one that has exited does not.
     """
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -154,7 +154,7 @@
     async def _admit(self, budget: StoreBudget, priority: Priority) -> None:
         while wait := budget.wait_seconds(priority, self._clock.monotonic()):
             if math.isinf(wait):
-                raise StoreUnavailableError("no budget")
+                raise StoreUnavailableError("the rate budget never allows this call")
             await trio.sleep(wait)
 
     async def _call(self, budget: StoreBudget, call, *args):
--- a/berylshift/tests/test_replay_trace.py
+++ b/berylshift/tests/test_replay_trace.py
@@ -57,11 +57,12 @@
 
     def test_request_without_model(self):
         line = msgspec.json.encode(msgspec.structs.replace(REQUEST, model=""))
-        self.assertIn("names its model", self.errors(HEADER, line)[0])
+        self.assertIn("requires the field model", self.errors(HEADER, line)[0])
 
     def test_event_without_who(self):
         self.assertIn(
-            "names who", self.errors(HEADER, b'{"at_ms":1,"event":"kill"}')[0]
+            "requires the field who",
+            self.errors(HEADER, b'{"at_ms":1,"event":"kill"}')[0],
         )
 
     def test_written_trace_can_be_read(self):
--- a/berylshift/version/changelog.py
+++ b/berylshift/version/changelog.py
@@ -121,7 +121,9 @@
             keys = [change_key(version) for version in versions]
             for stored in await self._gate.read(keys, Priority.TABLE):
                 if stored is None:
-                    raise TableLogError("the change row of a version is missing")
+                    raise TableLogError(
+                        f"no change row for a version in {versions[0]}-{versions[-1]}"
+                    )
                 found.append(msgspec.json.decode(stored.value, type=Change))
         return found
 
