--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -240,7 +240,7 @@
             limits=self.limits,
             decisions=self.decisions,
             metrics=ports.metrics,
-            closed=self.readiness.refusal_reason,
+            refusal_reason=self.readiness.refusal_reason,
             ready=self.readiness.is_ready,
             rng=ports.rng,
         )
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -87,7 +87,7 @@
     limits: CustomerLimits
     decisions: DecisionLog
     metrics: Metrics
-    closed: Callable[[], Reason | None]
+    refusal_reason: Callable[[], Reason | None]
     ready: Callable[[], bool]
     rng: random.Random
 
@@ -162,7 +162,7 @@
 
     def admit(self, caller: Caller) -> NativeResult | None:
         """Return the refusal of a new request; ``None``: it is admitted."""
-        reason = self._deps.closed()
+        reason = self._deps.refusal_reason()
         if reason is not None:
             return _not_run(reason)
         now = self._deps.clock.monotonic()
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -141,7 +141,7 @@
         self,
         loads: TargetLoads,
         peers: PeerLoads,
-        warm: PrefixCacheIndex,
+        prefix_cache: PrefixCacheIndex,
         speeds: EngineSpeeds,
         domain: DomainName,
         rng: random.Random,
@@ -150,7 +150,7 @@
         self._speeds = speeds
         self._loads = loads
         self._peers = peers
-        self._warm = warm
+        self._prefix_cache = prefix_cache
         self._domain = domain
         self._rng = rng
 
@@ -230,7 +230,9 @@
             rep.instance: rep for rep in (*homes, *self._sample(pool.prefill_engines))
         }
         if homes:
-            for engine_hash in self._warm.engines_caching(prompt.prefix_blocks[-1].id):
+            for engine_hash in self._prefix_cache.engines_caching(
+                prompt.prefix_blocks[-1].id
+            ):
                 caching_engine = pool.prefill_engine(engine_hash)
                 if caching_engine is not None:
                     candidates[caching_engine.instance] = caching_engine
@@ -292,7 +294,9 @@
         cached = 0
         capacity_tokens = self._speeds.kv_capacity_tokens(replica.service)
         for block in prompt.prefix_blocks:
-            if not self._warm.is_cached(block.id, replica.instance, capacity_tokens):
+            if not self._prefix_cache.is_cached(
+                block.id, replica.instance, capacity_tokens
+            ):
                 break
             cached += block.tokens
         return cached
@@ -301,7 +305,7 @@
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._warm.note_sent(
+                self._prefix_cache.note_sent(
                     block.id, block.tokens, placement.target.instance, now
                 )
 
--- a/berylshift/request/placement_policies.py
+++ b/berylshift/request/placement_policies.py
@@ -24,7 +24,7 @@
 
     loads: TargetLoads
     peers: PeerLoads
-    warm: PrefixCacheIndex
+    prefix_cache: PrefixCacheIndex
     speeds: EngineSpeeds
     domain: DomainName
     rng: random.Random
@@ -34,7 +34,7 @@
     return kind(
         context.loads,
         context.peers,
-        context.warm,
+        context.prefix_cache,
         context.speeds,
         context.domain,
         context.rng,
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -68,7 +68,9 @@
         wanted = prompt()
         home = self.pool.homes(wanted.prefix_blocks[-1].id)[0]
         for block in wanted.prefix_blocks:
-            self.context.warm.note_sent(block.id, block.tokens, home.instance, 0.0)
+            self.context.prefix_cache.note_sent(
+                block.id, block.tokens, home.instance, 0.0
+            )
         self.loads.note_sent(home.instance, 5_000, Urgency.USUAL)
         placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
         self.assertIsNot(placement.target, home)
