--- a/berylshift/request/replica_selector.py
+++ b/berylshift/request/replica_selector.py
@@ -18,10 +18,10 @@
     """
 
     def __init__(
-        self, parts: RelayDependencies, service: ServiceName, watch: RoutedCrashWatch
+        self, deps: RelayDependencies, service: ServiceName, watch: RoutedCrashWatch
     ):
         """Choose for a request to ``service`` that ``watch`` tracks for crashes."""
-        self._parts = parts
+        self._deps = deps
         self._service = service
         self._watch = watch
         self._tried: list[InstanceId] = []
@@ -29,14 +29,14 @@
 
     def pool(self) -> Pool:
         """Return the service's replicas that take new work."""
-        return self._parts.replicas.pool(self._service)
+        return self._deps.replicas.pool(self._service)
 
     def choose_plain(self, response_started: bool) -> Placement | None:
         """Return the placement of a request without a prompt.
 
         ``response_started`` says whether its caller has received part of the response.
         """
-        return self._parts.placer.choose_plain(
+        return self._deps.placer.choose_plain(
             self.pool(), self.excluded(response_started), self._now()
         )
 
@@ -44,7 +44,7 @@
         self, prompt: Prompt, prefill_engine: Replica | None, response_started: bool
     ) -> Placement | None:
         """Return the engine that should decode after ``prefill_engine``."""
-        return self._parts.placer.choose_decode(
+        return self._deps.placer.choose_decode(
             self.pool(),
             prompt,
             prefill_engine,
@@ -54,7 +54,7 @@
 
     def excluded(self, response_started: bool) -> list[InstanceId]:
         """Return the replicas that the request may not be sent to."""
-        throttled = self._parts.throttle.blocked(self._now())
+        throttled = self._deps.throttle.blocked(self._now())
         excluded = [
             *self._tried,
             *(name for name in throttled if name != self._reserved),
@@ -67,7 +67,7 @@
         Otherwise another request could take the slot meanwhile, and this one would be
         refused after a wasted prefill.
         """
-        if self._parts.throttle.reserve(instance, self._now()):
+        if self._deps.throttle.reserve(instance, self._now()):
             self._reserved = instance
 
     def record_send(self, instance: InstanceId) -> bool:
@@ -78,14 +78,16 @@
 
     def check_not_throttled(self) -> None:
         """Raise ``AllThrottledError`` if all remaining decode engines are throttled."""
-        throttle, now = self._parts.throttle, self._now()
+        throttle, now = self._deps.throttle, self._now()
         throttled = set(throttle.blocked(now)).difference(self._tried)
-        answerers = [rep.instance for rep in self.pool().decode_engines]
+        decode_instances = [rep.instance for rep in self.pool().decode_engines]
         waits = [
-            throttle.retry_after(name, now) for name in answerers if name in throttled
+            throttle.retry_after(name, now)
+            for name in decode_instances
+            if name in throttled
         ]
         if waits:
             raise AllThrottledError(min(waits))
 
     def _now(self) -> float:
-        return self._parts.clock.monotonic()
+        return self._deps.clock.monotonic()
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -70,8 +70,8 @@
             return list(tried)
         now = self._deps.clock.monotonic()
         listed = [rep.instance for rep in pool.replicas]
-        ended = [name for name in listed if quarantine.has_crashed(name, now)]
-        found = [*tried, *ended]
+        crashed = [name for name in listed if quarantine.has_crashed(name, now)]
+        found = [*tried, *crashed]
         crashes = 0
         if self.fingerprint is not None:
             crashes = quarantine.crash_count(self.fingerprint)
@@ -80,8 +80,8 @@
         left = remaining_replicas(pool.decode_engines, found)
         if is_last_remaining(left, pool.decode_engines) and not response_started:
             raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
-        aside = isolation_replicas(left)
-        return found + [rep.instance for rep in left if rep not in aside]
+        allowed = isolation_replicas(left)
+        return found + [rep.instance for rep in left if rep not in allowed]
 
     async def on_connection_lost(self, replica: Replica) -> None:
         """Record that the connection to a replica broke while it had the request.
--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -184,7 +184,7 @@
         await refuse(responder, refusal)
 
     def _finishes_before_stop(self, req: RoutedRequest, route: Route) -> bool:
-        """Return whether a request finishes before a planned stop of this host."""
+        """Return whether a request finishes before this host shuts down."""
         shutdown = self._deps.shutdown
         if shutdown.has_time_for(request_timeout(route, req).seconds):
             return True
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -142,7 +142,7 @@
     Proof(
         "nothing goes to an engine that has ended",
         "request/routed_crash_watch.py",
-        "        found = [*tried, *ended]\n",
+        "        found = [*tried, *crashed]\n",
         "        found = [*tried]\n",
         f"{ISOLATION}.SuspectsTest",
     ),
@@ -963,7 +963,7 @@
     Proof(
         "placing leaves out replicas that take nothing now",
         "request/replica_selector.py",
-        "        throttled = self._parts.throttle.blocked(self._now())\n"
+        "        throttled = self._deps.throttle.blocked(self._now())\n"
         "        excluded",
         "        throttled = []\n        excluded",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
