--- a/berylshift/model/prefix_block_cache.py
+++ b/berylshift/model/prefix_block_cache.py
@@ -1,9 +1,8 @@
 """Prefix blocks cached in an engine's memory, with LRU eviction."""
 
-from collections import OrderedDict
-
-from berylshift.ids import PartId
+from berylshift.ids import BlockId
 from berylshift.messages.routed import Prompt
+from collections import OrderedDict
 
 
 class PrefixBlockCache:
@@ -12,7 +11,7 @@
     def __init__(self, max_tokens: int):
         """Cache at most ``max_tokens``."""
         self._max_tokens = max_tokens
-        self._blocks: OrderedDict[PartId, int] = OrderedDict()
+        self._blocks: OrderedDict[BlockId, int] = OrderedDict()
         self._tokens = 0
 
     def cached_prefix_tokens(self, prompt: Prompt) -> int:
--- a/berylshift/model/traffic.py
+++ b/berylshift/model/traffic.py
@@ -1,14 +1,16 @@
 """Simulated arrivals: rate oscillations, bursts and shifts between prompt kinds."""
 
-import math
-import random
+from berylshift.ids import BlockId
+from berylshift.ids import Fingerprint
+from berylshift.messages.routed import Prompt
+from berylshift.messages.routed import PromptBlock
+from berylshift.model.parameters import KindParameters
+from berylshift.model.parameters import SiteParameters
+from berylshift.model.parameters import SizeDistribution
 from functools import lru_cache
-
+import math
 import msgspec
-
-from berylshift.ids import Fingerprint, PartId
-from berylshift.messages.routed import Prompt, PromptBlock
-from berylshift.model.parameters import KindParameters, SiteParameters, SizeDistribution
+import random
 
 OUTPUT_TOKENS = 80
 BISECTIONS = 40
@@ -65,7 +67,7 @@
         """Start without block sizes: each is drawn once, as it belongs to the site."""
         self._site = site
         self._rng = rng
-        self._sizes: dict[PartId, int] = {}
+        self._sizes: dict[BlockId, int] = {}
 
     def arrivals(self, seconds: float, bursts: tuple[Burst, ...]) -> list[Arrival]:
         """Return the arrivals within ``seconds``, in order of time."""
@@ -130,7 +132,7 @@
             for index, sizes in enumerate(kind.prefix_blocks)
         ]
         suffix_tokens = max(1, round(self._draw(kind.suffix)))
-        name = PartId(f"{self._rng.getrandbits(64):016x}")
+        name = BlockId(f"{self._rng.getrandbits(64):016x}")
         blocks.append(PromptBlock(name, suffix_tokens))
         tokens = sum(block.tokens for block in blocks)
         return Prompt(tuple(blocks), tokens, OUTPUT_TOKENS)
@@ -140,7 +142,7 @@
     ) -> PromptBlock:
         weights = [(number + 1) ** -sizes.skew for number in range(sizes.count)]
         (number,) = self._rng.choices(range(sizes.count), weights)
-        name = PartId(f"{kind.name}-{index}-{number}")
+        name = BlockId(f"{kind.name}-{index}-{number}")
         size = self._sizes.get(name)
         if size is None:
             size = self._sizes[name] = max(1, round(self._draw(sizes)))
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -12,8 +12,8 @@
 from berylshift.request.engine_attempt import Chunks
 from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.engine_attempt import EngineAttempt
-from berylshift.request.messages import Ending
 from berylshift.request.messages import ModelCall
+from berylshift.request.messages import NativeResult
 from berylshift.request.messages import Outcome
 from berylshift.request.messages import Reason
 from berylshift.request.messages import ResponseSink
@@ -25,8 +25,8 @@
 from berylshift.request.retry_targets import RETRY_BOUNDS
 from berylshift.request.retry_targets import excluded_targets
 from berylshift.request.retry_targets import preferred_target
+from berylshift.request.router import PlacementRefusal
 from berylshift.request.router import Plan
-from berylshift.request.router import Refusal
 from berylshift.request.router import WorkItem
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import EngineCall
@@ -52,7 +52,7 @@
         self._call = call
         self._sink = sink
         self._history = AttemptHistory()
-        self._refusal: Refusal | None = None
+        self._refusal: PlacementRefusal | None = None
         self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
         self._prompt_tokens = estimate_token_count(call.prompt)
@@ -60,25 +60,25 @@
         self._attempt_count = 0
         self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
 
-    async def run(self) -> Ending:
+    async def run(self) -> NativeResult:
         """Run the call; return how it ended, after all text was written to the sink."""
         scope = trio.CancelScope()
         with scope, self._deps.shutdown.bounding(scope):
             return await self._run()
         # The process stops before the completion has finished.
         outcome = self._history.outcome
-        return Ending(outcome, Reason.DRAINING, "", 1.0, self._answer.tokens)
+        return NativeResult(outcome, Reason.DRAINING, "", 1.0, self._answer.tokens)
 
-    async def _run(self) -> Ending:
+    async def _run(self) -> NativeResult:
         deps = self._deps
         stop_reason = await run_attempts(
-            self, RETRY_BOUNDS, self._history, deps.retries, deps.clock
+            self, RETRY_BOUNDS, self._history, deps.retry_budget, deps.clock
         )
         if stop_reason is StopReason.DONE:
             tokens = self._answer.tokens
             deps.lengths.learn(self._call.caller.customer, self._call.model, tokens)
-            return Ending(Outcome.COMPLETE, tokens=tokens)
-        return self._failed_ending(stop_reason)
+            return NativeResult(Outcome.COMPLETE, tokens=tokens)
+        return self._failed_result(stop_reason)
 
     async def send(self) -> AttemptRecord | None:
         """Make one attempt, once an engine is available for it."""
@@ -100,7 +100,7 @@
         try:
             self._crash_watch.check(response_started=self._answer.tokens > 0)
         except QuarantinedError as exc:
-            self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
+            self._refusal = PlacementRefusal(Reason.QUARANTINED, exc.seconds)
             self._deps.decisions.log_refusal(
                 self._call.request, "engine", self._refusal
             )
@@ -124,10 +124,10 @@
     def _now(self) -> float:
         return self._deps.clock.monotonic()
 
-    def _choose(self) -> Result[Plan, Refusal]:
+    def _choose(self) -> Result[Plan, PlacementRefusal]:
         # A retry is new work, which a draining host or a stale table must not place.
         if not self._deps.may_route():
-            return Failure(Refusal(Reason.STALE_VIEW, 1.0))
+            return Failure(PlacementRefusal(Reason.STALE_VIEW, 1.0))
         return self._deps.router.choose(
             self._work_item(), self._deps.table(), self._now()
         )
@@ -151,7 +151,7 @@
             must_place=self._history.may_have_run,
         )
 
-    async def _wait_for_placement(self, refusal: Refusal) -> bool:
+    async def _wait_for_placement(self, refusal: PlacementRefusal) -> bool:
         """Wait for an engine if the response has started; else record the refusal.
 
         Return whether to try again.
@@ -164,7 +164,7 @@
         self._deps.decisions.log_refusal(self._call.request, "engine", refusal)
         return False
 
-    def _failed_ending(self, stop_reason: StopReason) -> Ending:
+    def _failed_result(self, stop_reason: StopReason) -> NativeResult:
         reason, wait = Reason.TARGET_FAILED, 1.0
         if stop_reason is StopReason.NO_PLACEMENT and self._refusal is not None:
             reason, wait = self._refusal.reason, self._refusal.retry_after
@@ -173,7 +173,7 @@
         elif stop_reason is StopReason.DEADLINE_PASSED and not self._answer.tokens:
             reason = Reason.TOO_LATE
         outcome = self._history.outcome
-        return Ending(outcome, reason, "", max(1.0, wait), self._answer.tokens)
+        return NativeResult(outcome, reason, "", max(1.0, wait), self._answer.tokens)
 
     async def _run_attempt(self, plan: Plan) -> AttemptRecord:
         """Make one attempt and return its record."""
@@ -256,7 +256,7 @@
             self._deps.meter.decode(pool, count, self._now())
             text = self._answer.take_new_text()
             if text:
-                await self._sink.text(text)
+                await self._sink.write_text(text)
             return status is ChunkStatus.COMPLETE
 
         before = self._answer.tokens
--- a/berylshift/request/decisions.py
+++ b/berylshift/request/decisions.py
@@ -8,8 +8,8 @@
 from berylshift.clock import Clock
 from berylshift.ids import RequestId, TargetName
 from berylshift.metrics import Metrics
-from berylshift.request.messages import Decision, Ending
-from berylshift.request.router import Plan, Refusal
+from berylshift.request.messages import Decision, NativeResult
+from berylshift.request.router import PlacementRefusal, Plan
 
 logger = logging.getLogger(__name__)
 
@@ -31,7 +31,9 @@
             reason = f"{reason}; prefill on {plan.prefill_on.name}"
         self._add(request, kind, plan.target.name, reason, plan.estimates)
 
-    def log_refusal(self, request: RequestId, kind: str, refusal: Refusal) -> None:
+    def log_refusal(
+        self, request: RequestId, kind: str, refusal: PlacementRefusal
+    ) -> None:
         """Record that a request was refused."""
         no_target = TargetName("")
         self._add(request, kind, no_target, refusal.reason, refusal.estimates)
@@ -40,10 +42,10 @@
         """Record a failed attempt."""
         self._add(request, "failure", target, error, [])
 
-    def log_ending(self, request: RequestId, ending: Ending) -> None:
+    def log_result(self, request: RequestId, result: NativeResult) -> None:
         """Record how a request ended."""
-        self._metrics.incr(f"requests.{ending.outcome}")
-        detail = f"{ending.outcome}: {ending.reason} {ending.detail}".rstrip()
+        self._metrics.incr(f"requests.{result.outcome}")
+        detail = f"{result.outcome}: {result.reason} {result.detail}".rstrip()
         self._add(request, "ending", TargetName(""), detail, [])
 
     def explain(self, request: RequestId) -> list[Decision]:
--- a/berylshift/request/messages.py
+++ b/berylshift/request/messages.py
@@ -1,18 +1,14 @@
 """Requests of the native API and their outcomes."""
 
+from berylshift.ids import CustomerName
+from berylshift.ids import FleetName
+from berylshift.ids import RequestId
+from berylshift.ids import TargetName
+from berylshift.ids import WorkName
 from enum import StrEnum
 from typing import Protocol
-
 import msgspec
 
-from berylshift.ids import (
-    CustomerName,
-    FleetName,
-    RequestId,
-    TargetName,
-    WorkName,
-)
-
 OUTCOME_HEADER = "berylshift-outcome"
 DEADLINE_HEADER = "berylshift-deadline-ms"
 REQUEST_HEADER = "berylshift-request"
@@ -87,8 +83,8 @@
     key: str = ""
 
 
-class Ending(msgspec.Struct, frozen=True):
-    """How a request ended; ``retry_after`` in seconds."""
+class NativeResult(msgspec.Struct, frozen=True):
+    """Outcome of a request of the native API; ``retry_after`` in seconds."""
 
     outcome: Outcome
     reason: Reason = Reason.OK
@@ -97,10 +93,10 @@
     tokens: int = 0
 
 
-class PlainEnding(msgspec.Struct, frozen=True):
-    """How a call to a plain service ended, with the response if there is one."""
+class ServiceCallResult(msgspec.Struct, frozen=True):
+    """Outcome of a call to a plain service, with the response if there is one."""
 
-    ending: Ending
+    result: NativeResult
     status: int = 0
     headers: dict[str, str] = {}
     body: bytes = b""
@@ -109,7 +105,7 @@
 class ResponseSink(Protocol):
     """Receives the text of a response while it is generated."""
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Forward a piece of text; waits while the caller reads slowly."""
 
 
--- a/berylshift/request/native_handler.py
+++ b/berylshift/request/native_handler.py
@@ -22,12 +22,12 @@
     DEADLINE_HEADER,
     KEY_HEADER,
     Caller,
-    Ending,
     ModelCall,
+    NativeResult,
     Outcome,
     PlainCall,
-    PlainEnding,
     Reason,
+    ServiceCallResult,
 )
 from berylshift.request.response_writer import (
     STATUS_BY_REASON,
@@ -87,7 +87,7 @@
     limits: CustomerLimits
     decisions: DecisionLog
     metrics: Metrics
-    closed: Callable[[], Reason | None]
+    refusal_reason: Callable[[], Reason | None]
     ready: Callable[[], bool]
     rng: random.Random
 
@@ -127,7 +127,7 @@
     async def _route(self, req: HttpRequest, out: ResponseWriter) -> None:
         caller = self._caller(req)
         if caller is None:
-            await out.problem(_not_run(Reason.UNKNOWN_CALLER))
+            await out.send_problem(_not_run(Reason.UNKNOWN_CALLER))
             return
         try:
             if req.path == COMPLETIONS_PATH:
@@ -135,9 +135,9 @@
             elif req.path.startswith(SERVICES_PATH):
                 await self._service(req, out, caller)
             else:
-                await out.problem(_not_run(Reason.NO_SUCH_WORK, "no such path"))
+                await out.send_problem(_not_run(Reason.NO_SUCH_WORK, "no such path"))
         except BadRequestError as exc:
-            await out.problem(_not_run(Reason.BAD_REQUEST, str(exc)))
+            await out.send_problem(_not_run(Reason.BAD_REQUEST, str(exc)))
 
     async def _health(self, req: HttpRequest, responder: Responder) -> None:
         is_healthy = req.path == LIVE_PATH or self._deps.ready()
@@ -160,9 +160,9 @@
             raise BadRequestError(f"{DEADLINE_HEADER}: must be whole milliseconds")
         return now + min(int(text) / 1000, self._deps.cfg.longest_request)
 
-    def admit(self, caller: Caller) -> Ending | None:
+    def admit(self, caller: Caller) -> NativeResult | None:
         """Return the refusal of a new request; ``None``: it is admitted."""
-        reason = self._deps.closed()
+        reason = self._deps.refusal_reason()
         if reason is not None:
             return _not_run(reason)
         now = self._deps.clock.monotonic()
@@ -186,22 +186,24 @@
             deadline=self._deadline(req),
         )
         sink = StreamSink(out, body.model) if body.stream else BufferedSink()
-        ending = await self.complete(call, sink)
+        result = await self.complete(call, sink)
         if body.stream:
-            await sink.finish(ending)
-        elif ending.outcome is Outcome.COMPLETE:
-            await out.full(encode_completion(out.request, body.model, sink.joined()))
+            await sink.finish(result)
+        elif result.outcome is Outcome.COMPLETE:
+            await out.send_full(
+                encode_completion(out.request, body.model, sink.full_text())
+            )
         else:
-            await out.problem(ending)
+            await out.send_problem(result)
 
-    async def complete(self, call: ModelCall, sink) -> Ending:
+    async def complete(self, call: ModelCall, sink) -> NativeResult:
         """Run a model call and log how it ended."""
-        ending = self.admit(call.caller)
-        if ending is None:
+        result = self.admit(call.caller)
+        if result is None:
             with self._in_flight():
-                ending = await Completion(self._deps.completions, call, sink).run()
-        self._deps.decisions.log_ending(call.request, ending)
-        return ending
+                result = await Completion(self._deps.completions, call, sink).run()
+        self._deps.decisions.log_result(call.request, result)
+        return result
 
     # Plain services
 
@@ -223,20 +225,20 @@
         )
         _check_key(call)
         found = await self.call_service(call)
-        if found.ending.outcome is Outcome.COMPLETE:
+        if found.result.outcome is Outcome.COMPLETE:
             await out.forward(found)
         else:
-            await out.problem(found.ending)
+            await out.send_problem(found.result)
 
-    async def call_service(self, call: PlainCall) -> PlainEnding:
+    async def call_service(self, call: PlainCall) -> ServiceCallResult:
         """Run a service call and log how it ended."""
-        ending = self.admit(call.caller)
-        if ending is None:
+        result = self.admit(call.caller)
+        if result is None:
             with self._in_flight():
                 found = await self._deps.services.run(call)
         else:
-            found = await self._deps.services.refuse(call, ending)
-        self._deps.decisions.log_ending(call.request, found.ending)
+            found = await self._deps.services.refuse(call, result)
+        self._deps.decisions.log_result(call.request, found.result)
         return found
 
 
@@ -279,8 +281,10 @@
         )
 
 
-def _not_run(reason: Reason, detail: str = "", wait_seconds: float = 1.0) -> Ending:
+def _not_run(
+    reason: Reason, detail: str = "", wait_seconds: float = 1.0
+) -> NativeResult:
     is_retryable = STATUS_BY_REASON[reason] in (429, 503)
-    return Ending(
+    return NativeResult(
         Outcome.NOT_RUN, reason, detail, wait_seconds if is_retryable else 0.0
     )
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -26,14 +26,17 @@
 # Shorter prefixes have no home engine: prefilling them again takes so little time that
 # a hop to a home engine is not worth it.
 HOME_TOKENS = 1000
-# Replicas considered per decision; in a larger pool this many are sampled. Two samples
-# already avoid long queues; a dozen make the longest ones unlikely.
+# Maximum number of replicas considered per decision; of a larger pool a random sample
+# of this size is considered. Comparing two replicas already avoids long queues, and
+# comparing a dozen makes the longest ones unlikely.
 LOOKED_AT = 12
-# A prefix that no engine has cached goes to one of its home engines unless each of them
-# has this many more tokens queued than another engine, so that hosts that do not know
-# of each other's prompts yet choose the same engine.
+# Cost, in tokens of prefill work, of an engine that neither is a home engine of the
+# prefix nor has it cached: it is chosen only if the first home engine has at least this
+# many more tokens queued. Hosts that do not know of each other's prompts yet thereby
+# choose the same engine.
 AWAY_TOKENS = 37_000
-# The same for the second home engine: each spill prefills and caches the prefix twice.
+# The same for the second home engine: a prefix that is also sent there is prefilled and
+# cached twice.
 SECOND_TOKENS = 20_000
 # Prompts up to this size may be prefilled by the engine that decodes them: they stall
 # its streams for less than the longest pause allowed between tokens.
@@ -138,7 +141,7 @@
         self,
         loads: TargetLoads,
         peers: PeerLoads,
-        warm: PrefixCacheIndex,
+        prefix_cache: PrefixCacheIndex,
         speeds: EngineSpeeds,
         domain: DomainName,
         rng: random.Random,
@@ -147,7 +150,7 @@
         self._speeds = speeds
         self._loads = loads
         self._peers = peers
-        self._warm = warm
+        self._prefix_cache = prefix_cache
         self._domain = domain
         self._rng = rng
 
@@ -227,7 +230,9 @@
             rep.instance: rep for rep in (*homes, *self._sample(pool.prefill_engines))
         }
         if homes:
-            for engine_hash in self._warm.engines_caching(prompt.prefix_blocks[-1].id):
+            for engine_hash in self._prefix_cache.engines_caching(
+                prompt.prefix_blocks[-1].id
+            ):
                 caching_engine = pool.prefill_engine(engine_hash)
                 if caching_engine is not None:
                     candidates[caching_engine.instance] = caching_engine
@@ -289,7 +294,9 @@
         cached = 0
         capacity_tokens = self._speeds.kv_capacity_tokens(replica.service)
         for block in prompt.prefix_blocks:
-            if not self._warm.is_cached(block.id, replica.instance, capacity_tokens):
+            if not self._prefix_cache.is_cached(
+                block.id, replica.instance, capacity_tokens
+            ):
                 break
             cached += block.tokens
         return cached
@@ -298,7 +305,7 @@
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._warm.note_sent(
+                self._prefix_cache.note_sent(
                     block.id, block.tokens, placement.target.instance, now
                 )
 
--- a/berylshift/request/response_writer.py
+++ b/berylshift/request/response_writer.py
@@ -1,20 +1,16 @@
 """Responses of the native API: complete, streamed, forwarded or an error."""
 
-import math
-
-import msgspec
-
 from berylshift.connection.responder import Responder
 from berylshift.ids import RequestId
-from berylshift.request.messages import (
-    OUTCOME_HEADER,
-    REQUEST_HEADER,
-    RETRY_HEADER,
-    Ending,
-    Outcome,
-    PlainEnding,
-    Reason,
-)
+from berylshift.request.messages import NativeResult
+from berylshift.request.messages import OUTCOME_HEADER
+from berylshift.request.messages import Outcome
+from berylshift.request.messages import REQUEST_HEADER
+from berylshift.request.messages import RETRY_HEADER
+from berylshift.request.messages import Reason
+from berylshift.request.messages import ServiceCallResult
+import math
+import msgspec
 
 PROBLEM_TYPE = "application/problem+json"
 EVENT_TYPE = "text/event-stream"
@@ -85,29 +81,29 @@
         self._responder = responder
         self.request = request
 
-    async def full(self, body: bytes) -> None:
+    async def send_full(self, body: bytes) -> None:
         """Send a complete response."""
         headers = {**self._headers(Outcome.COMPLETE), "content-type": JSON_TYPE}
         await self._responder.full(STATUS_OK, headers, body)
 
-    async def forward(self, found: PlainEnding) -> None:
+    async def forward(self, found: ServiceCallResult) -> None:
         """Forward the response of a plain service."""
         headers = {**found.headers, **self._headers(Outcome.COMPLETE)}
         await self._responder.full(found.status, headers, found.body)
 
-    async def problem(self, ending: Ending) -> None:
+    async def send_problem(self, result: NativeResult) -> None:
         """Send an error, with Retry-After where a retry can help."""
-        status = STATUS_BY_REASON[ending.reason]
-        headers = {**self._headers(ending.outcome), "content-type": PROBLEM_TYPE}
-        if ending.retry_after > 0:
-            headers[RETRY_HEADER] = str(math.ceil(ending.retry_after))
+        status = STATUS_BY_REASON[result.reason]
+        headers = {**self._headers(result.outcome), "content-type": PROBLEM_TYPE}
+        if result.retry_after > 0:
+            headers[RETRY_HEADER] = str(math.ceil(result.retry_after))
         problem = Problem(
-            type=f"urn:berylshift:{ending.reason.name.lower().replace('_', '-')}",
-            title=ending.reason.value,
+            type=f"urn:berylshift:{result.reason.name.lower().replace('_', '-')}",
+            title=result.reason.value,
             status=status,
-            outcome=ending.outcome.value,
+            outcome=result.outcome.value,
             request=self.request,
-            detail=ending.detail,
+            detail=result.detail,
         )
         await self._responder.full(status, headers, msgspec.json.encode(problem))
 
@@ -120,7 +116,7 @@
         }
         await self._responder.start(STATUS_OK, headers)
 
-    async def event(self, data: bytes, name: str = "") -> None:
+    async def send_event(self, data: bytes, name: str = "") -> None:
         """Send one server-sent event."""
         head = f"event: {name}\n".encode() if name else b""
         await self._responder.send(head + b"data: " + data + b"\n\n")
@@ -140,11 +136,11 @@
         """Start empty."""
         self._texts: list[str] = []
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Append text."""
         self._texts.append(text)
 
-    def joined(self) -> str:
+    def full_text(self) -> str:
         """Return all text."""
         return "".join(self._texts)
 
@@ -161,24 +157,26 @@
         self._model = model
         self._started = False
 
-    async def text(self, text: str) -> None:
+    async def write_text(self, text: str) -> None:
         """Send text as one event."""
         if not self._started:
             self._started = True
             await self._out.start_events()
-        await self._out.event(encode_completion(self._out.request, self._model, text))
+        await self._out.send_event(
+            encode_completion(self._out.request, self._model, text)
+        )
 
-    async def finish(self, ending: Ending) -> None:
+    async def finish(self, result: NativeResult) -> None:
         """End the stream; if the completion is incomplete, send no end marker."""
         if not self._started:
-            await self._out.problem(ending)
+            await self._out.send_problem(result)
             return
         event = OutcomeEvent(
-            ending.outcome.value, self._out.request, ending.reason.value, ending.tokens
+            result.outcome.value, self._out.request, result.reason.value, result.tokens
         )
-        await self._out.event(msgspec.json.encode(event), "outcome")
-        if ending.outcome is Outcome.COMPLETE:
-            await self._out.event(b"[DONE]")
+        await self._out.send_event(msgspec.json.encode(event), "outcome")
+        if result.outcome is Outcome.COMPLETE:
+            await self._out.send_event(b"[DONE]")
             await self._out.end()
 
 
--- a/berylshift/tests/test_outcomes.py
+++ b/berylshift/tests/test_outcomes.py
@@ -1,31 +1,28 @@
 """Tests of outcomes: "not-run" is reported only for calls that were not run."""
 
-import unittest
-
-import trio
-import trio.testing
-
 from berylshift.connection.http_client import HttpClient
-from berylshift.connection.service_client import REFUSED_HEADER, HttpServiceClient
+from berylshift.connection.service_client import HttpServiceClient
+from berylshift.connection.service_client import REFUSED_HEADER
 from berylshift.ids import AttemptId
-from berylshift.replay.trace import EventKind, TraceEvent
+from berylshift.replay.trace import EventKind
+from berylshift.replay.trace import TraceEvent
 from berylshift.replay.virtual import VirtualFleet
-from berylshift.request.messages import Outcome, Reason
-from berylshift.targets import (
-    ServiceCall,
-    TargetBrokenError,
-    TargetNotReachedError,
-    TargetRefusedError,
-)
+from berylshift.request.messages import Outcome
+from berylshift.request.messages import Reason
+from berylshift.targets import ServiceCall
+from berylshift.targets import TargetBrokenError
+from berylshift.targets import TargetNotReachedError
+from berylshift.targets import TargetRefusedError
 from berylshift.tests.support import VirtualTestCase
-from berylshift.tests.world import (
-    call_service,
-    complete,
-    expected_text,
-    model_call,
-    plain_call,
-    run_world,
-)
+from berylshift.tests.world import call_service
+from berylshift.tests.world import complete
+from berylshift.tests.world import expected_text
+from berylshift.tests.world import model_call
+from berylshift.tests.world import plain_call
+from berylshift.tests.world import run_world
+import trio
+import trio.testing
+import unittest
 
 CALL = ServiceCall(AttemptId("a1"), "booking", "POST", "/book", {}, b"x", False, "k")
 
@@ -132,7 +129,7 @@
             await prepare(world)
             found = await call_service(world.hosts["host-1"], plain_call("k"))
             await trio.sleep(3)
-            return found.ending.outcome, world.ran["k"], found.ending.reason
+            return found.result.outcome, world.ran["k"], found.result.reason
 
         return run_world(task)
 
@@ -183,7 +180,7 @@
                 nursery.start_soon(ask)
                 await trio.sleep(0.5)
                 nursery.start_soon(host.stop)
-            return found[0].ending.outcome, world.ran["k"]
+            return found[0].result.outcome, world.ran["k"]
 
         self.assertEqual(run_world(task), (Outcome.COMPLETE, 1))
 
@@ -198,7 +195,7 @@
                 await call_service(world.hosts["host-1"], plain_call())
                 for _ in range(6)
             ]
-            return {item.ending.outcome for item in found}
+            return {item.result.outcome for item in found}
 
         self.assertEqual(run_world(task), {Outcome.COMPLETE})
 
@@ -207,7 +204,7 @@
             for service in world.services.values():
                 service.script.lose_answers = 100
             found = await call_service(world.hosts["host-1"], plain_call())
-            return found.ending.outcome
+            return found.result.outcome
 
         self.assertIs(run_world(task), Outcome.UNKNOWN)
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -41,7 +41,7 @@
 RATES = "test_targets_rate_limits"
 DRAINING = "test_entry_draining"
 BACKOFF = "test_entry_backoff"
-TARGET_GATE = "test_request_target_gate"
+REPLICA_GATE = "test_request_replica_gate"
 REPLICA_SET = "test_directory_replica_set.ReplicaSetTest"
 PROOFS = (
     Proof(
@@ -146,7 +146,7 @@
     Proof(
         "nothing is sent to an engine that crashed under the request",
         "request/routed_crash_watch.py",
-        "        found = [*tried, *ended]\n",
+        "        found = [*tried, *crashed]\n",
         "        found = [*tried]\n",
         f"{ISOLATION}.SuspectsTest",
     ),
@@ -927,7 +927,7 @@
         "connection/target_client.py",
         "        admitted_at = self._gate.admit(out.instance, out.limit_exempt)\n",
         "        admitted_at = 0.0\n",
-        TARGET_GATE,
+        REPLICA_GATE,
     ),
     Proof(
         "the head of every response is processed",
@@ -967,7 +967,7 @@
     Proof(
         "placement skips throttled replicas",
         "request/replica_selector.py",
-        "        throttled = self._parts.throttle.blocked(self._now())\n"
+        "        throttled = self._deps.throttle.blocked(self._now())\n"
         "        excluded",
         "        throttled = []\n        excluded",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
@@ -995,7 +995,7 @@
     ),
     Proof(
         "a replica's own draining notice is respected",
-        "request/target_gate.py",
+        "request/replica_gate.py",
         "if control.draining and",
         "if False and",
         DRAINING,
