--- a/berylshift/entry_gauges.py
+++ b/berylshift/entry_gauges.py
@@ -23,18 +23,36 @@
     """Set each gauge to its current value."""
     gauge, table = app.telemetry.gauge, app.routes.table
     version = 0 if table is None else table.version
-    gauge("routes_version", "Version in force.", version)
-    gauge("replicas", "Replicas listed.", len(app.replicas))
-    gauge("in_flight", "Requests under way.", app.handler.in_flight)
+    gauge("routes_version", "Version of the routes in force.", version)
+    gauge("replicas", "Replicas listed in the directory.", len(app.replicas))
+    gauge("in_flight", "Requests in flight.", app.handler.in_flight)
     hosts = app.load_loop.known_hosts or 0
-    gauge("hosts_known", "Hosts that share limits.", hosts)
-    gauge("collects", "Role taken.", app.peers.is_collector)
-    gauge("follows", "Role taken.", app.store_watch.reads_feeds)
+    gauge("hosts_known", "Hosts among which limits are divided.", hosts)
+    gauge(
+        "collects",
+        "1 if this host aggregates its domain's load.",
+        app.peers.is_collector,
+    )
+    gauge(
+        "follows",
+        "1 if this host reads the store's feeds.",
+        app.store_watch.reads_feeds,
+    )
     era = app.store_watch.eras.current or FIRST_ERA
     gauge("store_era", "Era of the store.", era)
-    gauge("quarantined", "Requests held back.", len(app.quarantine))
-    gauge("replicas_throttled", "By their own word.", len(app.throttle))
+    gauge(
+        "quarantined",
+        "Requests quarantined for crashing replicas.",
+        len(app.quarantine),
+    )
+    gauge(
+        "replicas_throttled",
+        "Rate limits and back-offs set by replicas.",
+        len(app.throttle),
+    )
     tasks = app.leader_tasks
-    gauge("usage_reported", "Windows of usage sent.", tasks.windows_reported)
-    gauge("usage_given_up", "Windows of usage missed.", tasks.windows_given_up)
-    gauge("connections_opened", "To replicas.", app.ports.client.opened)
+    gauge("usage_reported", "Usage windows reported.", tasks.windows_reported)
+    gauge("usage_given_up", "Usage windows dropped unreported.", tasks.windows_given_up)
+    gauge(
+        "connections_opened", "Connections opened to replicas.", app.ports.client.opened
+    )
