--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -360,7 +360,7 @@
 
     def _task_rank(self, task_name: str) -> int | None:
         """Return this host's rank for a leader task; ``None`` during shutdown."""
-        return None if self.is_stopping else self.load_loop.duty_rank(task_name)
+        return None if self.is_stopping else self.load_loop.task_rank(task_name)
 
     def _make_phase_loop(self, service: ServiceName) -> PhaseLoop:
         cfg, ports = self.cfg, self.ports
--- a/berylshift/messages/load_digest.py
+++ b/berylshift/messages/load_digest.py
@@ -35,7 +35,7 @@
 
     HOST = 0
     DOMAIN = 1
-    FLEET = 2
+    ALL_HOSTS = 2
 
 
 class LoadEntry(msgspec.Struct, frozen=True):
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -18,7 +18,7 @@
 
 
 class Collector:
-    """Aggregates of a domain and of the fleet; times in monotonic seconds."""
+    """Aggregates of a domain and of all hosts; times in monotonic seconds."""
 
     def __init__(self, sources: DigestSources, builder: DigestBuilder, hosts: HostList):
         """Aggregate ``sources`` into digests of ``builder``, for ``hosts``."""
@@ -27,7 +27,7 @@
         self._hosts = hosts
         self._others: dict[str, Election] = {}
         self._domain_prefills = ForwardedPrefills()
-        self._fleet_prefills = ForwardedPrefills()
+        self._all_prefills = ForwardedPrefills()
         self._turn = 0
 
     def note_collector(self, digest: LoadDigest, now: float) -> None:
@@ -50,14 +50,14 @@
         """Queue the prefills of a digest that other hosts need to know of."""
         if digest.scope is Scope.HOST and digest.domain == self._sources.domain:
             self._domain_prefills.add(digest.prefills, now)
-        if digest.scope is not Scope.FLEET:
-            self._fleet_prefills.add(digest.prefills, now)
+        if digest.scope is not Scope.ALL_HOSTS:
+            self._all_prefills.add(digest.prefills, now)
 
     def add_own_prefills(self, now: float) -> None:
         """Queue this host's own prefills, which both aggregates include."""
         prefills = self._sources.prefix_cache.prefills_to_send(now)
         self._domain_prefills.add(prefills, now)
-        self._fleet_prefills.add(prefills, now)
+        self._all_prefills.add(prefills, now)
 
     def domain_aggregate(self, now: float) -> LoadDigest:
         """Return the load of this domain's hosts, for the other collectors."""
@@ -70,15 +70,15 @@
             sources.peers.domain_host_count(now),
         )
 
-    def fleet_aggregate(self, now: float) -> LoadDigest:
+    def total_aggregate(self, now: float) -> LoadDigest:
         """Return the load of all hosts, for those of this domain."""
         sources = self._sources
         return self._builder.build(
-            sources.peers.aggregate(sources.loads.entries(now), Scope.FLEET, now),
-            self._fleet_prefills.take(self._max_prefills(now)),
+            sources.peers.aggregate(sources.loads.entries(now), Scope.ALL_HOSTS, now),
+            self._all_prefills.take(self._max_prefills(now)),
             now,
-            Scope.FLEET,
-            sources.peers.fleet_host_count(now),
+            Scope.ALL_HOSTS,
+            sources.peers.total_host_count(now),
         )
 
     def _max_prefills(self, now: float, own_domain_only: bool = False) -> int:
--- a/berylshift/process/gossip/digest_builder.py
+++ b/berylshift/process/gossip/digest_builder.py
@@ -54,9 +54,9 @@
         sources = self._sources
         self._sequence += 1
         reads_feeds = sources.watch.reads_feeds
-        has_status = reads_feeds or scope is Scope.FLEET
+        has_status = reads_feeds or scope is Scope.ALL_HOSTS
         # Collectors of other domains receive each other's reports directly.
-        own_domain_only = scope is not Scope.FLEET
+        own_domain_only = scope is not Scope.ALL_HOSTS
         runs = self._runs(scope, now)
         is_aggregate = scope is not Scope.HOST
         return LoadDigest(
--- a/berylshift/process/gossip/election.py
+++ b/berylshift/process/gossip/election.py
@@ -1,9 +1,9 @@
-"""Which hosts of a group hold a role that a few of them fill for all.
+"""Elects the few hosts of a group that perform a role on behalf of all.
 
 There is no voting and no consensus: a host that hears from enough other holders, all of
-them before it in an order that every host computes alike, gives the role up. Two
-holders too many cost a few datagrams or calls; a missing one is replaced within two
-seconds, and what the role serves has a fallback without it.
+them before it in an order that every host computes alike, gives the role up. Two extra
+holders cost a few datagrams or calls. A missing one is replaced within two seconds;
+until then hosts use a fallback that does not need the role.
 """
 
 import functools
@@ -29,10 +29,10 @@
 class Election:
     """One role, seen from one host; times in seconds on the monotonic clock."""
 
-    def __init__(self, host: str, seats: int):
-        """Decide for ``host``; about ``seats`` hosts hold the role."""
+    def __init__(self, host: str, holder_count: int):
+        """Decide for ``host``; about ``holder_count`` hosts hold the role."""
         self._host = host
-        self._seats = seats
+        self._holder_count = holder_count
         self._heard_at: dict[str, float] = {}
         self._vacant_since: float | None = None
         self.is_holder = False
@@ -58,9 +58,9 @@
         """
         own = order_key(self._host)
         before = sum(order_key(host) < own for host in self.holders(now))
-        if self._vacant_since is None or before >= self._seats:
+        if self._vacant_since is None or before >= self._holder_count:
             self._vacant_since = now
-        if before >= self._seats:
+        if before >= self._holder_count:
             self.is_holder = False
         elif now - self._vacant_since >= self._takeover_delay(rank):
             self.is_holder = True
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -14,7 +14,7 @@
 from berylshift.process.gossip.digest_builder import DigestSources
 from berylshift.process.gossip.host_list import HostList
 from berylshift.process.gossip.peer_loads import MEMBER_TTL_SECONDS
-from berylshift.process.gossip.protocol import REPEAT_SECONDS, GossipProtocol, Role
+from berylshift.process.gossip.protocol import REPEAT_SECONDS, GossipProtocol, HostRole
 from berylshift.store.host_rows import HostRecord, HostRows
 from berylshift.store.interfaces import PlatformError
 
@@ -117,9 +117,9 @@
         deps = self._deps
         return HostRecord(deps.sources.host, deps.address, deps.sources.domain)
 
-    def duty_rank(self, duty: str) -> int | None:
-        """Return this host's rank for a duty; ``None``: it is not eligible."""
-        return self._protocol.duty_rank(duty, self._deps.clock.monotonic())
+    def task_rank(self, task: str) -> int | None:
+        """Return this host's rank for a leader task; ``None``: not eligible."""
+        return self._protocol.task_rank(task, self._deps.clock.monotonic())
 
     def notify_work(self) -> None:
         """Wake the sender: this host has new load to announce."""
@@ -195,7 +195,7 @@
             self._protocol.on_hosts_changed()
             logger.info("hosts known", extra={"hosts": self._hosts.names()})
 
-    def _on_role(self, role: Role, is_holder: bool) -> None:
+    def _on_role(self, role: HostRole, is_holder: bool) -> None:
         logger.info("role taken" if is_holder else "role left", extra={"role": role})
         # A new feed reader reads at once, even if the status it received is fresh.
         self._deps.on_store_change()
--- a/berylshift/process/gossip/peer_loads.py
+++ b/berylshift/process/gossip/peer_loads.py
@@ -99,7 +99,7 @@
         self._domain = domain
         self._hosts: dict[str, _Sender] = {}
         self._domains: dict[str, _Sender] = {}
-        self._fleet: _Sender | None = None
+        self._total: _Sender | None = None
         self._sums: dict[int, _ReplicaLoad] = {}
         self._failing: dict[int, dict[str, LoadEntry]] = {}
         self._heard_at: dict[str, float] = {}
@@ -118,17 +118,17 @@
         if digest.host == self._host:
             return
         self._heard_at[digest.host] = now
-        if digest.scope is Scope.FLEET:
-            self._receive_fleet(digest, now)
+        if digest.scope is Scope.ALL_HOSTS:
+            self._receive_total(digest, now)
         elif digest.scope is Scope.DOMAIN:
             if digest.domain != self._domain:
                 self._replace(self._domains, digest.domain, digest, now)
         elif not (self.uses_collectors and digest.domain != self._domain):
             self._replace(self._hosts, digest.host, digest, now)
 
-    def _receive_fleet(self, digest: LoadDigest, now: float) -> None:
-        if self._fleet is None or not self._is_outdated(self._fleet, digest, now):
-            self._fleet = _sender(digest, now)
+    def _receive_total(self, digest: LoadDigest, now: float) -> None:
+        if self._total is None or not self._is_outdated(self._total, digest, now):
+            self._total = _sender(digest, now)
             self._note_host_count(digest.hosts, now)
 
     def _is_outdated(self, known: _Sender, digest: LoadDigest, now: float) -> bool:
@@ -181,20 +181,20 @@
         }
         self._failing = {target: by for target, by in self._failing.items() if by}
 
-    def _current_fleet(self, now: float) -> _Sender | None:
-        """Return the fleet aggregate of a collector, if this host may use it."""
-        if self.is_collector or self._fleet is None:
+    def _current_total(self, now: float) -> _Sender | None:
+        """Return a collector's aggregate of all hosts, if this host may use it."""
+        if self.is_collector or self._total is None:
             return None
-        is_fresh = now - self._fleet.received_at < AGGREGATE_TTL_SECONDS
-        return self._fleet if is_fresh else None
+        is_fresh = now - self._total.received_at < AGGREGATE_TTL_SECONDS
+        return self._total if is_fresh else None
 
     def _load(self, instance: InstanceId, now: float) -> _ReplicaLoad:
         target = target_hash(instance)
-        fleet = self._current_fleet(now)
-        if fleet is None:
+        total = self._current_total(now)
+        if total is None:
             self._expire_silent(now)
             return self._sums.get(target, NO_LOAD)
-        entry = fleet.entries.get(target)
+        entry = total.entries.get(target)
         if entry is None:
             return NO_LOAD
         load = _ReplicaLoad()
@@ -222,9 +222,9 @@
         from the other hosts.
         """
         target = target_hash(instance)
-        fleet = self._current_fleet(now)
-        if fleet is not None:
-            entry = fleet.entries.get(target)
+        total = self._current_total(now)
+        if total is not None:
+            entry = total.entries.get(target)
             return 0.0 if entry is None else entry.second_failures
         self._expire_silent(now)
         load = _ReplicaLoad()
@@ -242,7 +242,7 @@
         """
         self._expire_silent(now)
         senders = list(self._hosts.values())
-        if scope is Scope.FLEET:
+        if scope is Scope.ALL_HOSTS:
             senders += self._domains.values()
         found: dict[int, _ReplicaLoad] = {}
         _add_all(found, own)
@@ -261,7 +261,7 @@
             for sender in self._hosts.values()
         )
 
-    def fleet_host_count(self, now: float) -> int:
+    def total_host_count(self, now: float) -> int:
         """Return how many hosts a collector knows of."""
         others = sum(
             sender.hosts
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -33,8 +33,8 @@
 FEED_READERS = 2
 
 
-class Role(StrEnum):
-    """What a host may do for others."""
+class HostRole(StrEnum):
+    """What a host may do on behalf of other hosts, in load gossip and feed reads."""
 
     COLLECTOR = "collector"
     FEED_READER = "follower"
@@ -56,7 +56,7 @@
         sources: DigestSources,
         hosts: HostList,
         byte_budget: int,
-        on_role: Callable[[Role, bool], None],
+        on_role: Callable[[HostRole, bool], None],
     ):
         """Send ``sources`` to ``hosts``, within ``byte_budget`` bytes a second.
 
@@ -155,11 +155,12 @@
         else:
             usage.merge_host(digest.host, digest.domain, digest.started_ms, digest.runs)
 
-    def duty_rank(self, duty: str, now: float) -> int | None:
-        """Return how many hosts precede this one for a duty; ``None``: not eligible.
+    def task_rank(self, task: str, now: float) -> int | None:
+        """Return how many hosts precede this one for a leader task.
 
-        Duties are spread: each has an order of its own among the hosts that know the
-        load of all others.
+        ``None``: this host is not eligible, since only hosts that know the load of all
+        others are. Each task orders the hosts differently, so that tasks are spread
+        over them.
         """
         if self.uses_collectors:
             if not self._collectors.is_holder:
@@ -170,8 +171,8 @@
             others = [
                 host for host in self._hosts.names() if peers.was_heard(host, now)
             ]
-        own = order_key(f"{duty}/{self._sources.host}")
-        return sum(order_key(f"{duty}/{host}") < own for host in others)
+        own = order_key(f"{task}/{self._sources.host}")
+        return sum(order_key(f"{task}/{host}") < own for host in others)
 
     def _is_own_domain(self, digest: LoadDigest) -> bool:
         """Return whether a collector has to forward what this sender reports."""
@@ -265,7 +266,7 @@
         sources.peers.uses_collectors = True
         sources.peers.is_collector = is_holder
         if is_holder != was_holder:
-            self._on_role(Role.COLLECTOR, is_holder)
+            self._on_role(HostRole.COLLECTOR, is_holder)
         if is_holder:
             # Collectors are few and hear from each other, so no rank delays them.
             self._set_feed_reader(self._feed_readers.decide(0, now))
@@ -276,7 +277,7 @@
     def _set_feed_reader(self, is_holder: bool) -> None:
         if is_holder != self._sources.watch.reads_feeds:
             self._sources.watch.reads_feeds = is_holder
-            self._on_role(Role.FEED_READER, is_holder)
+            self._on_role(HostRole.FEED_READER, is_holder)
 
     def _to_collector(self, now: float) -> list[OutgoingDigest]:
         """Return the digest for the collector; the first one goes to the whole domain.
@@ -303,5 +304,5 @@
         domain_peers = [rec.address for rec in self._hosts.domain_peers()]
         return [
             OutgoingDigest(self._collector.domain_aggregate(now), others),
-            OutgoingDigest(self._collector.fleet_aggregate(now), domain_peers),
+            OutgoingDigest(self._collector.total_aggregate(now), domain_peers),
         ]
--- a/berylshift/tests/test_gossip_election.py
+++ b/berylshift/tests/test_gossip_election.py
@@ -52,7 +52,7 @@
         max_delay = HOLDER_TIMEOUT_SECONDS + SECONDS_PER_RANK * MAX_DELAYED_RANKS
         self.assertTrue(election.decide(500, max_delay + 0.01))
 
-    def test_two_seats_are_held_by_two_hosts(self):
+    def test_role_for_two_is_held_by_two_hosts(self):
         election = Election(HOSTS[2], 2)
         election.decide(2, 0.0)
         election.note_holder(HOSTS[0], 1.0)
--- a/berylshift/tests/test_gossip_protocol.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -9,7 +9,11 @@
 from berylshift.process.gossip.election import order_key
 from berylshift.process.gossip.host_list import HostList
 from berylshift.process.gossip.peer_loads import PeerLoads
-from berylshift.process.gossip.protocol import AGGREGATE_SECONDS, GossipProtocol, Role
+from berylshift.process.gossip.protocol import (
+    AGGREGATE_SECONDS,
+    GossipProtocol,
+    HostRole,
+)
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
@@ -37,7 +41,7 @@
         self.hosts = HostList(me, self.domain)
         self.hosts.replace(records, 0.0)
         self.loads = TargetLoads()
-        self.roles: list[tuple[Role, bool]] = []
+        self.roles: list[tuple[HostRole, bool]] = []
         parts = DigestSources(
             me,
             self.domain,
@@ -60,7 +64,7 @@
     def receive_aggregate(
         self, protocol: GossipProtocol, sender: str, domain: str, now: float
     ) -> None:
-        digest = LoadDigest(sender, 1, (), scope=Scope.FLEET, domain=domain)
+        digest = LoadDigest(sender, 1, (), scope=Scope.ALL_HOSTS, domain=domain)
         protocol.receive(digest, now)
 
     def domain_peer(self) -> str:
@@ -93,11 +97,11 @@
     def test_host_becomes_collector_if_there_is_none(self):
         protocol = self.make_protocol(MANY)
         protocol.due(0.0)
-        domain_outgoing, fleet_outgoing = protocol.due(10.0)
+        domain_outgoing, total_outgoing = protocol.due(10.0)
         self.assertEqual(domain_outgoing.digest.scope, Scope.DOMAIN)
-        self.assertEqual(fleet_outgoing.digest.scope, Scope.FLEET)
-        self.assertEqual(len(fleet_outgoing.addresses), len(self.hosts.domain_peers()))
-        self.assertIn((Role.COLLECTOR, True), self.roles)
+        self.assertEqual(total_outgoing.digest.scope, Scope.ALL_HOSTS)
+        self.assertEqual(len(total_outgoing.addresses), len(self.hosts.domain_peers()))
+        self.assertIn((HostRole.COLLECTOR, True), self.roles)
         self.assertEqual(protocol.interval_seconds, AGGREGATE_SECONDS)
 
     def test_collector_probes_all_hosts_of_domains_without_a_known_collector(self):
--- a/berylshift/tests/test_scaling_loop.py
+++ b/berylshift/tests/test_scaling_loop.py
@@ -68,7 +68,7 @@
             ordering=self.duties,
             rows=self.rows,
             clock=LoopClock(),
-            rank=lambda duty: self.rank(name),
+            rank=lambda task: self.rank(name),
             is_idle=lambda: False,
         )
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -270,14 +270,14 @@
         self.assertLessEqual(len(data), 1400)
         self.assertGreater(len(LoadCodec("key").decode(data).entries), 20)
 
-    def test_fleet_aggregate_fits_in_a_datagram(self):
+    def test_total_aggregate_fits_in_a_datagram(self):
         """A collector sends fifty replicas' load, prefills, orders and store status.
 
         Entries that don't fit are left out, and their load stays unknown to the others.
         """
         self.check_aggregate_fits(MAX_PREFILLS, 0)
 
-    def test_fleet_aggregate_fits_beside_crash_reports(self):
+    def test_total_aggregate_fits_beside_crash_reports(self):
         prefills = MAX_PREFILLS - PREFILLS_PER_CRASH * MAX_CRASHES_PER_DIGEST
         self.check_aggregate_fits(prefills, MAX_CRASHES_PER_DIGEST)
 
@@ -308,7 +308,7 @@
             entries,
             prefills,
             phases,
-            Scope.FLEET,
+            Scope.ALL_HOSTS,
             "derwent-b",
             195,
             True,
--- a/berylshift/tests/usage_world.py
+++ b/berylshift/tests/usage_world.py
@@ -86,7 +86,7 @@
             reporting=self.duties,
             eras=eras,
             clock=clock,
-            rank_for=lambda duty: self._place(name),
+            rank_for=lambda task: self._place(name),
         )
         host = UsageHost(name, usage_counts, eras, loop)
         self.hosts = [known for known in self.hosts if known.name != name] + [host]
