--- a/berylshift/process/directory/directory_loop.py
+++ b/berylshift/process/directory/directory_loop.py
@@ -23,9 +23,9 @@
 
 INITIAL_BACKOFF_SECONDS = 0.1
 MAX_BACKOFF_SECONDS = 0.6
-# While the store is down, hosts that do not read feeds for others back off for longer
-# the more hosts there are: together they call as often as fifty hosts do at 0.6 s. A
-# change reported by a host that reached the store ends the wait.
+# While the store is down, the back-off of hosts that do not read feeds for others grows
+# by this much per host, so that from fifty hosts on (0.6 s) their total rate of calls
+# stays the same. The wait ends when another host reports a change.
 BACKOFF_SECONDS_PER_HOST = 0.012
 # Hosts that learn of a change at the same time spread their reads over this much time
 # per host.
--- a/berylshift/process/directory/expected_phases.py
+++ b/berylshift/process/directory/expected_phases.py
@@ -15,9 +15,9 @@
 ORDER_PENDING_SECONDS = 15.0
 # An engine takes no new work for this long while it changes phase (its data sheet).
 PHASE_CHANGE_SECONDS = 3.0
-# When hundreds of engines change phase at startup, sending all orders in every digest
-# takes 300 kB/s per host with 99 hosts and 998 replicas. 16 orders take 0.2 kB, and all
-# orders have been sent after a few digests.
+# Bounds the traffic when hundreds of engines change phase at startup: with all orders
+# in every digest, each of 99 hosts would send 300 kB/s for 998 replicas. 16 orders take
+# 0.2 kB, and all orders have been sent after a few digests.
 MAX_ORDERS_PER_DIGEST = 16
 # Of these, how many are the newest orders; the others rotate.
 NEWEST_ORDERS_PER_DIGEST = 8
--- a/berylshift/process/directory/store_watch.py
+++ b/berylshift/process/directory/store_watch.py
@@ -2,9 +2,9 @@
 
 Calls to the store are paid for and its capacity is shared by all hosts. If each host
 read the feeds of routes and replicas itself, calls would grow with the number of hosts
-although the changes stay the same. A few hosts read the feeds; the others learn from
-them, in digests that are sent anyway, up to which revision nothing has changed and as
-of when. A host reads only changes reported to it, or when reports have become too old.
+although the changes stay the same. So a few hosts read the feeds; the others learn from
+their digests, which are sent anyway, each feed's last change and when that was
+confirmed. They read only changes reported to them, or when reports have become too old.
 
 A status carries the time of the store's own clock at which it was true. Each host knows
 that clock from its own reads and so knows the age of a status that was delayed, or sent
@@ -20,10 +20,12 @@
 from berylshift.process.directory.store_era_tracker import EraSource, StoreEraTracker
 from berylshift.store.eras import FIRST_ERA
 
-# Fractions of the time within which a change must be in force. A feed without changes
-# answers after the first; a status older than the second is not enough. The difference
-# allows a status to pass through two hosts, the rest a read by this host itself.
+# A long poll of a feed without changes lasts this fraction of the time within which a
+# change must be in force.
 FEED_WAIT_FRACTION = 0.55
+# A status of another host that is older than this fraction of that time does not
+# replace a read. The difference to the fraction above allows a status to pass through
+# two hosts; the remainder is left for this host's own read.
 MAX_STATUS_AGE_FRACTION = 0.85
 # However fresh the status, each host reads by itself this often, in seconds, because
 # its estimate of the store's clock drifts, by less than 0.1 s in this time.
--- a/berylshift/process/leader_tasks/leader_lease.py
+++ b/berylshift/process/leader_tasks/leader_lease.py
@@ -9,9 +9,10 @@
 A holder that may reacquire the lease takes it again at once while its own row is still
 there, since nobody else has held it in between. One that may not lets others go first.
 
-A store that is restored from an older copy may have lost the row. Its holder stops when
-it learns of the new era, and nobody acquires a lease whose row is missing, or of a
-former era, until the era has been known for as long as a lost row may have granted.
+A store that is restored from an older copy may have lost the row. The holder stops when
+it learns of the new era. If the row is missing or of a former era, a host acquires the
+lease only after it has known the new era for as long as a row excludes other holders:
+by then any lease granted by a lost row has expired.
 """
 
 import random
@@ -33,7 +34,7 @@
 # Bits of a fencing token below the store's era: an era has far fewer revisions, and the
 # token still fits into the integers that JSON represents exactly.
 REVISION_BITS = 36
-# The holder named in a refusal while a lost row may still grant the lease.
+# The holder named in a refusal while a lease granted by a lost row may still be valid.
 UNKNOWN_HOLDER = "unknown"
 
 
@@ -149,7 +150,7 @@
         return record.grant == self._last_attempt
 
     def _may_be_lost(self, row: LeaseRow) -> bool:
-        """Return whether a lost row may still grant the lease to another host.
+        """Return whether a lost row may have granted the lease to another host.
 
         A host that has just started can't know for how long the era has lasted.
         """
--- a/berylshift/process/quarantine/__init__.py
+++ b/berylshift/process/quarantine/__init__.py
@@ -1,1 +1,4 @@
-"""Quarantine of requests that crash replicas."""
+"""Quarantine of requests that crash replicas.
+
+Serves both the native and the routed API.
+"""
--- a/berylshift/process/records/__init__.py
+++ b/berylshift/process/records/__init__.py
@@ -1,1 +1,4 @@
-"""Confirmation rows: deferred writes and removal of expired rows."""
+"""Confirmation rows: deferred writes and removal of expired rows.
+
+Serves the native API.
+"""
--- a/berylshift/process/shutdown.py
+++ b/berylshift/process/shutdown.py
@@ -19,11 +19,11 @@
     While most hosts of a domain stop at once, the balancer still sends requests to each
     of them. A request that outlasts the process is cut: its caller gets no response, or
     half of one, for a request that may have run. A stopping host therefore accepts only
-    requests whose own timeout ends before the process does. While the balancer can't
-    know of the shutdown yet, it also accepts requests that should end in time, going
-    by the durations of recent ones: callers that are refused mostly reach another
-    stopping host and don't try a third time. No fixed limit fits all deployments, since
-    their streams last from half a second to eight seconds.
+    requests whose own timeout ends before the process does. Until the balancer can know
+    of the shutdown, the host also accepts requests that will probably end in time,
+    judged by recent durations: a refused caller would mostly reach another stopping
+    host and not try a third time. A fixed limit would not do, since streams last from
+    half a second to eight seconds, depending on the deployment.
     """
 
     def __init__(self, clock: Clock):
--- a/berylshift/process/targets/engine_speeds.py
+++ b/berylshift/process/targets/engine_speeds.py
@@ -35,7 +35,8 @@
 PRIOR_RESPONSE_SECONDS = 1.9
 # An engine's KV cache capacity where the configuration does not state it.
 PRIOR_KV_CAPACITY_TOKENS = 400_000
-# Overhead of a KV cache transfer beside its bytes: two messages and a set-up.
+# Fixed time of a KV cache transfer, in addition to the time for its bytes: two messages
+# and the connection set-up.
 TRANSFER_SETUP_SECONDS = 0.003
 BITS_PER_BYTE = 8
 MEGA = 1_000_000
--- a/berylshift/process/targets/limit_shares.py
+++ b/berylshift/process/targets/limit_shares.py
@@ -1,11 +1,11 @@
 """Which share of a replica's rate limit this host may use.
 
-A replica states one limit for all hosts together. Split evenly among hundreds of hosts,
-a limit of a few requests a second leaves each host with one request in minutes; send
-slots of idle hosts are wasted, or, if saved up, add up to a burst of many times the
-limit. So a few hosts, the holders, share most of the limit. Holders are chosen by
-rendezvous hashing, hosts of the replica's own failure domain first, since these send
-there most.
+A replica states one limit for all hosts together. If a limit of a few requests per
+second were split evenly among hundreds of hosts, each could send one request in
+minutes. Send slots of idle hosts would be lost or, if saved, cause a burst of many
+times the limit. So a few hosts, the main senders, share most of the limit. They are
+chosen by rendezvous hashing, hosts of the replica's own failure domain first, since
+these send there most.
 """
 
 import heapq
@@ -17,23 +17,23 @@
 from berylshift.ids import DomainName, HostName, InstanceId
 from berylshift.store.host_rows import HostRecord
 
-# Holders of a limit below one request a second; each further request a second adds one.
-# Each holder may send once at any moment, so there are few.
-MIN_HOLDERS = 3
-# The fraction of a limit that the holders use together. The rest is for the other
-# hosts, which otherwise would not notice that the limit is lifted while no holder has
-# callers.
-HOLDERS_FRACTION = 0.8
+# Main senders of a limit below one request per second; each further request per second
+# adds one. Each of them may send once at any moment, so there are few.
+MIN_MAIN_SENDERS = 3
+# The fraction of a limit that the main senders use together. The rest is for the other
+# hosts, which otherwise would not notice that the limit is lifted while no main sender
+# has callers.
+MAIN_SENDERS_FRACTION = 0.8
 
 
 class LimitShare(msgspec.Struct, frozen=True):
-    """A fraction of a limit, from 0 to 1, and whether this host is a holder.
+    """A fraction of a limit, from 0 to 1, and whether this host is a main sender.
 
-    ``other_hosts``: how many hosts share what the holders leave.
+    ``other_hosts``: how many hosts share what the main senders leave.
     """
 
     fraction: float
-    is_holder: bool
+    is_main_sender: bool
     other_hosts: int = 0
 
 
@@ -61,17 +61,17 @@
         hosts = self._hosts()
         if hosts is None:
             return _share_of_others(self._assumed_hosts)
-        count = MIN_HOLDERS + int(requests_per_second)
+        count = MIN_MAIN_SENDERS + int(requests_per_second)
         if len(hosts) <= count:
             return LimitShare(1 / max(1, len(hosts)), True)
         near = [rec for rec in hosts if rec.domain == domain]
-        holders = heapq.nsmallest(
+        main_senders = heapq.nsmallest(
             count,
             near if len(near) >= count else hosts,
             key=lambda rec: (rec.domain != domain, _order_key(rec.host, instance)),
         )
-        if any(rec.host == self._host for rec in holders):
-            return LimitShare(HOLDERS_FRACTION / count, True)
+        if any(rec.host == self._host for rec in main_senders):
+            return LimitShare(MAIN_SENDERS_FRACTION / count, True)
         return _share_of_others(len(hosts) - count)
 
 
@@ -81,4 +81,4 @@
 
 
 def _share_of_others(count: int) -> LimitShare:
-    return LimitShare((1 - HOLDERS_FRACTION) / count, False, count)
+    return LimitShare((1 - MAIN_SENDERS_FRACTION) / count, False, count)
--- a/berylshift/process/targets/prefix_cache_index.py
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -1,15 +1,15 @@
-"""Which engines cache which prefix blocks, as far as hosts have told each other.
+"""Which engines cache which prefix blocks, as far as hosts have informed each other.
 
 The home engine that all hosts compute alike says where a block should be, not that it
 is there: an engine that has just started, or become the home, has nothing cached.
-Prompts that are taken for cheap there would queue up behind each other. Each host
-therefore announces where it sends blocks, in some bytes each; this also spreads popular
-blocks over more engines.
+Prompts would be sent there as if their prefix were cached, and would queue up. Each
+host therefore announces where it sends blocks, in a few bytes each; this also spreads
+popular blocks over more engines.
 
 How long an engine caches a block depends on its other prefills. Each host simulates the
 engine's cache: an LRU of blocks with their token counts; blocks beyond the capacity are
-taken as evicted. A fixed time instead is right for one load of one engine only: if it
-is too long, blocks that count as cached are prefilled anew.
+taken as evicted. A fixed caching time would suit only one engine under one load: if it
+is too long, evicted blocks count as cached and are prefilled anew.
 """
 
 import functools
--- a/berylshift/process/targets/rate_limits.py
+++ b/berylshift/process/targets/rate_limits.py
@@ -13,12 +13,13 @@
 
 # Used for a limit of zero, so that its end is noticed by the occasional request.
 MIN_REQUESTS_PER_SECOND = 0.02
-# How long a limit has to be in force before other replicas take over for good.
+# A replica whose limit has been in force for this long is left out when engine phases
+# are planned.
 LASTING_SECONDS = 2.0
-# Slots that a holder may save up beside the current one.
+# Slots that a main sender may save up beside the current one.
 MAX_SAVED_SLOTS = 0.25
-# Mean number of hosts, of those that are not holders, that have an unused slot at the
-# same time.
+# Mean number of hosts, of those that are not main senders, that have an unused slot at
+# the same time.
 MEAN_OPEN_SLOTS = 0.5
 # How long a share is used before it is computed anew from the list of hosts.
 SHARE_TTL_SECONDS = 1.0
@@ -53,10 +54,10 @@
     def slot_expires_at(self) -> float:
         """Return when an unused slot expires.
 
-        Without expiry the slots of all hosts that are not holders would be used in one
-        burst.
+        Without expiry the slots of all hosts that are not main senders would be used in
+        one burst.
         """
-        if self.share.is_holder:
+        if self.share.is_main_sender:
             return float("inf")
         return (
             self.slot_at
@@ -130,13 +131,13 @@
     def note_sent(self, instance: InstanceId, now: float) -> None:
         """Record that this host's send slot is used.
 
-        A holder's next slot is counted from the beginning of this one, so that its
+        A main sender's next slot is counted from the beginning of this one, so that its
         share is used up although callers arrive at random times.
         """
         limit = self._limits.get(instance)
         if limit is None:
             return
-        late = max(0.0, now - limit.slot_at) if limit.share.is_holder else 0.0
+        late = max(0.0, now - limit.slot_at) if limit.share.is_main_sender else 0.0
         saved = min(late, MAX_SAVED_SLOTS * limit.interval_seconds)
         limit.counted_from, limit.phase = now - saved, 1.0
         self._invalidate_blocked()
--- a/berylshift/process/targets/recent_durations.py
+++ b/berylshift/process/targets/recent_durations.py
@@ -7,8 +7,8 @@
 from berylshift.clock import Clock
 from berylshift.ids import RouteName
 
-# Requests that the maximum is taken of: one in 65 is longer than the 64 before it, and
-# far fewer are half as long again.
+# Requests that the maximum is taken of. One request in 65 is longer than the 64 before
+# it, and far fewer exceed them by the safety factor.
 MAX_SAMPLES = 64
 # Fewer samples do not predict how long the next request takes.
 MIN_SAMPLES = 8
--- a/berylshift/process/targets/throttle.py
+++ b/berylshift/process/targets/throttle.py
@@ -78,7 +78,7 @@
                 "instance": instance,
                 "per_second": round(requests_per_second, 3),
                 "share": None if share is None else round(share.fraction, 4),
-                "held": share is not None and share.is_holder,
+                "held": share is not None and share.is_main_sender,
                 "told": from_peer,
             },
         )
--- a/berylshift/process/usage/__init__.py
+++ b/berylshift/process/usage/__init__.py
@@ -1,1 +1,4 @@
-"""Counts of started requests by customer and time window, and their reporting."""
+"""Counts of started requests by customer and time window, and their reporting.
+
+Serves the routed API.
+"""
--- a/berylshift/tests/test_targets_rate_limits.py
+++ b/berylshift/tests/test_targets_rate_limits.py
@@ -4,7 +4,7 @@
 import unittest
 
 from berylshift.ids import DomainName, HostName, InstanceId
-from berylshift.process.targets.limit_shares import MIN_HOLDERS, LimitShares
+from berylshift.process.targets.limit_shares import MIN_MAIN_SENDERS, LimitShares
 from berylshift.process.targets.rate_limits import MAX_SAVED_SLOTS, RateLimits
 from berylshift.store.host_rows import HostRecord
 from berylshift.tests.limit_load import WINDOW_SECONDS, max_allowed
@@ -176,19 +176,19 @@
 
 
 class ShareTest(unittest.TestCase):
-    """Which hosts are the holders of a limit."""
+    """Which hosts are the main senders of a limit."""
 
     def test_holders_are_of_the_replicas_domain_first(self):
         rows = host_rows(40)
-        holders = [
+        main_senders = [
             row
             for row in rows
             if LimitShares(HostName(row.host), lambda: rows, ASSUMED_HOSTS)
             .share(TARGET, DomainName("domain-1"), 2.6)
-            .is_holder
+            .is_main_sender
         ]
-        self.assertEqual(len(holders), MIN_HOLDERS + 2)
-        self.assertEqual({row.domain for row in holders}, {"domain-1"})
+        self.assertEqual(len(main_senders), MIN_MAIN_SENDERS + 2)
+        self.assertEqual({row.domain for row in main_senders}, {"domain-1"})
 
     def test_shares_of_all_hosts_add_up_to_one(self):
         for count in HOST_COUNTS:
@@ -207,5 +207,5 @@
         found = LimitShares(HostName("host-0"), lambda: None, ASSUMED_HOSTS).share(
             TARGET, None, 2.6
         )
-        self.assertFalse(found.is_holder)
+        self.assertFalse(found.is_main_sender)
         self.assertLess(found.fraction, 0.01)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -942,7 +942,7 @@
     Proof(
         "hosts share a limit",
         "process/targets/limit_shares.py",
-        "            return LimitShare(HOLDERS_FRACTION / count, True)\n",
+        "            return LimitShare(MAIN_SENDERS_FRACTION / count, True)\n",
         "            return LimitShare(1.0, True)\n",
         RATES,
     ),
