--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -38,7 +38,7 @@
 from berylshift.process.records.pending_records import PendingRecords
 from berylshift.process.records.sweep_loop import SweepLoop
 from berylshift.process.shutdown import Shutdown
-from berylshift.process.table.follower import (
+from berylshift.process.table.table_follower import (
     FollowerDependencies,
     PeerTables,
     PeerView,
--- a/berylshift/connection/peer_tables.py
+++ b/berylshift/connection/peer_views.py
@@ -5,7 +5,7 @@
 
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.process.table.follower import PeerView
+from berylshift.process.table.table_follower import PeerView
 
 FETCH_TIMEOUT_SECONDS = 2.0
 STATUS_OK = 200
--- a/berylshift/process/control/pool_loop.py
+++ b/berylshift/process/control/pool_loop.py
@@ -37,7 +37,7 @@
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.limits.store_budget import Priority
 from berylshift.process.membership.members import Membership, host_of
-from berylshift.process.table.follower import TableHolder
+from berylshift.process.table.table_follower import TableHolder
 from berylshift.settings import Settings
 from berylshift.store.batch import TableGate
 from berylshift.store.interfaces import (
--- a/berylshift/process/engine_state/report_poller.py
+++ b/berylshift/process/engine_state/report_poller.py
@@ -9,7 +9,7 @@
 from berylshift.ids import TargetName
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.engine_state.prefix_index import PrefixIndex
-from berylshift.process.table.follower import TableHolder
+from berylshift.process.table.table_follower import TableHolder
 from berylshift.targets import EngineClient, TargetError
 
 logger = logging.getLogger(__name__)
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -15,7 +15,7 @@
 from berylshift.process.membership.digest import MAX_STORE_AGE_SECONDS, Digest
 from berylshift.process.membership.members import Membership
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.table.follower import TableFollower, TableHolder
+from berylshift.process.table.table_follower import TableFollower, TableHolder
 from berylshift.settings import PeerSettings
 from berylshift.store.interfaces import HostEntry
 from berylshift.version.freshness import Freshness
--- a/berylshift/process/membership/readiness.py
+++ b/berylshift/process/membership/readiness.py
@@ -5,7 +5,7 @@
 
 from berylshift.clock import Clock
 from berylshift.ids import HostName
-from berylshift.process.table.follower import TableHolder
+from berylshift.process.table.table_follower import TableHolder
 from berylshift.request.messages import Reason
 from berylshift.version.freshness import Freshness, View
 from berylshift.version.rows import RowState
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -6,7 +6,7 @@
 import trio
 
 from berylshift.process.membership.digest import Digest
-from berylshift.process.table.follower import PeerView
+from berylshift.process.table.table_follower import PeerView
 from berylshift.stand_ins.network import Network
 
 
--- a/berylshift/tests/test_table_machine.py
+++ b/berylshift/tests/test_table_machine.py
@@ -9,7 +9,7 @@
 
 from berylshift.clock import ManualClock
 from berylshift.ids import ChangeId
-from berylshift.process.table.follower import TableHolder
+from berylshift.process.table.table_follower import TableHolder
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.store.interfaces import PlatformError, ResponseLostError
 from berylshift.tests.support import EXPLORE, engine_row, route_row
