--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -40,8 +40,8 @@
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.table.table_follower import (
     FollowerDependencies,
-    PeerTables,
     PeerView,
+    PeerViews,
     TableFollower,
     TableHolder,
 )
@@ -107,7 +107,7 @@
     engines: EngineClient
     services: ServiceClient
     link: PeerLink
-    peer_tables: PeerTables
+    peer_views: PeerViews
 
 
 @dataclass(frozen=True)
@@ -255,7 +255,7 @@
             fresh=self.freshness,
             plans=self.plans,
             members=self.members,
-            peers=ports.peer_tables,
+            peers=ports.peer_views,
             clock=ports.clock,
             on_change=self.on_table_change,
             poll_interval_seconds=cfg.table.poll_interval,
--- a/berylshift/connection/peer_views.py
+++ b/berylshift/connection/peer_views.py
@@ -11,7 +11,7 @@
 STATUS_OK = 200
 
 
-class HttpPeerTables:
+class HttpPeerViews:
     """Fetches tables from the admin addresses of peers."""
 
     def __init__(self, client: HttpClient, cluster_key: str):
--- a/berylshift/process/table/table_follower.py
+++ b/berylshift/process/table/table_follower.py
@@ -30,8 +30,8 @@
     hosts: list[HostEntry] = []
 
 
-class PeerTables(Protocol):
-    """Fetches peers' views."""
+class PeerViews(Protocol):
+    """Fetches peers' views of the table, the plans and the hosts."""
 
     async def fetch(self, address: str) -> PeerView | None:
         """Return a peer's view, ``None`` if it can't be fetched."""
@@ -69,7 +69,7 @@
     fresh: Freshness
     plans: Plans
     members: Membership
-    peers: PeerTables
+    peers: PeerViews
     clock: Clock
     on_change: Callable[[Table, Table], None]
     poll_interval_seconds: float
@@ -86,7 +86,7 @@
         self._newer_peers: set[str] = set()
 
     def note_peer_versions(self, address: str, version: int, plan_version: int) -> None:
-        """Note a peer's versions; newer ones are fetched at once."""
+        """Record a peer's versions; newer ones are fetched at once."""
         newer = version > self._deps.holder.table.version
         if newer or plan_version > self._deps.plans.total:
             self._newer_peers.add(address)
--- a/berylshift/replay/virtual_fleet.py
+++ b/berylshift/replay/virtual_fleet.py
@@ -34,7 +34,7 @@
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.stand_ins.memory_peers import (
     MemoryPeerLink,
-    MemoryPeerTables,
+    MemoryPeerViews,
     PeerHub,
 )
 from berylshift.stand_ins.memory_targets import MemoryEngines, MemoryServices
@@ -212,7 +212,7 @@
             engines=MemoryEngines(name, self.runners, self.network),
             services=MemoryServices(name, self.replicas, self.network),
             link=MemoryPeerLink(self.hub, name, addresses.peer),
-            peer_tables=MemoryPeerTables(self.hub, name),
+            peer_views=MemoryPeerViews(self.hub, name),
         )
         app = Application(cfg, ports, addresses, {})
 
--- a/berylshift/serve_native.py
+++ b/berylshift/serve_native.py
@@ -15,7 +15,7 @@
 from berylshift.connection.listeners import bound_address, open_listener
 from berylshift.connection.peer_codec import PeerCodec
 from berylshift.connection.peer_link import UdpPeerLink
-from berylshift.connection.peer_views import HttpPeerTables
+from berylshift.connection.peer_views import HttpPeerViews
 from berylshift.connection.service_client import HttpServiceClient
 from berylshift.metrics import make_metrics
 from berylshift.settings import Credentials, Settings
@@ -45,7 +45,7 @@
         engines=HttpEngineClient(client, cfg.targets.credential),
         services=HttpServiceClient(client, cfg.targets.credential),
         link=link,
-        peer_tables=HttpPeerTables(client, creds.cluster_key),
+        peer_views=HttpPeerViews(client, creds.cluster_key),
     )
 
 
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -46,7 +46,7 @@
             on_message(digest)
 
 
-class MemoryPeerTables:
+class MemoryPeerViews:
     """Fetches views from peers' admin addresses."""
 
     def __init__(self, hub: PeerHub, host: str):
