--- a/bench/micro.py
+++ b/bench/micro.py
@@ -52,7 +52,7 @@
     load = LoadView(8000.0)
     for row in rows[::2]:
         report = LoadReport(Incarnation("e/1"), 1.0, Role.MIXED, running=5)
-        load.note_report(row.name, report, 0.0)
+        load.record_report(row.name, report, 0.0)
     cost = CostModel(PolicySettings())
     know = RoutingContext(
         load, Health(), cost, PrefixIndex(), Plans(), DemandMeter(), random.Random(1)
--- a/bench/placing.py
+++ b/bench/placing.py
@@ -69,7 +69,7 @@
     for number in range(ROUNDS):
         prompt = prompts[number % PARTS]
         place = placer.choose_prefill(pool, prompt, Urgency.USUAL, (), 0.0)
-        placer.note_sent(place, prompt, 0.0)
+        placer.record_sent(place, prompt, 0.0)
         placer.choose_decode(pool, prompt, place.target, (), 0.0)
     return (time.process_time() - start) / ROUNDS * 1e6
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -122,14 +122,14 @@
     load = LoadView(8000.0)
     for number in range(TARGETS):
         for attempt in range(20):
-            load.note_sent(f"engine-{number}", f"a{number}.{attempt}", "f", 100, 1.0)
+            load.record_sent(f"engine-{number}", f"a{number}.{attempt}", "f", 100, 1.0)
     return load
 
 
 def _prefixes() -> PrefixIndex:
     index = PrefixIndex()
     for number in range(PREFIXES):
-        index.note_sent("engine-1", ((64, number * 7919),))
+        index.record_sent("engine-1", ((64, number * 7919),))
     return index
 
 
--- a/berylshift/connection/target_client.py
+++ b/berylshift/connection/target_client.py
@@ -70,7 +70,7 @@
         ``limit_exempt``: it is not throttled by the instance's rate limit.
         """
 
-    def note_response(
+    def record_response(
         self,
         instance: InstanceId,
         status: int,
@@ -87,7 +87,7 @@
         """Admit a request."""
         return 0.0
 
-    def note_response(
+    def record_response(
         self,
         instance: InstanceId,
         status: int,
@@ -194,7 +194,7 @@
         admitted_at = self._gate.admit(out.instance, out.limit_exempt)
 
         def on_head(status: int, headers: list[Header]) -> None:
-            self._gate.note_response(out.instance, status, headers, admitted_at)
+            self._gate.record_response(out.instance, status, headers, admitted_at)
 
         connection = self._pop_idle(out.instance) or await self._open(out.address)
         sending = trio.CancelScope()
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -108,8 +108,8 @@
         place = choice.placement
         self._reads += 1
         self._sent_at = now
-        host.readings.note_sent(ask, choice, now)
-        host.loads.note_sent(place.target.instance, place.tokens, self._urgency)
+        host.readings.record_sent(ask, choice, now)
+        host.loads.record_sent(place.target.instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
         rank = engine_rank(self._kind, self._standing)
         self._queue.after(
@@ -124,12 +124,12 @@
 
     def _take_reading(self, place: Placement, good: bool) -> None:
         instance, host = place.target.instance, self._host
-        host.loads.note_prefilled(instance, place.tokens, self._urgency)
-        host.loads.note_ended(instance)
+        host.loads.record_prefilled(instance, place.tokens, self._urgency)
+        host.loads.record_ended(instance)
         self._note(place.target, good)
         if good:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.note_prefill(
+            host.speeds.record_prefill(
                 place.target.service, place.tokens, place.queued, seconds
             )
             self._answer(place.target)
@@ -152,7 +152,7 @@
             return
         instance = place.target.instance
         self._sent_at, self._source = now, source
-        host.loads.note_sent(instance, place.tokens, self._urgency)
+        host.loads.record_sent(instance, place.tokens, self._urgency)
         engine = self._fleet.engines[place.target.address]
         rank = engine_rank(self._kind, self._standing)
         stream = Stream(
@@ -180,13 +180,13 @@
         if self._first is None:
             self._first = now - self._arrival.at
             host = self._host
-            host.loads.note_prefilled(
+            host.loads.record_prefilled(
                 place.target.instance, place.tokens, self._urgency
             )
             if self._source is not None:
                 tokens = self._arrival.prompt.tokens
                 seconds = now - self._sent_at
-                host.speeds.note_first_token(
+                host.speeds.record_first_token(
                     place.target.service, tokens, place.queued, seconds
                 )
         else:
@@ -196,11 +196,11 @@
     def _ended(self, place: Placement, stream: Stream, good: bool) -> None:
         instance, host = place.target.instance, self._host
         if self._first is None:
-            host.loads.note_prefilled(instance, place.tokens, self._urgency)
-        host.loads.note_ended(instance)
+            host.loads.record_prefilled(instance, place.tokens, self._urgency)
+        host.loads.record_ended(instance)
         if good and self._first is not None:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.note_response(place.target.service, seconds)
+            host.speeds.record_response(place.target.service, seconds)
         self._note(place.target, good)
         self._tell_quarantine(place.target, good)
         way = self._way_back(place.target)
@@ -230,11 +230,11 @@
     def _note(self, target: Replica, good: bool) -> None:
         now, host = self._queue.monotonic(), self._host
         if good:
-            host.loads.note_success(target.instance, now)
+            host.loads.record_success(target.instance, now)
             report = self._fleet.engines[target.address].report()
-            host.loads.note_report(target.instance, report, now)
+            host.loads.record_report(target.instance, report, now)
         else:
-            host.loads.note_failure(
+            host.loads.record_failure(
                 target.instance, SEVERE_FAILURE if self._first else MILD_FAILURE, now
             )
 
--- a/berylshift/process/engine_state/health.py
+++ b/berylshift/process/engine_state/health.py
@@ -30,12 +30,12 @@
         self._records: dict[TargetName, _Record] = {}
         self._backoffs: Backoffs[TargetName] = Backoffs()
 
-    def note_success(self, target: TargetName) -> None:
-        """Note a call that succeeded."""
+    def record_success(self, target: TargetName) -> None:
+        """Record a call that succeeded."""
         self._records.pop(target, None)
 
-    def note_failure(self, target: TargetName, now: float) -> None:
-        """Note a call that failed because of the target."""
+    def record_failure(self, target: TargetName, now: float) -> None:
+        """Record a call that failed because of the target."""
         record = self._records.setdefault(target, _Record())
         record.failures += 1
         record.is_probing = False
@@ -49,14 +49,14 @@
         if seconds > 0:
             self._backoffs.back_off(target, seconds, now)
 
-    def note_start(self, target: TargetName) -> None:
-        """Note that a call is sent; it probes a target that was suspended."""
+    def record_start(self, target: TargetName) -> None:
+        """Record that a call is sent; it probes a target that was suspended."""
         record = self._records.get(target)
         if record is not None and record.failures >= FAILURES_UNTIL_SUSPENDED:
             record.is_probing = True
 
-    def note_cancelled(self, target: TargetName) -> None:
-        """Note a call that its caller cancelled, which shows nothing of the target."""
+    def record_cancelled(self, target: TargetName) -> None:
+        """Record a call that its caller cancelled; it says nothing about the target."""
         record = self._records.get(target)
         if record is not None:
             record.is_probing = False
--- a/berylshift/process/engine_state/load_view.py
+++ b/berylshift/process/engine_state/load_view.py
@@ -72,7 +72,7 @@
 
     # Updates
 
-    def note_report(
+    def record_report(
         self, target: TargetName, report: LoadReport, asked_at: float
     ) -> None:
         """Apply a report; its age counts back from when it was requested."""
@@ -85,7 +85,7 @@
     def _restarted(self, state: _Target, report: LoadReport) -> bool:
         return state.report is None or state.report.incarnation != report.incarnation
 
-    def note_sent(
+    def record_sent(
         self,
         target: TargetName,
         attempt: AttemptId,
@@ -93,24 +93,24 @@
         prefill_tokens: int,
         now: float,
     ) -> None:
-        """Note that an attempt is sent."""
+        """Record that an attempt is sent."""
         state = self._targets[target]
         state.open[attempt] = OpenAttempt(fleet, prefill_tokens, now)
         state.sent.append((now, prefill_tokens))
         state.unprefilled_tokens += prefill_tokens
 
-    def note_first_token(
+    def record_first_token(
         self, target: TargetName, attempt: AttemptId, now: float
     ) -> None:
-        """Note that an attempt's prefill has completed."""
+        """Record that an attempt's prefill has completed."""
         state = self._targets[target]
         item = state.open.get(attempt)
         if item is not None and item.first_token_at is None:
             item.first_token_at = now
             state.unprefilled_tokens -= item.prefill_tokens
 
-    def note_ended(self, target: TargetName, attempt: AttemptId, now: float) -> None:
-        """Note that an attempt has ended, with whatever outcome."""
+    def record_ended(self, target: TargetName, attempt: AttemptId, now: float) -> None:
+        """Record that an attempt has ended, with whatever outcome."""
         state = self._targets[target]
         item = state.open.pop(attempt, None)
         if item is None:
@@ -119,7 +119,7 @@
         if item.first_token_at is None:
             state.unprefilled_tokens -= item.prefill_tokens
 
-    def note_peer_shares(
+    def record_peer_shares(
         self, peer: HostName, shares: list[Share], received_at: float
     ) -> None:
         """Apply a peer's own open attempts."""
--- a/berylshift/process/engine_state/prefix_index.py
+++ b/berylshift/process/engine_state/prefix_index.py
@@ -42,8 +42,8 @@
         """Start empty."""
         self._entries: OrderedDict[tuple[TargetName, int], None] = OrderedDict()
 
-    def note_sent(self, target: TargetName, prefixes: Prefixes) -> None:
-        """Note that a prompt was prefilled at a target."""
+    def record_sent(self, target: TargetName, prefixes: Prefixes) -> None:
+        """Record that a prompt was prefilled at a target."""
         for _, block in prefixes:
             self._entries[target, block] = None
             self._entries.move_to_end((target, block))
--- a/berylshift/process/engine_state/report_poller.py
+++ b/berylshift/process/engine_state/report_poller.py
@@ -51,7 +51,7 @@
             try:
                 old = self._deps.load.report(name)
                 report = await self._deps.client.report(address)
-                self._deps.load.note_report(name, report, asked_at)
+                self._deps.load.record_report(name, report, asked_at)
                 if old is not None and old.incarnation != report.incarnation:
                     self._deps.prefixes.forget(name)
                     self._last_events[name] = 0
--- a/berylshift/process/gossip/collector.py
+++ b/berylshift/process/gossip/collector.py
@@ -30,13 +30,13 @@
         self._all_prefills = ForwardedPrefills()
         self._turn = 0
 
-    def note_collector(self, digest: LoadDigest, now: float) -> None:
+    def record_collector(self, digest: LoadDigest, now: float) -> None:
         """Record the sender as the collector of another domain."""
         found = self._others.get(digest.domain)
         if found is None:
             found = Election(self._sources.host, COLLECTORS_PER_DOMAIN)
             self._others[digest.domain] = found
-        found.note_holder(digest.host, now)
+        found.record_holder(digest.host, now)
 
     def known_collectors(self, now: float) -> list[str]:
         """Return the other domains' collectors that were heard from recently."""
--- a/berylshift/process/gossip/election.py
+++ b/berylshift/process/gossip/election.py
@@ -37,7 +37,7 @@
         self._vacant_since: float | None = None
         self.is_holder = False
 
-    def note_holder(self, host: str, now: float) -> None:
+    def record_holder(self, host: str, now: float) -> None:
         """Record a digest of another host that holds the role."""
         if host != self._host:
             self._heard_at[host] = now
--- a/berylshift/process/gossip/peer_loads.py
+++ b/berylshift/process/gossip/peer_loads.py
@@ -129,7 +129,7 @@
     def _receive_total(self, digest: LoadDigest, now: float) -> None:
         if self._total is None or not self._is_outdated(self._total, digest, now):
             self._total = _sender(digest, now)
-            self._note_host_count(digest.hosts, now)
+            self._record_host_count(digest.hosts, now)
 
     def _is_outdated(self, known: _Sender, digest: LoadDigest, now: float) -> bool:
         """Return whether a digest was overtaken by the one that is known.
@@ -269,10 +269,10 @@
             if now - sender.received_at < MEMBER_TTL_SECONDS
         )
         found = self.domain_host_count(now) + others
-        self._note_host_count(found, now)
+        self._record_host_count(found, now)
         return found
 
-    def _note_host_count(self, hosts: int, now: float) -> None:
+    def _record_host_count(self, hosts: int, now: float) -> None:
         """Record the number of hosts; a lower one takes effect after a delay.
 
         A new collector has not heard from all hosts yet. If its count were used at
--- a/berylshift/process/gossip/protocol.py
+++ b/berylshift/process/gossip/protocol.py
@@ -138,9 +138,9 @@
         sources.throttle.apply_updates(digest.limits, now)
         self._receive_usage(digest)
         if digest.reads_feeds:
-            self._feed_readers.note_holder(digest.host, now)
+            self._feed_readers.record_holder(digest.host, now)
         if digest.scope is not Scope.HOST:
-            self._note_collector(digest, now)
+            self._record_collector(digest, now)
         if self._collectors.is_holder:
             self._collector.forward_prefills(digest, now)
         return digest.store_status is not None and sources.watch.receive(
@@ -180,11 +180,11 @@
             return False
         return digest.domain == self._sources.domain
 
-    def _note_collector(self, digest: LoadDigest, now: float) -> None:
+    def _record_collector(self, digest: LoadDigest, now: float) -> None:
         if digest.domain == self._sources.domain:
-            self._collectors.note_holder(digest.host, now)
+            self._collectors.record_holder(digest.host, now)
         else:
-            self._collector.note_collector(digest, now)
+            self._collector.record_collector(digest, now)
 
     def due(self, now: float) -> list[OutgoingDigest]:
         """Return the digests to send now."""
--- a/berylshift/process/limits/customer_limits.py
+++ b/berylshift/process/limits/customer_limits.py
@@ -63,10 +63,10 @@
         self._is_connected = is_connected
         self._scale = (self._host_count - 1) / live_peers if live_peers else 1.0
 
-    def note_peer_demand(
+    def record_peer_demand(
         self, peer: HostName, demands: list[Demand], at: float
     ) -> None:
-        """Note a peer's demands, received at ``at``."""
+        """Record a peer's demands, received at ``at``."""
         for demand in demands:
             self._customers[demand.customer].peers[peer] = (at, demand.rate)
 
--- a/berylshift/process/limits/retry_budget.py
+++ b/berylshift/process/limits/retry_budget.py
@@ -16,8 +16,8 @@
         self._max_tokens = max(10.0, 10 * floor)
         self._filled_at: float | None = None
 
-    def note_first_attempt(self, now: float) -> None:
-        """Note a request's first attempt."""
+    def record_first_attempt(self, now: float) -> None:
+        """Record a request's first attempt."""
         self._refill(now)
         self._tokens = min(self._max_tokens, self._tokens + self._share)
 
--- a/berylshift/process/limits/shared_retry_budget.py
+++ b/berylshift/process/limits/shared_retry_budget.py
@@ -30,8 +30,8 @@
         self._window_seconds = window_seconds
         self._burst = burst
 
-    def note_first_attempt(self, now: float) -> None:
-        """Note a request's first attempt."""
+    def record_first_attempt(self, now: float) -> None:
+        """Record a request's first attempt."""
         self._first_attempts.append(now)
 
     def available(self, now: float) -> float:
@@ -49,7 +49,7 @@
         self._retries.append(now)
         return True
 
-    def note_retry(self, now: float) -> None:
+    def record_retry(self, now: float) -> None:
         """Count a retry that was sent without asking."""
         self._retries.append(now)
 
--- a/berylshift/process/limits/store_budget.py
+++ b/berylshift/process/limits/store_budget.py
@@ -55,13 +55,13 @@
         self._tokens -= 1
         return 0.0
 
-    def note_success(self) -> None:
-        """Note a call that the store answered."""
+    def record_success(self) -> None:
+        """Record a call that the store answered."""
         self.failures = 0
         self.blocked_until = 0.0
 
-    def note_failure(self, now: float) -> None:
-        """Note a failed call; the next ones wait, longer each time."""
+    def record_failure(self, now: float) -> None:
+        """Record a failed call; the next ones wait, longer each time."""
         self.failures += 1
         max_backoff = min(MAX_BACKOFF_SECONDS, BASE_BACKOFF_SECONDS * 2**self.failures)
         self.blocked_until = now + self.rng.uniform(0.5, 1.0) * max_backoff
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -72,15 +72,15 @@
         confirmation = deps.members.receive(digest, now)
         if confirmation is not None:
             deps.fresh.note_peer_confirmation(confirmation)
-        deps.load.note_peer_shares(digest.host, digest.shares, now)
-        deps.limits.note_peer_demand(digest.host, digest.demands, now)
+        deps.load.record_peer_shares(digest.host, digest.shares, now)
+        deps.limits.record_peer_demand(digest.host, digest.demands, now)
         deps.meter.update_peer(digest.host, digest.mixes, now)
         # Each host sends to few others, so whatever is new here is passed on.
         deps.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
         peer = deps.members.peers[digest.host]
         if peer.entry is None:
             return
-        deps.follower.note_peer_versions(
+        deps.follower.record_peer_versions(
             peer.entry.admin_address, digest.table_version, digest.plan_version
         )
         if not digest.is_reply:
--- a/berylshift/process/table/table_follower.py
+++ b/berylshift/process/table/table_follower.py
@@ -85,7 +85,9 @@
         self._wake = trio.Event()
         self._newer_peers: set[str] = set()
 
-    def note_peer_versions(self, address: str, version: int, plan_version: int) -> None:
+    def record_peer_versions(
+        self, address: str, version: int, plan_version: int
+    ) -> None:
         """Record a peer's versions; newer ones are fetched at once."""
         newer = version > self._deps.holder.table.version
         if newer or plan_version > self._deps.plans.total:
--- a/berylshift/process/targets/engine_speeds.py
+++ b/berylshift/process/targets/engine_speeds.py
@@ -140,7 +140,7 @@
 
     # Samples
 
-    def note_prefill(
+    def record_prefill(
         self, service: ServiceName, tokens: int, ahead: float, seconds: float
     ) -> None:
         """Record a prefill of ``tokens`` with ``ahead`` tokens queued before it."""
@@ -149,7 +149,7 @@
         if seconds > 0:
             self._of(service).prefill_rate.add((tokens + ahead) / seconds)
 
-    def note_first_token(
+    def record_first_token(
         self, service: ServiceName, moved: int, running: float, seconds: float
     ) -> None:
         """Record the time from sending the KV cache of ``moved`` to the first token.
@@ -159,6 +159,6 @@
         waited = max(0.0, seconds - self.kv_transfer_seconds(service, moved))
         self._of(service).seconds_per_running_request.add(waited / (running + 1))
 
-    def note_response(self, service: ServiceName, seconds: float) -> None:
+    def record_response(self, service: ServiceName, seconds: float) -> None:
         """Record the duration of a whole response."""
         self._of(service).response_seconds.add(seconds)
--- a/berylshift/process/targets/limit_gossip.py
+++ b/berylshift/process/targets/limit_gossip.py
@@ -46,7 +46,7 @@
         """Start without limits."""
         self._limits: dict[int, _Limit] = {}
 
-    def note_own(
+    def record_own(
         self, target: int, requests_per_second: float | None, now: float
     ) -> None:
         """Record what a replica stated to this host; ``None``: no limit any more."""
--- a/berylshift/process/targets/prefill_send_rate.py
+++ b/berylshift/process/targets/prefill_send_rate.py
@@ -17,7 +17,7 @@
         self._tokens: dict[ServiceName, float] = {}
         self._at: dict[ServiceName, float] = {}
 
-    def note_sent(self, service: ServiceName, tokens: int, now: float) -> None:
+    def record_sent(self, service: ServiceName, tokens: int, now: float) -> None:
         """Record that ``tokens`` are sent for prefill."""
         self._tokens[service] = self._decayed(service, now) + tokens
         self._at[service] = now
--- a/berylshift/process/targets/prefix_cache_index.py
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -81,7 +81,7 @@
         self._own: deque[tuple[float, BlockPrefill]] = deque()
         self._count = 0
 
-    def note_sent(
+    def record_sent(
         self, block: PartId, tokens: int, instance: InstanceId, now: float
     ) -> None:
         """Record that this host sends a block to an engine.
--- a/berylshift/process/targets/rate_limits.py
+++ b/berylshift/process/targets/rate_limits.py
@@ -128,7 +128,7 @@
             limit.counted_from, limit.phase = now, self._rng.uniform(0, 2)
         return max(0.0, limit.slot_at - now)
 
-    def note_sent(self, instance: InstanceId, now: float) -> None:
+    def record_sent(self, instance: InstanceId, now: float) -> None:
         """Record that this host's send slot is used.
 
         A main sender's next slot is counted from the beginning of this one, so that its
--- a/berylshift/process/targets/target_load.py
+++ b/berylshift/process/targets/target_load.py
@@ -71,7 +71,7 @@
             load = self._loads[instance] = TargetLoad()
         return load
 
-    def note_sent(self, instance: InstanceId, tokens: int, urgency: Urgency) -> None:
+    def record_sent(self, instance: InstanceId, tokens: int, urgency: Urgency) -> None:
         """Record a request sent, with ``tokens`` that still need prefill."""
         load = self.of(instance)
         load.in_flight += 1
@@ -79,7 +79,7 @@
         load.prefill_tokens[urgency] += tokens
         self._on_work()
 
-    def note_prefilled(
+    def record_prefilled(
         self, instance: InstanceId, tokens: int, urgency: Urgency
     ) -> None:
         """Record that the prefill of a prompt's ``tokens`` is done."""
@@ -102,11 +102,11 @@
             if load.in_flight or load.failures(now) > MIN_FAILURE
         )
 
-    def note_ended(self, instance: InstanceId) -> None:
+    def record_ended(self, instance: InstanceId) -> None:
         """Record that a request there has ended."""
         self.of(instance).in_flight -= 1
 
-    def note_report(
+    def record_report(
         self, instance: InstanceId, report: ReportedLoad, now: float
     ) -> None:
         """Store the load that a replica reported."""
@@ -115,13 +115,13 @@
         load.report_at = now
         load.sent_since_report = 0
 
-    def note_failure(self, instance: InstanceId, weight: float, now: float) -> None:
+    def record_failure(self, instance: InstanceId, weight: float, now: float) -> None:
         """Record a failure that is the replica's fault."""
         load = self.of(instance)
         load.failure = load.failures(now) + weight
         load.failure_at = now
 
-    def note_success(self, instance: InstanceId, now: float) -> None:
+    def record_success(self, instance: InstanceId, now: float) -> None:
         """Record a good response, which halves the weight of earlier failures."""
         load = self.of(instance)
         load.failure = load.failures(now) / 2
--- a/berylshift/process/targets/throttle.py
+++ b/berylshift/process/targets/throttle.py
@@ -37,9 +37,9 @@
             )
         if control.rate_limit is not None:
             self._set_limit(instance, control.rate_limit, now, from_peer=False)
-            self._gossip.note_own(target_hash(instance), control.rate_limit, now)
+            self._gossip.record_own(target_hash(instance), control.rate_limit, now)
         elif self._lift_limit(instance, sent_at, from_peer=False):
-            self._gossip.note_own(target_hash(instance), None, now)
+            self._gossip.record_own(target_hash(instance), None, now)
 
     def apply_updates(self, updates: Iterable[LimitUpdate], now: float) -> None:
         """Apply another host's updates on limits."""
@@ -103,7 +103,7 @@
             return wait
         wait = max(wait, self._limits.wait(instance, now))
         if wait <= 0:
-            self._limits.note_sent(instance, now)
+            self._limits.record_sent(instance, now)
         return wait
 
     def reserve(self, instance: InstanceId, now: float) -> bool:
@@ -113,7 +113,7 @@
         """
         if self._limits.share(instance) is None:
             return False
-        self._limits.note_sent(instance, now)
+        self._limits.record_sent(instance, now)
         return True
 
     def is_limited(self, instance: InstanceId, now: float) -> bool:
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -228,7 +228,7 @@
             return bool(found)
 
         await stream.run(on_chunks)
-        self._deps.context.prefixes.note_sent(row.name, self._prefixes)
+        self._deps.context.prefixes.record_sent(row.name, self._prefixes)
         return found[0]
 
     async def _generate(self, row: Row, plan: Plan, kv: KvSource | None) -> None:
@@ -242,7 +242,7 @@
         async def on_chunks(chunks: Chunks) -> bool:
             if not first_at:
                 first_at.append(self._now())
-                self._deps.context.prefixes.note_sent(row.name, self._prefixes)
+                self._deps.context.prefixes.record_sent(row.name, self._prefixes)
             status = self._add_chunks(row.name, chunks)
             count = sum(len(chunk.texts) for chunk in chunks)
             pool = PoolName(self._call.model)
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -89,28 +89,28 @@
         context = self._deps.context
         fleet = self._model_call.caller.fleet
         now = self._now()
-        context.load.note_sent(name, attempt, fleet, self._prefill_tokens, now)
+        context.load.record_sent(name, attempt, fleet, self._prefill_tokens, now)
         pool = PoolName(self._model_call.model)
         self._deps.meter.prefill(pool, self._prefill_tokens, now)
-        context.health.note_start(name)
+        context.health.record_start(name)
         try:
             await self._receive(on_chunks)
-            context.health.note_success(name)
+            context.health.record_success(name)
         except AttemptFailedError as exc:
             await self._record_failure(exc)
             raise
         except BaseException:
-            context.health.note_cancelled(name)
+            context.health.record_cancelled(name)
             await self._cancel()
             raise
         finally:
-            context.load.note_ended(name, attempt, self._now())
+            context.load.record_ended(name, attempt, self._now())
 
     def _now(self) -> float:
         return self._deps.clock.monotonic()
 
     async def _record_failure(self, exc: AttemptFailedError) -> None:
-        self._deps.context.health.note_failure(self._row.name, self._now())
+        self._deps.context.health.record_failure(self._row.name, self._now())
         if exc.outcome in (AttemptOutcome.SILENT, AttemptOutcome.INVALID):
             await self._cancel()
 
@@ -148,7 +148,7 @@
         if not self._has_first_chunk:
             self._has_first_chunk = True
             now = self._now()
-            self._deps.context.load.note_first_token(
+            self._deps.context.load.record_first_token(
                 self._row.name, self._call.attempt, now
             )
 
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -127,7 +127,7 @@
     ) -> Placement | None:
         """Return the engine that should decode after ``prefill_engine``."""
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
 
 
@@ -294,11 +294,11 @@
             cached += block.tokens
         return cached
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._warm.note_sent(
+                self._warm.record_sent(
                     block.id, block.tokens, placement.target.instance, now
                 )
 
--- a/berylshift/request/placement_baselines.py
+++ b/berylshift/request/placement_baselines.py
@@ -56,7 +56,7 @@
         work = 0 if prefill_engine is not None else prefill_work(prompt.tokens, 0)
         return self._place(pool.decode_engines, avoid, now, work)
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Do nothing: the policy does not track prompts."""
 
     def _place(
@@ -115,5 +115,5 @@
     def _cached_tokens(self, replica: Replica, prompt: Prompt) -> int:
         return 0
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Do nothing: cached prefixes are ignored."""
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -87,7 +87,7 @@
         The call times out after ``seconds``.
         """
         instance = placement.target.instance
-        self._loads.note_sent(instance, placement.tokens, urgency)
+        self._loads.record_sent(instance, placement.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as response:
@@ -102,8 +102,8 @@
         except ConnectionLayerError:
             return PrefillResult(AttemptOutcome.BROKEN)
         finally:
-            self._loads.note_prefilled(instance, placement.tokens, urgency)
-            self._loads.note_ended(instance)
+            self._loads.record_prefilled(instance, placement.tokens, urgency)
+            self._loads.record_ended(instance)
 
     async def _parse_response(
         self, request: RequestId, engine: Replica, response: TargetResponse
@@ -117,7 +117,7 @@
             response.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._clock.monotonic()
-            self._loads.note_report(engine.instance, head.load, now)
+            self._loads.record_report(engine.instance, head.load, now)
         body = await response.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(
--- a/berylshift/request/prefill_scheduler.py
+++ b/berylshift/request/prefill_scheduler.py
@@ -78,11 +78,13 @@
         seconds = wait + self._decode_seconds(job, placement, now)
         return PrefillDecision(placement, SloStatus.LATE, seconds)
 
-    def note_sent(self, job: PrefillJob, decision: PrefillDecision, now: float) -> None:
+    def record_sent(
+        self, job: PrefillJob, decision: PrefillDecision, now: float
+    ) -> None:
         """Record that a prompt is sent as decided."""
-        self._placer.note_sent(decision.placement, job.prompt, now)
+        self._placer.record_sent(decision.placement, job.prompt, now)
         if decision.slo_status is SloStatus.ON_TIME:
-            self._flow.note_sent(job.service, decision.placement.tokens, now)
+            self._flow.record_sent(job.service, decision.placement.tokens, now)
 
     def _place(
         self, job: PrefillJob, slo_status: SloStatus, now: float
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -322,7 +322,7 @@
             self._check_allowed()
             if self._prefills and not self._retry_budget.try_acquire(self._now()):
                 return False
-            self._deps.prefill_scheduler.note_sent(
+            self._deps.prefill_scheduler.record_sent(
                 self._prefill_job(prompt, tried), choice, self._now()
             )
             tried.append(choice.placement.target.instance)
@@ -330,7 +330,7 @@
             if outcome is AttemptOutcome.DONE:
                 return True
             if self._prefills == 1 and outcome not in NEVER_SENT:
-                self._retry_budget.note_retry(self._now())
+                self._retry_budget.record_retry(self._now())
             if len(tried) >= MAX_PREFILLS:
                 return False
         return not tried
@@ -353,7 +353,7 @@
             await self._record_health(placement.target, found.end)
         else:
             self.crash_watch.on_response(placement.target, sent_at)
-            self._deps.speeds.note_prefill(
+            self._deps.speeds.record_prefill(
                 self.service, placement.tokens, placement.queued, self._now() - sent_at
             )
         self._kv_source, self._kv_source_uses = found.source, 0
@@ -403,7 +403,7 @@
             return None
         loads, instance = self._deps.loads, placement.target.instance
         limit_exempt = self._choice.record_send(instance)
-        loads.note_sent(instance, placement.tokens, self._urgency)
+        loads.record_sent(instance, placement.tokens, self._urgency)
         prefill = PendingPrefill(loads, instance, placement.tokens, self._urgency)
         self._open_placement = placement
         sent_at = self._attempt_started = self._now()
@@ -416,7 +416,7 @@
             outcome = await self._exchange.run(out, prefill)
         finally:
             prefill.done()
-            loads.note_ended(instance)
+            loads.record_ended(instance)
             self._report_run(
                 sent_at, self._history.has_open_attempt or outcome.may_have_run
             )
@@ -454,10 +454,10 @@
         if self._req.prompt is None or self._out.first_event_at is None:
             return
         speeds, waited = self._deps.speeds, self._out.first_event_at - sent_at
-        speeds.note_response(self.service, self._now() - sent_at)
+        speeds.record_response(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.note_first_token(self.service, tokens, placement.queued, waited)
+            speeds.record_first_token(self.service, tokens, placement.queued, waited)
 
     def _settle_kv_source(self, outcome: AttemptOutcome) -> None:
         """Keep the KV cache for another engine if this one did not take it.
@@ -471,12 +471,12 @@
         self._kv_source_uses += 1
         loads, prefill_engine = self._deps.loads, self._kv_source.engine.instance
         if outcome.may_have_run:
-            loads.note_success(prefill_engine, self._now())
+            loads.record_success(prefill_engine, self._now())
             self._kv_source = None
         elif self._kv_source_uses < MAX_KV_SOURCE_USES:
-            loads.note_failure(prefill_engine, MILD_FAILURE, self._now())
+            loads.record_failure(prefill_engine, MILD_FAILURE, self._now())
         else:
-            loads.note_failure(prefill_engine, SEVERE_FAILURE, self._now())
+            loads.record_failure(prefill_engine, SEVERE_FAILURE, self._now())
             self._release_kv_source()
 
     async def _record_health(self, replica: Replica, outcome: AttemptOutcome) -> None:
@@ -487,13 +487,13 @@
         """
         loads, now, instance = self._deps.loads, self._now(), replica.instance
         if outcome is AttemptOutcome.DONE:
-            loads.note_success(instance, now)
+            loads.record_success(instance, now)
         elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.NOT_RUN):
-            loads.note_failure(instance, MILD_FAILURE, now)
+            loads.record_failure(instance, MILD_FAILURE, now)
         elif outcome is AttemptOutcome.THROTTLED:
             logger.info("attempt throttled by replica", extra={"instance": instance})
         else:
-            loads.note_failure(instance, SEVERE_FAILURE, now)
+            loads.record_failure(instance, SEVERE_FAILURE, now)
             self._deps.client.forget(instance)
         if outcome is AttemptOutcome.BROKEN:
             await self.crash_watch.on_connection_lost(replica)
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -57,7 +57,7 @@
 
     def done(self) -> None:
         """Record the tokens as prefilled; later calls have no effect."""
-        self._loads.note_prefilled(self._instance, self._tokens, self._urgency)
+        self._loads.record_prefilled(self._instance, self._tokens, self._urgency)
         self._tokens = 0
 
 
@@ -148,7 +148,7 @@
             answer.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._deps.clock.monotonic()
-            self._deps.loads.note_report(instance, head.load, now)
+            self._deps.loads.record_report(instance, head.load, now)
         if head.not_run:
             await limit.wait_for(answer.read(MAX_REFUSAL_BODY_BYTES))
             return AttemptOutcome.NOT_RUN
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -40,7 +40,7 @@
 class Budget(Protocol):
     """Retry budget shared by all requests."""
 
-    def note_first_attempt(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Record a request's first attempt."""
 
     def try_acquire(self, now: float) -> bool:
@@ -59,7 +59,7 @@
     An attempt that never reached a target costs no retry budget, since it caused no
     load.
     """
-    budget.note_first_attempt(clock.monotonic())
+    budget.record_first_attempt(clock.monotonic())
     while True:
         attempt = await sender.send()
         if attempt is None:
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -115,22 +115,22 @@
             key=call.key,
         )
         load, health = self.context.load, self.context.health
-        load.note_sent(name, attempt, call.caller.fleet, 0, self.clock.monotonic())
-        health.note_start(name)
+        load.record_sent(name, attempt, call.caller.fleet, 0, self.clock.monotonic())
+        health.record_start(name)
         try:
             answer = await self._bounded(plan.target.address, out)
-            health.note_success(name)
+            health.record_success(name)
             return ServiceAttempt(AttemptOutcome.DONE, answer)
         except TargetError as exc:
             now = self.clock.monotonic()
-            health.note_failure(name, now)
+            health.record_failure(name, now)
             health.back_off(name, retry_after_of(exc), now)
             return ServiceAttempt(outcome_of(exc))
         except trio.Cancelled:
-            health.note_cancelled(name)
+            health.record_cancelled(name)
             raise
         finally:
-            load.note_ended(name, attempt, self.clock.monotonic())
+            load.record_ended(name, attempt, self.clock.monotonic())
 
     async def _bounded(self, address: str, out: ServiceCall) -> ServiceResponse:
         with trio.move_on_after(self.timeout_seconds):
--- a/berylshift/request/target_gate.py
+++ b/berylshift/request/target_gate.py
@@ -38,7 +38,7 @@
             raise ThrottledError(f"{instance} accepts no request for {wait:.2f} s")
         return now
 
-    def note_response(
+    def record_response(
         self,
         instance: InstanceId,
         status: int,
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -161,7 +161,7 @@
         try:
             result = await call(*args)
         except (StoreUnavailableError, ResponseLostError):
-            budget.note_failure(self._clock.monotonic())
+            budget.record_failure(self._clock.monotonic())
             raise
-        budget.note_success()
+        budget.record_success()
         return result
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -44,7 +44,7 @@
         self.health.back_off(TARGET, 3.0, 10.0)
 
     def test_backoff_outlasts_later_successes(self):
-        self.health.note_success(TARGET)
+        self.health.record_success(TARGET)
         self.assertFalse(self.health.is_usable(TARGET, 12.9))
         self.assertEqual(self.health.suspended_targets(12.9), [TARGET])
         self.assertTrue(self.health.is_usable(TARGET, 13.0))
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -40,13 +40,13 @@
 
     def _watch(self, name: str) -> None:
         load = self.world.hosts[name].app.load
-        original = load.note_sent
+        original = load.record_sent
 
         def sent(target, attempt, fleet, prefill, now):
             self.sent.append((now, name, target))
             original(target, attempt, fleet, prefill, now)
 
-        load.note_sent = sent
+        load.record_sent = sent
 
     async def run(self, seconds: float) -> None:
         """Send calls to all hosts in turn and wait for their responses."""
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -33,7 +33,7 @@
             cached_before = host.prefix_cache.is_cached(
                 PartId("a1"), old_instance, KV_CAPACITY_TOKENS
             )
-            host.loads.note_failure(old_instance, SEVERE_FAILURE, now)
+            host.loads.record_failure(old_instance, SEVERE_FAILURE, now)
             host.phases.record_order(old_instance, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND_START_MS)
             reply = await world.ask("/note/x", "r2", headers=prompt_headers(block="b2"))
--- a/berylshift/tests/test_gossip_collectors.py
+++ b/berylshift/tests/test_gossip_collectors.py
@@ -279,7 +279,7 @@
     def test_each_host_knows_the_load_of_all(self):
         async def task(world):
             for host in world.hosts:
-                host.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+                host.loads.record_sent("engine-1", 1600, Urgency.USUAL)
             await trio.sleep(1.2)
             now = trio.current_time()
             return [
@@ -294,10 +294,10 @@
         async def task(world):
             first, second = world.hosts[0], world.hosts[1]
             now = trio.current_time()
-            first.loads.note_failure("engine-1", 1.0, now)
+            first.loads.record_failure("engine-1", 1.0, now)
             before = [host.peers.failures("engine-1", now) for host in world.hosts]
             await trio.sleep(0.1)
-            second.loads.note_failure("engine-1", 1.0, trio.current_time())
+            second.loads.record_failure("engine-1", 1.0, trio.current_time())
             await trio.sleep(0.8)
             now = trio.current_time()
             others = [host for host in world.hosts if host not in (first, second)]
@@ -310,7 +310,7 @@
     def test_block_prefilled_in_one_domain_is_cached_for_all_hosts(self):
         async def task(world):
             now = trio.current_time()
-            world.hosts[0].prefix_cache.note_sent("part-1", 4000, "engine-1", now)
+            world.hosts[0].prefix_cache.record_sent("part-1", 4000, "engine-1", now)
             await trio.sleep(1.2)
             return [
                 h.prefix_cache.is_cached("part-1", "engine-1", 1e6) for h in world.hosts
@@ -333,7 +333,7 @@
             world.kill(lost)
             await trio.sleep(3.0)
             for host in world.hosts:
-                host.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+                host.loads.record_sent("engine-1", 1600, Urgency.USUAL)
             await trio.sleep(1.2)
             now = trio.current_time()
             found = {
--- a/berylshift/tests/test_gossip_election.py
+++ b/berylshift/tests/test_gossip_election.py
@@ -28,19 +28,19 @@
         election = Election(HOSTS[1], 1)
         election.decide(1, 0.0)
         self.assertTrue(election.decide(1, 2.0))
-        election.note_holder(HOSTS[0], 2.1)
+        election.record_holder(HOSTS[0], 2.1)
         self.assertFalse(election.decide(1, 2.2))
 
     def test_holder_stays_when_it_hears_only_later_holders(self):
         election = Election(HOSTS[1], 1)
         election.decide(1, 0.0)
         election.decide(1, 2.0)
-        election.note_holder(HOSTS[3], 2.1)
+        election.record_holder(HOSTS[3], 2.1)
         self.assertTrue(election.decide(1, 2.2))
 
     def test_silent_holder_is_replaced_by_the_next_host(self):
         election = Election(HOSTS[1], 1)
-        election.note_holder(HOSTS[0], 0.0)
+        election.record_holder(HOSTS[0], 0.0)
         self.assertFalse(election.decide(1, 0.5))
         self.assertFalse(election.decide(1, HOLDER_TIMEOUT_SECONDS + 0.1))
         later = 0.5 + 2 * HOLDER_TIMEOUT_SECONDS + 2 * SECONDS_PER_RANK
@@ -55,10 +55,10 @@
     def test_role_for_two_is_held_by_two_hosts(self):
         election = Election(HOSTS[2], 2)
         election.decide(2, 0.0)
-        election.note_holder(HOSTS[0], 1.0)
+        election.record_holder(HOSTS[0], 1.0)
         self.assertTrue(election.decide(2, 1.5))
-        election.note_holder(HOSTS[0], 1.6)
-        election.note_holder(HOSTS[1], 1.6)
+        election.record_holder(HOSTS[0], 1.6)
+        election.record_holder(HOSTS[1], 1.6)
         self.assertFalse(election.decide(2, 1.7))
         self.assertEqual(election.holders(1.7), HOSTS[:2])
 
--- a/berylshift/tests/test_gossip_protocol.py
+++ b/berylshift/tests/test_gossip_protocol.py
@@ -72,7 +72,7 @@
 
     def test_few_hosts_send_to_all_others(self):
         protocol = self.make_protocol(FEW)
-        self.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+        self.loads.record_sent("engine-1", 1600, Urgency.USUAL)
         found = protocol.due(0.0)
         self.assertFalse(protocol.uses_collectors)
         self.assertEqual(len(found[0].addresses), len(self.hosts))
@@ -82,7 +82,7 @@
         self.assertTrue(protocol.uses_collectors)
         protocol.due(0.0)
         self.receive_aggregate(protocol, self.domain_peer(), self.domain, 0.5)
-        self.loads.note_sent("engine-1", 1600, Urgency.USUAL)
+        self.loads.record_sent("engine-1", 1600, Urgency.USUAL)
         found = protocol.due(0.6)
         wanted = [f"address of {self.domain_peer()}"]
         self.assertEqual([each.addresses for each in found], [wanted])
@@ -132,7 +132,7 @@
         protocol = self.make_protocol(MANY)
         protocol.due(0.0)
         self.assertTrue(protocol.is_idle(0.1))
-        self.loads.note_sent("engine-1", 0, Urgency.USUAL)
+        self.loads.record_sent("engine-1", 0, Urgency.USUAL)
         self.assertFalse(protocol.is_idle(0.2))
 
 
--- a/berylshift/tests/test_process_load.py
+++ b/berylshift/tests/test_process_load.py
@@ -30,52 +30,54 @@
     def test_requests_sent_since_the_report_are_added(self):
         # The report shows an idle engine, but it is a second old. Without the requests
         # sent since, the busiest engine appears idle and attracts all requests.
-        self.load.note_report("engine-1", report(age=1.0), asked_at=10.0)
+        self.load.record_report("engine-1", report(age=1.0), asked_at=10.0)
         for number in range(5):
-            self.load.note_sent("engine-1", f"a{number}", "nestwatch", 2000, 9.5)
+            self.load.record_sent("engine-1", f"a{number}", "nestwatch", 2000, 9.5)
         estimate = self.load.estimate("engine-1", 10.0)
         self.assertEqual(estimate.streams, 5)
         self.assertEqual(estimate.prefill_tokens, 10000)
 
     def test_requests_in_the_report_are_not_added_twice(self):
-        self.load.note_sent("engine-1", "a1", "nestwatch", 2000, 5.0)
-        self.load.note_first_token("engine-1", "a1", 5.5)
-        self.load.note_report("engine-1", report(running=1), asked_at=10.0)
+        self.load.record_sent("engine-1", "a1", "nestwatch", 2000, 5.0)
+        self.load.record_first_token("engine-1", "a1", 5.5)
+        self.load.record_report("engine-1", report(running=1), asked_at=10.0)
         self.assertEqual(self.load.estimate("engine-1", 10.0).streams, 1)
 
     def test_open_attempts_of_peers_are_added(self):
-        self.load.note_report("engine-1", report(), asked_at=10.0)
+        self.load.record_report("engine-1", report(), asked_at=10.0)
         shares = [Share("engine-1", "nestwatch", 7, 3000)]
-        self.load.note_peer_shares("host-2", shares, 10.0)
+        self.load.record_peer_shares("host-2", shares, 10.0)
         self.assertEqual(self.load.estimate("engine-1", 11.0).streams, 7)
 
     def test_old_shares_of_peers_expire(self):
         shares = [Share("engine-1", "nestwatch", 7, 3000)]
-        self.load.note_peer_shares("host-2", shares, 10.0)
+        self.load.record_peer_shares("host-2", shares, 10.0)
         self.assertEqual(self.load.estimate("engine-1", 30.0).streams, 0)
 
     def test_prefill_backlog_shrinks_with_time(self):
-        self.load.note_report("engine-1", report(age=0.0, prefill=16000), asked_at=10.0)
+        self.load.record_report(
+            "engine-1", report(age=0.0, prefill=16000), asked_at=10.0
+        )
         self.assertEqual(self.load.estimate("engine-1", 11.0).prefill_tokens, 8000)
         self.assertEqual(self.load.estimate("engine-1", 13.0).prefill_tokens, 0)
 
     def test_late_report_does_not_replace_a_newer_one(self):
-        self.load.note_report("engine-1", report(age=0.0, running=9), asked_at=10.0)
-        self.load.note_report("engine-1", report(age=5.0, running=1), asked_at=10.5)
+        self.load.record_report("engine-1", report(age=0.0, running=9), asked_at=10.0)
+        self.load.record_report("engine-1", report(age=5.0, running=1), asked_at=10.5)
         self.assertEqual(self.load.report("engine-1").running, 9)
 
     def test_engine_that_is_changing_has_no_role(self):
         changing = LoadReport(Incarnation("e/1"), 0.0, Role.PREFILL, changing=True)
-        self.load.note_report("engine-1", changing, asked_at=10.0)
+        self.load.record_report("engine-1", changing, asked_at=10.0)
         self.assertIs(self.load.role("engine-1"), Role.UNKNOWN)
 
     def test_load_is_zero_after_all_attempts_ended(self):
         for number in range(4):
-            self.load.note_sent("engine-1", f"a{number}", "nestwatch", 100, 1.0)
-        self.load.note_first_token("engine-1", "a0", 1.1)
+            self.load.record_sent("engine-1", f"a{number}", "nestwatch", 100, 1.0)
+        self.load.record_first_token("engine-1", "a0", 1.1)
         for number in range(4):
-            self.load.note_ended("engine-1", f"a{number}", 2.0)
-            self.load.note_ended("engine-1", f"a{number}", 2.0)
+            self.load.record_ended("engine-1", f"a{number}", 2.0)
+            self.load.record_ended("engine-1", f"a{number}", 2.0)
         estimate = self.load.estimate("engine-1", 2.0)
         self.assertEqual((estimate.streams, estimate.prefill_tokens), (0, 0))
 
@@ -87,7 +89,7 @@
         self.health = Health()
 
     def fail(self, now: float) -> None:
-        self.health.note_failure("engine-1", now)
+        self.health.record_failure("engine-1", now)
 
     def test_consecutive_failures_suspend(self):
         self.fail(1.0)
@@ -99,7 +101,7 @@
         for _ in range(FAILURES_UNTIL_SUSPENDED):
             self.fail(1.0)
         self.assertTrue(self.health.is_usable("engine-1", 2.0))
-        self.health.note_start("engine-1")
+        self.health.record_start("engine-1")
         self.assertFalse(self.health.is_usable("engine-1", 2.0))
 
     def test_each_failure_suspends_for_longer(self):
@@ -110,14 +112,14 @@
     def test_success_ends_a_suspension(self):
         for _ in range(6):
             self.fail(1.0)
-        self.health.note_success("engine-1")
+        self.health.record_success("engine-1")
         self.assertTrue(self.health.is_usable("engine-1", 1.0))
 
     def test_cancelled_probe_allows_another(self):
         for _ in range(FAILURES_UNTIL_SUSPENDED):
             self.fail(1.0)
-        self.health.note_start("engine-1")
-        self.health.note_cancelled("engine-1")
+        self.health.record_start("engine-1")
+        self.health.record_cancelled("engine-1")
         self.assertTrue(self.health.is_usable("engine-1", 2.0))
 
 
@@ -127,7 +129,7 @@
     def test_retries_are_a_share_of_first_attempts(self):
         budget = RetryBudget(share=0.2, floor=0.0)
         for number in range(1000):
-            budget.note_first_attempt(number / 100)
+            budget.record_first_attempt(number / 100)
         allowed = sum(budget.try_acquire(10.0) for _ in range(1000))
         self.assertLessEqual(allowed, 10)
 
@@ -136,7 +138,7 @@
         retries = 0
         for number in range(2000):
             now = number / 100
-            budget.note_first_attempt(now)
+            budget.record_first_attempt(now)
             retries += budget.try_acquire(now)
         self.assertLessEqual(retries, 0.2 * 2000 + 20 + 10)
 
@@ -159,7 +161,7 @@
         self.assertEqual(self.budget.wait_seconds(Priority.LEASE, 0.0), 0)
 
     def test_failures_block_all_calls_but_leases(self):
-        self.budget.note_failure(0.0)
+        self.budget.record_failure(0.0)
         self.assertGreater(self.budget.wait_seconds(Priority.CONFIRMATION, 0.0), 0)
         self.assertEqual(self.budget.wait_seconds(Priority.LEASE, 0.0), 0)
 
@@ -168,14 +170,14 @@
         for seed in range(20):
             budget = StoreBudget(10.0, random.Random(seed))
             for _ in range(6):
-                budget.note_failure(0.0)
+                budget.record_failure(0.0)
             waits.add(round(budget.wait_seconds(Priority.TABLE, 0.0), 3))
         self.assertGreater(len(waits), 15)
         self.assertGreaterEqual(min(waits), 1.5)
 
     def test_success_unblocks_calls(self):
-        self.budget.note_failure(0.0)
-        self.budget.note_success()
+        self.budget.record_failure(0.0)
+        self.budget.record_success()
         self.assertEqual(self.budget.wait_seconds(Priority.TABLE, 0.0), 0)
 
 
@@ -196,7 +198,9 @@
                 for number, host in enumerate(hosts):
                     for other in hosts:
                         if other is not host:
-                            other.note_peer_demand(f"h{number}", host.demands(now), now)
+                            other.record_peer_demand(
+                                f"h{number}", host.demands(now), now
+                            )
             for number, host in enumerate(hosts):
                 if random.Random(tick * 100 + number).random() < rates[number] * step:
                     admitted += host.admit("hobart", now) == 0
@@ -235,7 +239,7 @@
                     for step in range(1, 9):
                         number = (own + 4 * step) % 40
                         demands = hosts[number].demands(now)
-                        host.note_peer_demand(f"h{number}", demands, now)
+                        host.record_peer_demand(f"h{number}", demands, now)
                 if rng.random() < 0.05:
                     admitted += host.admit("hobart", now) == 0
         self.assertLessEqual(admitted, 1.3 * 40 * 20)
@@ -255,6 +259,6 @@
         limits = CustomerLimits()
         limits.set_limits({"hobart": 10})
         limits.set_hosts(2, is_connected=True, live_peers=1)
-        limits.note_peer_demand("h2", [Demand("hobart", 1000.0)], 0.0)
+        limits.record_peer_demand("h2", [Demand("hobart", 1000.0)], 0.0)
         admitted = sum(limits.admit("hobart", 10 + i / 100) == 0 for i in range(1000))
         self.assertGreater(admitted, 80)
--- a/berylshift/tests/test_request_placement.py
+++ b/berylshift/tests/test_request_placement.py
@@ -114,7 +114,7 @@
     def fill_home_cache(self) -> Replica:
         """Send a prompt to its home engine, which is returned."""
         placement = self.choose_prefill(prompt())
-        self.placer.note_sent(placement, prompt(), 0.0)
+        self.placer.record_sent(placement, prompt(), 0.0)
         return placement.target
 
     def test_an_uncached_prefix_goes_to_its_home_engine(self):
@@ -146,7 +146,7 @@
         home = self.fill_home_cache()
         self.report_queue(home.instance, 200_000)
         placement = self.choose_prefill(prompt())
-        self.placer.note_sent(placement, prompt(), 0.0)
+        self.placer.record_sent(placement, prompt(), 0.0)
         again = self.choose_prefill(prompt())
         self.assertEqual(
             (again.target, again.reason), (placement.target, PlacementReason.WARM)
@@ -162,7 +162,7 @@
             (root, PromptBlock("b", 4_000), PromptBlock("y", 1_000)), 7_500, 80
         )
         placement = self.choose_prefill(one)
-        self.placer.note_sent(placement, one, 0.0)
+        self.placer.record_sent(placement, one, 0.0)
         other = self.placer.choose_prefill(
             Pool([placement.target]), two, Urgency.USUAL, (), 0.0
         )
@@ -179,7 +179,7 @@
         wanted = Prompt((root, branch, PromptBlock("x", 1_000)), 7_500, 80)
         home = home_of(wanted, PREFILL_ENGINES)
         for engine in PREFILL_ENGINES:
-            self.warm.note_sent("root", 2_500, engine.instance, 0.0)
+            self.warm.record_sent("root", 2_500, engine.instance, 0.0)
         self.report_queue(home.instance, 5_000)
         placement = self.choose_prefill(wanted)
         self.assertEqual(
@@ -193,7 +193,7 @@
 
     def test_more_urgent_work_waits_less(self):
         home = self.fill_home_cache()
-        self.loads.note_sent(home.instance, 60_000, Urgency.PATIENT)
+        self.loads.record_sent(home.instance, 60_000, Urgency.PATIENT)
         pool = Pool([home])
         urgent = self.placer.choose_prefill(pool, prompt(), Urgency.URGENT, (), 0.0)
         patient = self.placer.choose_prefill(pool, prompt(), Urgency.PATIENT, (), 0.0)
@@ -204,7 +204,7 @@
         # An engine does not preempt the prompt that it is prefilling. A short prompt
         # sent there would wait up to 0.3 s, half of its time limit to be on time.
         engines = PREFILL_ENGINES[:2]
-        self.loads.note_sent(engines[0].instance, 20_000, Urgency.PATIENT)
+        self.loads.record_sent(engines[0].instance, 20_000, Urgency.PATIENT)
         short = prompt("p9", prefix_tokens=200, own_tokens=2_500)
         placement = self.placer.choose_prefill(
             Pool(engines), short, Urgency.URGENT, (), 0.0
@@ -227,7 +227,7 @@
     def test_engines_with_the_prefix_cached_are_candidates(self):
         home = home_of(prompt(), self.LARGE_POOL)
         caching_engine = next(rep for rep in self.LARGE_POOL if rep != home)
-        self.warm.note_sent("p1", 13_000, caching_engine.instance, 0.0)
+        self.warm.record_sent("p1", 13_000, caching_engine.instance, 0.0)
         placement = self.choose_prefill(prompt(), engines=self.LARGE_POOL)
         self.assertEqual(
             (placement.target, placement.reason), (caching_engine, PlacementReason.WARM)
@@ -254,7 +254,7 @@
 
     def test_queued_decode_engines_do_not_prefill_short_prompts(self):
         for engine in DECODE_ENGINES:
-            self.loads.note_sent(engine.instance, 20_000, Urgency.URGENT)
+            self.loads.record_sent(engine.instance, 20_000, Urgency.URGENT)
         self.assertIsNotNone(
             self.choose_prefill(prompt(prefix_tokens=300, own_tokens=1000))
         )
@@ -273,7 +273,7 @@
     def test_least_loaded(self):
         for engine in DECODE_ENGINES[:-1]:
             for _ in range(10):
-                self.loads.note_sent(engine.instance, 0, Urgency.USUAL)
+                self.loads.record_sent(engine.instance, 0, Urgency.USUAL)
         placement = self.placer.choose_decode(
             Pool(ENGINES), prompt(), PREFILL_ENGINES[0], (), 0.0
         )
@@ -302,7 +302,7 @@
         near = replica(1, EnginePhase.DECODE, "d1")
         far = replica(2, EnginePhase.DECODE, "d2")
         for _ in range(running):
-            self.loads.note_sent(near.instance, 0, Urgency.USUAL)
+            self.loads.record_sent(near.instance, 0, Urgency.USUAL)
         prefill_engine = replica(3, EnginePhase.PREFILL, "d3")
         placement = self.placer.choose_decode(
             Pool([near, far]), wanted, prefill_engine, (), 0.0
@@ -336,19 +336,19 @@
 
     def test_a_busy_replica_of_the_own_domain_is_skipped(self):
         far, near = replica(1, domain="d2"), replica(2, domain="d1")
-        self.loads.note_report(near.instance, ReportedLoad(8, 6, 8), 0.0)
+        self.loads.record_report(near.instance, ReportedLoad(8, 6, 8), 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([far, near]), (), 0.0).target, far
         )
 
     def test_a_failing_replica_is_avoided_and_tried_again(self):
         one, two = replica(1), replica(2)
-        self.loads.note_failure(one.instance, SEVERE_FAILURE, 0.0)
+        self.loads.record_failure(one.instance, SEVERE_FAILURE, 0.0)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 0.1).target, two
         )
         for _ in range(3):
-            self.loads.note_sent(two.instance, 0, Urgency.USUAL)
+            self.loads.record_sent(two.instance, 0, Urgency.USUAL)
         self.assertEqual(
             self.placer.choose_plain(Pool([one, two]), (), 15.0).target, one
         )
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -56,7 +56,7 @@
 
     def test_least_reported_uses_the_last_report(self):
         for number, rep in enumerate(DECODE_ENGINES):
-            self.loads.note_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
+            self.loads.record_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         policy = PLACEMENT_POLICIES["least-reported"](self.context)
         placement = policy.choose_decode(
             self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0
@@ -68,8 +68,8 @@
         wanted = prompt()
         home = self.pool.homes(wanted.prefix_blocks[-1].id)[0]
         for block in wanted.prefix_blocks:
-            self.context.warm.note_sent(block.id, block.tokens, home.instance, 0.0)
-        self.loads.note_sent(home.instance, 5_000, Urgency.USUAL)
+            self.context.warm.record_sent(block.id, block.tokens, home.instance, 0.0)
+        self.loads.record_sent(home.instance, 5_000, Urgency.USUAL)
         placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
         self.assertIsNot(placement.target, home)
         self.assertIs(self.choose_prefill("warm", wanted).target, home)
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -53,8 +53,8 @@
             urgency = Urgency.URGENT
             if decision.slo_status is SloStatus.LATE:
                 urgency = Urgency.PATIENT
-            self.scheduler.note_sent(job, decision, self.now)
-            self.loads.note_sent(
+            self.scheduler.record_sent(job, decision, self.now)
+            self.loads.record_sent(
                 PREFILL_ENGINE.instance, decision.placement.tokens, urgency
             )
         return decision
@@ -92,10 +92,10 @@
         job = PrefillJob(ROUTE, "s", POOL, prompt(), 0.0)
         for _ in range(40):
             placement = self.scheduler.choose(job, self.now).placement
-            self.scheduler.note_sent(
+            self.scheduler.record_sent(
                 job, PrefillDecision(placement, slo_status, 0.0), self.now
             )
-        self.loads.note_sent(
+        self.loads.record_sent(
             PREFILL_ENGINE.instance, 2 * HALF_SECOND_TOKENS, Urgency.URGENT
         )
         return self.arrive().seconds
--- a/berylshift/tests/test_request_retry_loop.py
+++ b/berylshift/tests/test_request_retry_loop.py
@@ -44,7 +44,7 @@
         self.room = room
         self.requests = 0
 
-    def note_first_attempt(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         self.requests += 1
 
     def try_acquire(self, now: float) -> bool:
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -255,13 +255,13 @@
                 return len(got) == 2
 
             note = SimpleNamespace(
-                note_sent=lambda *args: None,
-                note_ended=lambda *args: None,
-                note_first_token=lambda *args: None,
-                note_start=lambda *args: None,
-                note_success=lambda *args: None,
-                note_failure=lambda *args: None,
-                note_cancelled=lambda *args: None,
+                record_sent=lambda *args: None,
+                record_ended=lambda *args: None,
+                record_first_token=lambda *args: None,
+                record_start=lambda *args: None,
+                record_success=lambda *args: None,
+                record_failure=lambda *args: None,
+                record_cancelled=lambda *args: None,
                 prefill=lambda *args: None,
             )
             deps = SimpleNamespace(
--- a/berylshift/tests/test_request_slo_status.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -57,13 +57,13 @@
     def test_a_steady_flow_is_its_rate(self):
         flow = PrefillSendRate()
         for number in range(100):
-            flow.note_sent("s", 500, number * 0.1)
+            flow.record_sent("s", 500, number * 0.1)
         self.assertAlmostEqual(flow.rate("s", 10.0), 5_000, delta=500)
         self.assertEqual(flow.rate("other", 10.0), 0.0)
 
     def test_a_flow_that_ended_decays(self):
         flow = PrefillSendRate()
-        flow.note_sent("s", 50_000, 0.0)
+        flow.record_sent("s", 50_000, 0.0)
         self.assertLess(flow.rate("s", 10 * DECAY_SECONDS), 5)
 
 
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -104,7 +104,7 @@
 
         async def task(world):
             loads = world.hosts[0].loads
-            loads.note_sent("engine-1", 400_000, 0)
+            loads.record_sent("engine-1", 400_000, 0)
             start = trio.current_time()
             reply = await world.ask("/note/x", headers=prompt_headers())
             return reply, trio.current_time() - start
@@ -128,7 +128,7 @@
             link = world.connect()
             await link.send("/brief/x", headers=prompt_headers())
             await trio.sleep(0.5)
-            world.hosts[0].loads.note_sent("engine-1", 400_000, 0)
+            world.hosts[0].loads.record_sent("engine-1", 400_000, 0)
             reply = await link.read()
             return reply.status, sum(len(engine.runs) for engine in engines)
 
@@ -137,7 +137,7 @@
     def test_no_prefill_when_decode_engines_are_full(self):
         async def task(world):
             for _ in range(200):
-                world.hosts[0].loads.note_sent("engine-2", 0, 1)
+                world.hosts[0].loads.record_sent("engine-2", 0, 1)
             reply = await world.ask("/note/x", headers=prompt_headers())
             return reply.status, world.replicas["10.0.0.1:80"].arrivals
 
--- a/berylshift/tests/test_targets_engine_speeds.py
+++ b/berylshift/tests/test_targets_engine_speeds.py
@@ -35,7 +35,7 @@
             ahead = self.rng.choice((0, 0, 1_000, 30_000))
             hidden = self.rng.choice((0, 0, 0, 5_000))
             seconds = 0.0015 + (tokens + ahead + hidden) / rate
-            self.speeds.note_prefill("s", tokens, ahead, seconds)
+            self.speeds.record_prefill("s", tokens, ahead, seconds)
 
     def check(self, rate: float) -> None:
         found = self.speeds.prefill_rate("s")
@@ -63,7 +63,7 @@
 
     def test_prefills_behind_a_long_queue_are_no_samples(self):
         for _ in range(MAX_SAMPLES):
-            self.speeds.note_prefill("s", 5_000, 100_000, 0.1)
+            self.speeds.record_prefill("s", 5_000, 100_000, 0.1)
         self.assertEqual(self.speeds.prefill_rate("s"), PRIOR_PREFILL_RATE)
 
     def test_services_have_separate_estimates(self):
@@ -87,7 +87,7 @@
     def test_first_tokens_show_the_delay_per_running_request(self):
         speeds = EngineSpeeds()
         for running in range(30):
-            speeds.note_first_token("s", 0, running, 0.003 + 0.0005 * (running + 1))
+            speeds.record_first_token("s", 0, running, 0.003 + 0.0005 * (running + 1))
         self.assertAlmostEqual(
             speeds.seconds_per_running_request("s"), 0.0005, delta=0.0001
         )
@@ -95,14 +95,14 @@
     def test_slot_time_follows_the_response_time(self):
         speeds = EngineSpeeds()
         for _ in range(MAX_SAMPLES):
-            speeds.note_response("s", 0.32)
+            speeds.record_response("s", 0.32)
         self.assertAlmostEqual(speeds.slot_seconds("s", 64), 0.005)
 
     def test_change_is_logged_once(self):
         speeds = EngineSpeeds()
         with self.assertLogs("berylshift.process.targets.engine_speeds") as logs:
             for _ in range(MAX_SAMPLES):
-                speeds.note_response("s", 0.3)
+                speeds.record_response("s", 0.3)
         self.assertEqual(len(logs.records), 1)
         self.assertEqual(logs.records[0].value, 0.3)
 
--- a/berylshift/tests/test_targets_knowledge.py
+++ b/berylshift/tests/test_targets_knowledge.py
@@ -81,7 +81,7 @@
             for budget, load in zip(budgets, loads, strict=True):
                 budget.host_count = len(loads)
                 if tick % 60 < load:
-                    budget.note_first_attempt(now)
+                    budget.record_first_attempt(now)
                     first.append(now)
                 while budget.try_acquire(now):
                     extra.append(now)
@@ -108,7 +108,7 @@
 
     def test_reports_lose_weight_with_age(self):
         loads = TargetLoads()
-        loads.note_report("i-1", ReportedLoad(4, 6, 8), 0.0)
+        loads.record_report("i-1", ReportedLoad(4, 6, 8), 0.0)
         load = loads.of("i-1")
         self.assertEqual((load.waiting(0.0), load.running(0.0)), (6, 4))
         self.assertLess(load.waiting(1.0), 3)
@@ -116,23 +116,23 @@
 
     def test_requests_sent_since_the_report_count(self):
         loads = TargetLoads()
-        loads.note_report("i-1", ReportedLoad(4, 0, 8), 0.0)
-        loads.note_sent("i-1", 100, Urgency.USUAL)
+        loads.record_report("i-1", ReportedLoad(4, 0, 8), 0.0)
+        loads.record_sent("i-1", 100, Urgency.USUAL)
         self.assertEqual(loads.of("i-1").running(0.0), 5)
 
     def test_failures_decay_and_good_responses_halve_them(self):
         loads = TargetLoads()
-        loads.note_failure("i-1", SEVERE_FAILURE, 0.0)
+        loads.record_failure("i-1", SEVERE_FAILURE, 0.0)
         load = loads.of("i-1")
         self.assertEqual(load.failures(2.0), 0.5)
-        loads.note_success("i-1", 2.0)
+        loads.record_success("i-1", 2.0)
         self.assertEqual(load.failures(2.0), 0.25)
 
     def test_entries_hold_open_requests_only(self):
         loads = TargetLoads()
-        loads.note_sent("i-1", 640, Urgency.PATIENT)
-        loads.note_sent("i-2", 0, Urgency.USUAL)
-        loads.note_ended("i-2")
+        loads.record_sent("i-1", 640, Urgency.PATIENT)
+        loads.record_sent("i-2", 0, Urgency.USUAL)
+        loads.record_ended("i-2")
         found = loads.entries(0.0)
         self.assertEqual(
             [(e.in_flight, e.prefill_tokens) for e in found], [(1, (0, 0, 640))]
@@ -144,7 +144,7 @@
 
     def digest(self, host: str, sequence: int, tokens: int) -> LoadDigest:
         loads = TargetLoads()
-        loads.note_sent("i-1", tokens, Urgency.USUAL)
+        loads.record_sent("i-1", tokens, Urgency.USUAL)
         return LoadDigest(host, sequence, loads.entries(0.0))
 
     def test_loads_are_summed_over_the_other_hosts(self):
@@ -179,7 +179,7 @@
         self.prefix_tokens = int(PREFIX_CACHE_SHARE * self.CAPACITY_TOKENS)
 
     def use(self, block: str, tokens: int, engine: str = "i-3") -> None:
-        self.index.note_sent(block, tokens, engine, 0.0)
+        self.index.record_sent(block, tokens, engine, 0.0)
 
     def is_cached(self, block: str, engine: str = "i-3") -> bool:
         return self.index.is_cached(block, engine, self.CAPACITY_TOKENS)
--- a/berylshift/tests/test_targets_limit_gossip.py
+++ b/berylshift/tests/test_targets_limit_gossip.py
@@ -28,7 +28,7 @@
 
     def setUp(self):
         self.gossip = LimitGossip()
-        self.gossip.note_own(TARGET, 2.5, 10.0)
+        self.gossip.record_own(TARGET, 2.5, 10.0)
 
     def rates(self, now: float, own_only: bool = True) -> list[float | None]:
         return [
@@ -38,13 +38,13 @@
 
     def test_limit_is_sent_for_a_while_and_resent(self):
         self.assertEqual(self.rates(10.1), [2.5])
-        self.gossip.note_own(TARGET, 2.6, 11.0)
+        self.gossip.record_own(TARGET, 2.6, 11.0)
         self.assertEqual(self.rates(11.0), [])
-        self.gossip.note_own(TARGET, 2.6, 10.0 + RESEND_SECONDS)
+        self.gossip.record_own(TARGET, 2.6, 10.0 + RESEND_SECONDS)
         self.assertEqual(self.rates(10.1 + RESEND_SECONDS), [2.6])
 
     def test_lifted_limit_is_sent_at_once(self):
-        self.gossip.note_own(TARGET, None, 11.0)
+        self.gossip.record_own(TARGET, None, 11.0)
         self.assertEqual(self.rates(11.1), [None])
 
     def test_only_collectors_forward_updates(self):
@@ -57,13 +57,13 @@
 
     def test_older_update_is_ignored(self):
         """Guards against a lifted limit set again by a delayed datagram."""
-        self.gossip.note_own(TARGET, None, 12.0)
+        self.gossip.record_own(TARGET, None, 12.0)
         self.assertFalse(self.gossip.receive(LimitUpdate(TARGET, 2.5, 0.5), 12.2))
         self.assertTrue(self.gossip.receive(LimitUpdate(TARGET, 2.5, 0.1), 13.0))
 
     def test_updates_in_a_digest_are_bounded(self):
         for number in range(2 * MAX_UPDATES):
-            self.gossip.note_own(number, 1.0, 20.0)
+            self.gossip.record_own(number, 1.0, 20.0)
         self.assertEqual(
             len(self.gossip.updates_to_send(20.0, own_only=True)), MAX_UPDATES
         )
--- a/berylshift/tests/test_targets_rate_limits.py
+++ b/berylshift/tests/test_targets_rate_limits.py
@@ -51,7 +51,7 @@
             hosts = busy if self.rng.random() < 0.5 else self.hosts
             host = self.rng.choice(hosts)
             if host.wait(TARGET, now) == 0:
-                host.note_sent(TARGET, now)
+                host.record_sent(TARGET, now)
                 self.sent_at.append(now)
 
     def max_in_window(self) -> int:
@@ -120,16 +120,16 @@
 
     def test_blocked_replicas_follow_slots_and_limits(self):
         """Guards against a cached list that is used for too long."""
-        self.limits.note_sent(TARGET, 20.0)
-        self.limits.note_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
         self.assertEqual(self.limits.blocked(20.1), [TARGET])
         self.assertEqual(self.limits.blocked(20.49), [TARGET])
         self.assertEqual(self.limits.blocked(20.5), [])
-        self.limits.note_sent(TARGET, 20.5)
+        self.limits.record_sent(TARGET, 20.5)
         self.assertEqual(self.limits.blocked(20.6), [TARGET])
         self.limits.set_limit(TARGET, 20.0, 20.6)
         self.assertEqual(self.limits.blocked(20.61), [])
-        self.limits.note_sent(TARGET, 20.61)
+        self.limits.record_sent(TARGET, 20.61)
         self.limits.lift(TARGET, 20.62)
         self.assertEqual(self.limits.blocked(20.62), [])
 
@@ -140,12 +140,12 @@
     def test_response_to_an_older_request_does_not_lift_it(self):
         """Guards against responses that overtake each other."""
         self.assertFalse(self.limits.lift(TARGET, 9.9))
-        self.limits.note_sent(TARGET, 10.2)
+        self.limits.record_sent(TARGET, 10.2)
         self.assertGreater(self.limits.wait(TARGET, 10.3), 0)
 
     def test_slots_follow_the_limit(self):
-        self.limits.note_sent(TARGET, 20.0)
-        self.limits.note_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
         self.assertAlmostEqual(self.limits.wait(TARGET, 20.1), 0.4)
         self.assertEqual(self.limits.wait(TARGET, 20.5), 0)
         self.assertEqual(self.limits.blocked(20.1), [TARGET])
@@ -153,20 +153,20 @@
     def test_late_use_of_a_slot_delays_the_next_one_by_less(self):
         """Guards against shares half used because requests arrive at random times."""
         saved = MAX_SAVED_SLOTS * 0.5
-        self.limits.note_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
         self.assertAlmostEqual(self.limits.wait(TARGET, 20.0), 0.5 - saved)
-        self.limits.note_sent(TARGET, 20.5 - saved)
+        self.limits.record_sent(TARGET, 20.5 - saved)
         self.assertAlmostEqual(self.limits.wait(TARGET, 20.5 - saved), 0.5)
 
     def test_retry_after_is_when_some_host_may_send(self):
-        self.limits.note_sent(TARGET, 20.0)
-        self.limits.note_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
+        self.limits.record_sent(TARGET, 20.0)
         self.assertAlmostEqual(self.limits.retry_after(TARGET, 20.1), 0.4)
         self.assertEqual(self.limits.retry_after(InstanceId("other"), 20.1), 0)
 
     def test_limit_of_zero_is_tried_again(self):
         self.limits.set_limit(TARGET, 0.0, 30.0)
-        self.limits.note_sent(TARGET, 30.0)
+        self.limits.record_sent(TARGET, 30.0)
         self.assertGreater(self.limits.wait(TARGET, 40.0), 0)
         self.assertEqual(self.limits.wait(TARGET, 100.0), 0)
 
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -758,8 +758,8 @@
     Proof(
         "a collector tells on what its hosts saw",
         "process/gossip/protocol.py",
-        "return digest.domain == self._sources.domain\n\n    def _note",
-        "return False\n\n    def _note",
+        "return digest.domain == self._sources.domain\n\n    def _record",
+        "return False\n\n    def _record",
         "test_quarantine_spread.PropagationTest.test_all_hosts_learn_in_half_of_the_allowed_time",
     ),
     Proof(
@@ -985,7 +985,7 @@
     Proof(
         "a limit's end is told to all hosts",
         "process/targets/throttle.py",
-        "            self._gossip.note_own(target_hash(instance), None, now)\n",
+        "            self._gossip.record_own(target_hash(instance), None, now)\n",
         "            pass\n",
         "test_targets_limit_gossip.PropagationTest",
     ),
