--- a/berylshift/connection/peer_tables.py
+++ b/berylshift/connection/peer_views.py
@@ -5,13 +5,13 @@
 
 from berylshift.connection.errors import ConnectionLayerError
 from berylshift.connection.http_client import HttpClient, Outgoing
-from berylshift.process.table.follower import PeerView
+from berylshift.process.table.table_follower import PeerView
 
 FETCH_TIMEOUT_SECONDS = 2.0
 STATUS_OK = 200
 
 
-class HttpPeerTables:
+class HttpPeerViews:
     """Fetches tables from the admin addresses of peers."""
 
     def __init__(self, client: HttpClient, cluster_key: str):
--- a/berylshift/messages/load_digest.py
+++ b/berylshift/messages/load_digest.py
@@ -1,15 +1,16 @@
 """The load digest: what one entry host sends the others of its load at replicas."""
 
-import functools
-from enum import IntEnum
-
-import msgspec
-import xxhash
-
-from berylshift.ids import Fingerprint, InstanceId, Revision, StoreEra
+from berylshift.ids import Fingerprint
+from berylshift.ids import InstanceId
+from berylshift.ids import Revision
+from berylshift.ids import StoreEra
 from berylshift.messages.replicas import EnginePhase
 from berylshift.messages.usage import RunCount
 from berylshift.store.eras import FIRST_ERA
+from enum import IntEnum
+import functools
+import msgspec
+import xxhash
 
 # Each placement looks up the hashes of a dozen engines several times.
 MAX_CACHED_HASHES = 8192
@@ -35,7 +36,7 @@
 
     HOST = 0
     DOMAIN = 1
-    FLEET = 2
+    ALL_HOSTS = 2
 
 
 class LoadEntry(msgspec.Struct, frozen=True):
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -1,7 +1,5 @@
 """One simulated prompt: through a host, a prefill engine and a decode engine."""
 
-from typing import TYPE_CHECKING
-
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -10,12 +8,17 @@
 from berylshift.model.parameters import SERVICE
 from berylshift.model.result import PromptOutcome
 from berylshift.model.traffic import Arrival
-from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
+from berylshift.process.targets.target_load import MILD_FAILURE
+from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_scheduler import PrefillJob
-from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS, MIN_RETRY_AFTER_SECONDS
+from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS
+from berylshift.request.refusals import MIN_RETRY_AFTER_SECONDS
 from berylshift.request.relay import MAX_PREFILLS
-from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
+from berylshift.request.slo_status import SloStatus
+from berylshift.request.slo_status import engine_rank
+from berylshift.request.slo_status import urgency_for
+from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
@@ -108,8 +111,8 @@
         placement = decision.placement
         self._prefill_count += 1
         self._sent_at = now
-        host.prefill_scheduler.note_sent(job, decision, now)
-        host.loads.note_sent(placement.target.instance, placement.tokens, self._urgency)
+        host.prefill_scheduler.record_sent(job, decision, now)
+        host.loads.record_sent(placement.target.instance, placement.tokens, self._urgency)
         engine = self._fleet.engines[placement.target.address]
         rank = engine_rank(self._kind, self._slo_status)
         self._queue.call_after(
@@ -129,12 +132,12 @@
 
     def _receive_prefill(self, placement: Placement, succeeded: bool) -> None:
         instance, host = placement.target.instance, self._host
-        host.loads.note_prefilled(instance, placement.tokens, self._urgency)
-        host.loads.note_ended(instance)
+        host.loads.record_prefilled(instance, placement.tokens, self._urgency)
+        host.loads.record_ended(instance)
         self._note_outcome(placement.target, succeeded)
         if succeeded:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.note_prefill(
+            host.speeds.record_prefill(
                 placement.target.service, placement.tokens, placement.queued, seconds
             )
             self._decode(placement.target)
@@ -157,7 +160,7 @@
             return
         instance = placement.target.instance
         self._sent_at, self._source = now, source
-        host.loads.note_sent(instance, placement.tokens, self._urgency)
+        host.loads.record_sent(instance, placement.tokens, self._urgency)
         engine = self._fleet.engines[placement.target.address]
         rank = engine_rank(self._kind, self._slo_status)
         stream = Stream(
@@ -187,13 +190,13 @@
         if self._first_event_seconds is None:
             self._first_event_seconds = now - self._arrival.at
             host = self._host
-            host.loads.note_prefilled(
+            host.loads.record_prefilled(
                 placement.target.instance, placement.tokens, self._urgency
             )
             if self._source is not None:
                 tokens = self._arrival.prompt.tokens
                 seconds = now - self._sent_at
-                host.speeds.note_first_token(
+                host.speeds.record_first_token(
                     placement.target.service, tokens, placement.queued, seconds
                 )
         else:
@@ -207,11 +210,11 @@
     ) -> None:
         instance, host = placement.target.instance, self._host
         if self._first_event_seconds is None:
-            host.loads.note_prefilled(instance, placement.tokens, self._urgency)
-        host.loads.note_ended(instance)
+            host.loads.record_prefilled(instance, placement.tokens, self._urgency)
+        host.loads.record_ended(instance)
         if succeeded and self._first_event_seconds is not None:
             seconds = self._queue.monotonic() - self._sent_at
-            host.speeds.note_response(placement.target.service, seconds)
+            host.speeds.record_response(placement.target.service, seconds)
         self._note_outcome(placement.target, succeeded)
         self._update_quarantine(placement.target, succeeded)
         latency = self._response_latency(placement.target)
@@ -246,11 +249,11 @@
     def _note_outcome(self, target: Replica, succeeded: bool) -> None:
         now, host = self._queue.monotonic(), self._host
         if succeeded:
-            host.loads.note_success(target.instance, now)
+            host.loads.record_success(target.instance, now)
             report = self._fleet.engines[target.address].report()
-            host.loads.note_report(target.instance, report, now)
+            host.loads.record_report(target.instance, report, now)
         else:
-            host.loads.note_failure(
+            host.loads.record_failure(
                 target.instance,
                 SEVERE_FAILURE if self._first_event_seconds else MILD_FAILURE,
                 now,
--- a/berylshift/process/membership/peer_loop.py
+++ b/berylshift/process/membership/peer_loop.py
@@ -15,7 +15,7 @@
 from berylshift.process.membership.digest import MAX_STORE_AGE_SECONDS, Digest
 from berylshift.process.membership.members import Membership
 from berylshift.process.quarantine.quarantine import Quarantine
-from berylshift.process.table.follower import TableFollower, TableHolder
+from berylshift.process.table.table_follower import TableFollower, TableHolder
 from berylshift.settings import PeerSettings
 from berylshift.store.interfaces import HostEntry
 from berylshift.version.freshness import Freshness
@@ -72,15 +72,15 @@
         confirmation = deps.members.receive(digest, now)
         if confirmation is not None:
             deps.fresh.note_peer_confirmation(confirmation)
-        deps.load.note_peer_shares(digest.host, digest.shares, now)
-        deps.limits.note_peer_demand(digest.host, digest.demands, now)
+        deps.load.record_peer_shares(digest.host, digest.shares, now)
+        deps.limits.record_peer_demand(digest.host, digest.demands, now)
         deps.meter.update_peer(digest.host, digest.mixes, now)
         # Each host sends to few others, so whatever is new here is passed on.
         deps.quarantine.merge(digest.crashes, digest.finished, now, is_own_domain=True)
         peer = deps.members.peers[digest.host]
         if peer.entry is None:
             return
-        deps.follower.note_peer_versions(
+        deps.follower.record_peer_versions(
             peer.entry.admin_address, digest.table_version, digest.plan_version
         )
         if not digest.is_reply:
--- a/berylshift/process/targets/prefix_cache_index.py
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -1,25 +1,27 @@
-"""Which engines cache which prefix blocks, as far as hosts have told each other.
+"""Which engines cache which prefix blocks, as far as hosts have informed each other.
 
 The home engine that all hosts compute alike says where a block should be, not that it
 is there: an engine that has just started, or become the home, has nothing cached.
-Prompts that are taken for cheap there would queue up behind each other. Each host
-therefore announces where it sends blocks, in some bytes each; this also spreads popular
-blocks over more engines.
+Prompts would be sent there as if their prefix were cached, and would queue up. Each
+host therefore announces where it sends blocks, in a few bytes each; this also spreads
+popular blocks over more engines.
 
 How long an engine caches a block depends on its other prefills. Each host simulates the
 engine's cache: an LRU of blocks with their token counts; blocks beyond the capacity are
-taken as evicted. A fixed time instead is right for one load of one engine only: if it
-is too long, blocks that count as cached are prefilled anew.
+taken as evicted. A fixed caching time would suit only one engine under one load: if it
+is too long, evicted blocks count as cached and are prefilled anew.
 """
 
+from berylshift.ids import BlockId
+from berylshift.ids import InstanceId
+from berylshift.messages.load_digest import BlockPrefill
+from berylshift.messages.load_digest import MAX_CACHED_HASHES
+from berylshift.messages.load_digest import target_hash
+from collections import OrderedDict
+from collections import deque
 import functools
-from collections import OrderedDict, deque
-
 import xxhash
 
-from berylshift.ids import BlockId, InstanceId
-from berylshift.messages.load_digest import MAX_CACHED_HASHES, BlockPrefill, target_hash
-
 # The share of an engine's KV cache that prefix blocks fill: prompts in prefill, and
 # those that wait to be fetched, occupy the rest.
 PREFIX_CACHE_SHARE = 0.8
@@ -81,7 +83,7 @@
         self._own: deque[tuple[float, BlockPrefill]] = deque()
         self._count = 0
 
-    def note_sent(
+    def record_sent(
         self, block: BlockId, tokens: int, instance: InstanceId, now: float
     ) -> None:
         """Record that this host sends a block to an engine.
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -1,14 +1,11 @@
 """One attempt of a model call at an engine, with its load and health accounting."""
 
-from collections.abc import AsyncIterator, Awaitable, Callable
-from contextlib import AsyncExitStack, aclosing
-from dataclasses import dataclass
-
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
-from berylshift.ids import PoolName, TargetName
+from berylshift.connection.read_timeout import NEVER
+from berylshift.connection.read_timeout import ReadTimeout
+from berylshift.connection.read_timeout import ReadTimeoutError
+from berylshift.ids import PoolName
+from berylshift.ids import TargetName
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
@@ -16,18 +13,26 @@
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import ModelCall
-from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
-from berylshift.request.router import Router, RoutingContext
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.request.retry_policy import outcome_of
+from berylshift.request.retry_policy import retry_after_of
+from berylshift.request.router import Router
+from berylshift.request.router import RoutingContext
 from berylshift.settings import TargetSettings
-from berylshift.targets import (
-    EngineCall,
-    EngineChunk,
-    EngineClient,
-    TargetBrokenError,
-    TargetError,
-)
+from berylshift.targets import EngineCall
+from berylshift.targets import EngineChunk
+from berylshift.targets import EngineClient
+from berylshift.targets import TargetBrokenError
+from berylshift.targets import TargetError
 from berylshift.version.rows import Row
 from berylshift.version.table import Table
+from collections.abc import AsyncIterator
+from collections.abc import Awaitable
+from collections.abc import Callable
+from contextlib import AsyncExitStack
+from contextlib import aclosing
+from dataclasses import dataclass
+import trio
 
 Chunks = list[EngineChunk]
 OnChunks = Callable[[Chunks], Awaitable[bool]]
@@ -89,28 +94,28 @@
         context = self._deps.context
         fleet = self._model_call.caller.fleet
         now = self._now()
-        context.load.note_sent(name, attempt, fleet, self._prefill_tokens, now)
+        context.load.record_sent(name, attempt, fleet, self._prefill_tokens, now)
         pool = PoolName(self._model_call.model)
         self._deps.meter.prefill(pool, self._prefill_tokens, now)
-        context.health.note_start(name)
+        context.health.record_start(name)
         try:
             await self._receive(on_chunks)
-            context.health.note_success(name)
+            context.health.record_success(name)
         except AttemptFailedError as exc:
             await self._record_failure(exc)
             raise
         except BaseException:
-            context.health.note_cancelled(name)
+            context.health.record_cancelled(name)
             await self._cancel()
             raise
         finally:
-            context.load.note_ended(name, attempt, self._now())
+            context.load.record_ended(name, attempt, self._now())
 
     def _now(self) -> float:
         return self._deps.clock.monotonic()
 
     async def _record_failure(self, exc: AttemptFailedError) -> None:
-        self._deps.context.health.note_failure(self._row.name, self._now())
+        self._deps.context.health.record_failure(self._row.name, self._now())
         if exc.outcome in (AttemptOutcome.SILENT, AttemptOutcome.INVALID):
             await self._cancel()
 
@@ -148,7 +153,7 @@
         if not self._has_first_chunk:
             self._has_first_chunk = True
             now = self._now()
-            self._deps.context.load.note_first_token(
+            self._deps.context.load.record_first_token(
                 self._row.name, self._call.attempt, now
             )
 
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -6,14 +6,8 @@
 that prefilling the prefix again elsewhere is faster.
 """
 
-import random
-from collections.abc import Iterable
-from enum import StrEnum
-from typing import Protocol
-
-import msgspec
-
-from berylshift.ids import DomainName, InstanceId
+from berylshift.ids import DomainName
+from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
@@ -21,7 +15,13 @@
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
-from berylshift.process.targets.target_load import TargetLoad, TargetLoads
+from berylshift.process.targets.target_load import TargetLoad
+from berylshift.process.targets.target_load import TargetLoads
+from collections.abc import Iterable
+from enum import StrEnum
+from typing import Protocol
+import msgspec
+import random
 
 # Shorter prefixes have no home engine: prefilling them again takes so little time that
 # a hop to a home engine is not worth it.
@@ -130,7 +130,7 @@
     ) -> Placement | None:
         """Return the engine that should decode after ``prefill_engine``."""
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
 
 
@@ -301,11 +301,11 @@
             cached += block.tokens
         return cached
 
-    def note_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
+    def record_sent(self, placement: Placement, prompt: Prompt, now: float) -> None:
         """Record that a prompt is sent as placed."""
         if prompt.prefix_tokens >= HOME_TOKENS:
             for block in prompt.prefix_blocks:
-                self._prefix_cache.note_sent(
+                self._prefix_cache.record_sent(
                     block.id, block.tokens, placement.target.instance, now
                 )
 
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -1,22 +1,12 @@
 """Disaggregated prefill: one engine prefills a prompt, another one decodes it."""
 
-import logging
-from collections.abc import Callable
-
-import msgspec
-import trio
-
 from berylshift.clock import Clock
-from berylshift.connection.errors import (
-    ConnectFailedError,
-    ConnectionLayerError,
-    ThrottledError,
-)
-from berylshift.connection.target_client import (
-    TargetClient,
-    TargetRequest,
-    TargetResponse,
-)
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.errors import ThrottledError
+from berylshift.connection.target_client import TargetClient
+from berylshift.connection.target_client import TargetRequest
+from berylshift.connection.target_client import TargetResponse
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -24,6 +14,10 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
 from berylshift.request.retry_policy import AttemptOutcome
+from collections.abc import Callable
+import logging
+import msgspec
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -87,7 +81,7 @@
         The call times out after ``seconds``.
         """
         instance = placement.target.instance
-        self._loads.note_sent(instance, placement.tokens, urgency)
+        self._loads.record_sent(instance, placement.tokens, urgency)
         try:
             with trio.move_on_after(seconds):
                 async with self._client.exchange(out) as response:
@@ -102,8 +96,8 @@
         except ConnectionLayerError:
             return PrefillResult(AttemptOutcome.BROKEN)
         finally:
-            self._loads.note_prefilled(instance, placement.tokens, urgency)
-            self._loads.note_ended(instance)
+            self._loads.record_prefilled(instance, placement.tokens, urgency)
+            self._loads.record_ended(instance)
 
     async def _parse_response(
         self, request: RequestId, engine: Replica, response: TargetResponse
@@ -117,7 +111,7 @@
             response.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._clock.monotonic()
-            self._loads.note_report(engine.instance, head.load, now)
+            self._loads.record_report(engine.instance, head.load, now)
         body = await response.read(MAX_CONTROL_BYTES)
         if head.status != STATUS_OK:
             return PrefillResult(
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -1,49 +1,50 @@
 """Relays one routed request to a replica and retries it where that is allowed."""
 
-import logging
-from collections.abc import Callable
-
-import trio
-
 from berylshift.connection.responder import Responder
 from berylshift.connection.target_client import TargetRequest
-from berylshift.ids import InstanceId, ServiceName
+from berylshift.ids import InstanceId
+from berylshift.ids import ServiceName
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
-from berylshift.messages.routed import Dispatch, Prompt, RoutedRequest
-from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
+from berylshift.messages.routed import Dispatch
+from berylshift.messages.routed import Prompt
+from berylshift.messages.routed import RoutedRequest
+from berylshift.process.targets.target_load import MILD_FAILURE
+from berylshift.process.targets.target_load import SEVERE_FAILURE
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_client import KvSource
-from berylshift.request.prefill_scheduler import PrefillDecision, PrefillJob
+from berylshift.request.prefill_scheduler import PrefillDecision
+from berylshift.request.prefill_scheduler import PrefillJob
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.relay_result import (
-    AllThrottledError,
-    DeadlineUnreachableError,
-    KeyRevokedError,
-    RelayOutcome,
-    RelayResult,
-)
-from berylshift.request.replica_exchange import (
-    FailedResponse,
-    PendingPrefill,
-    ReplicaExchange,
-)
+from berylshift.request.relay_result import AllThrottledError
+from berylshift.request.relay_result import DeadlineUnreachableError
+from berylshift.request.relay_result import KeyRevokedError
+from berylshift.request.relay_result import RelayOutcome
+from berylshift.request.relay_result import RelayResult
+from berylshift.request.replica_exchange import FailedResponse
+from berylshift.request.replica_exchange import PendingPrefill
+from berylshift.request.replica_exchange import ReplicaExchange
 from berylshift.request.replica_selector import ReplicaSelector
-from berylshift.request.request_timeout import TimeoutSource, request_timeout
+from berylshift.request.request_timeout import TimeoutSource
+from berylshift.request.request_timeout import request_timeout
 from berylshift.request.response_stream import ResponseStream
-from berylshift.request.retry_loop import StopReason, run_attempts
-from berylshift.request.retry_policy import (
-    NEVER_SENT,
-    AttemptHistory,
-    AttemptOutcome,
-    AttemptRecord,
-    retry_bounds,
-)
+from berylshift.request.retry_loop import StopReason
+from berylshift.request.retry_loop import run_attempts
+from berylshift.request.retry_policy import AttemptHistory
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.request.retry_policy import AttemptRecord
+from berylshift.request.retry_policy import NEVER_SENT
+from berylshift.request.retry_policy import retry_bounds
 from berylshift.request.routed_crash_watch import RoutedCrashWatch
-from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
+from berylshift.request.slo_status import SloStatus
+from berylshift.request.slo_status import engine_rank
+from berylshift.request.slo_status import urgency_for
 from berylshift.version.routes import Route
+from collections.abc import Callable
+import logging
+import trio
 
 logger = logging.getLogger(__name__)
 
@@ -322,7 +323,7 @@
             self._check_allowed()
             if self._prefills and not self._retry_budget.try_acquire(self._now()):
                 return False
-            self._deps.prefill_scheduler.note_sent(
+            self._deps.prefill_scheduler.record_sent(
                 self._prefill_job(prompt, tried), choice, self._now()
             )
             tried.append(choice.placement.target.instance)
@@ -330,7 +331,7 @@
             if outcome is AttemptOutcome.DONE:
                 return True
             if self._prefills == 1 and outcome not in NEVER_SENT:
-                self._retry_budget.note_retry(self._now())
+                self._retry_budget.record_retry(self._now())
             if len(tried) >= MAX_PREFILLS:
                 return False
         return not tried
@@ -353,7 +354,7 @@
             await self._record_health(placement.target, found.end)
         else:
             self.crash_watch.on_response(placement.target, sent_at)
-            self._deps.speeds.note_prefill(
+            self._deps.speeds.record_prefill(
                 self.service, placement.tokens, placement.queued, self._now() - sent_at
             )
         self._kv_source, self._kv_source_uses = found.source, 0
@@ -403,7 +404,7 @@
             return None
         loads, instance = self._deps.loads, placement.target.instance
         limit_exempt = self._choice.record_send(instance)
-        loads.note_sent(instance, placement.tokens, self._urgency)
+        loads.record_sent(instance, placement.tokens, self._urgency)
         prefill = PendingPrefill(loads, instance, placement.tokens, self._urgency)
         self._open_placement = placement
         sent_at = self._attempt_started = self._now()
@@ -416,7 +417,7 @@
             outcome = await self._exchange.run(out, prefill)
         finally:
             prefill.done()
-            loads.note_ended(instance)
+            loads.record_ended(instance)
             self._report_run(
                 sent_at, self._history.has_open_attempt or outcome.may_have_run
             )
@@ -454,10 +455,10 @@
         if self._req.prompt is None or self._out.first_event_at is None:
             return
         speeds, waited = self._deps.speeds, self._out.first_event_at - sent_at
-        speeds.note_response(self.service, self._now() - sent_at)
+        speeds.record_response(self.service, self._now() - sent_at)
         if source is not None:
             tokens = self._req.prompt.tokens
-            speeds.note_first_token(self.service, tokens, placement.queued, waited)
+            speeds.record_first_token(self.service, tokens, placement.queued, waited)
 
     def _settle_kv_source(self, outcome: AttemptOutcome) -> None:
         """Keep the KV cache for another engine if this one did not take it.
@@ -471,12 +472,12 @@
         self._kv_source_uses += 1
         loads, prefill_engine = self._deps.loads, self._kv_source.engine.instance
         if outcome.may_have_run:
-            loads.note_success(prefill_engine, self._now())
+            loads.record_success(prefill_engine, self._now())
             self._kv_source = None
         elif self._kv_source_uses < MAX_KV_SOURCE_USES:
-            loads.note_failure(prefill_engine, MILD_FAILURE, self._now())
+            loads.record_failure(prefill_engine, MILD_FAILURE, self._now())
         else:
-            loads.note_failure(prefill_engine, SEVERE_FAILURE, self._now())
+            loads.record_failure(prefill_engine, SEVERE_FAILURE, self._now())
             self._release_kv_source()
 
     async def _record_health(self, replica: Replica, outcome: AttemptOutcome) -> None:
@@ -487,13 +488,13 @@
         """
         loads, now, instance = self._deps.loads, self._now(), replica.instance
         if outcome is AttemptOutcome.DONE:
-            loads.note_success(instance, now)
+            loads.record_success(instance, now)
         elif outcome in (AttemptOutcome.FAILED, AttemptOutcome.NOT_RUN):
-            loads.note_failure(instance, MILD_FAILURE, now)
+            loads.record_failure(instance, MILD_FAILURE, now)
         elif outcome is AttemptOutcome.THROTTLED:
             logger.info("attempt throttled by replica", extra={"instance": instance})
         else:
-            loads.note_failure(instance, SEVERE_FAILURE, now)
+            loads.record_failure(instance, SEVERE_FAILURE, now)
             self._deps.client.forget(instance)
         if outcome is AttemptOutcome.BROKEN:
             await self.crash_watch.on_connection_lost(replica)
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -1,24 +1,28 @@
 """One exchange with a replica: sends the request and relays the response."""
 
-from contextlib import AsyncExitStack, aclosing
-
-import msgspec
-
-from berylshift.connection.errors import (
-    ConnectFailedError,
-    ConnectionLayerError,
-    ThrottledError,
-)
-from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
-from berylshift.connection.target_client import TargetRequest, TargetResponse
+from berylshift.connection.errors import ConnectFailedError
+from berylshift.connection.errors import ConnectionLayerError
+from berylshift.connection.errors import ThrottledError
+from berylshift.connection.read_timeout import NEVER
+from berylshift.connection.read_timeout import ReadTimeout
+from berylshift.connection.read_timeout import ReadTimeoutError
+from berylshift.connection.target_client import TargetRequest
+from berylshift.connection.target_client import TargetResponse
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
-from berylshift.messages.routed import ResponseHead, RoutedRequest
+from berylshift.messages.routed import ResponseHead
+from berylshift.messages.routed import RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.response_stream import ResponseStream, StreamBrokenError
-from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome
-from berylshift.version.routes import Route, RouteKind
+from berylshift.request.response_stream import ResponseStream
+from berylshift.request.response_stream import StreamBrokenError
+from berylshift.request.retry_policy import AttemptHistory
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.version.routes import Route
+from berylshift.version.routes import RouteKind
+from contextlib import AsyncExitStack
+from contextlib import aclosing
+import msgspec
 
 MIN_ERROR_STATUS = 400
 MIN_SERVER_ERROR_STATUS = 500
@@ -59,7 +63,7 @@
 
     def done(self) -> None:
         """Record the tokens as prefilled; later calls have no effect."""
-        self._loads.note_prefilled(self._instance, self._tokens, self._urgency)
+        self._loads.record_prefilled(self._instance, self._tokens, self._urgency)
         self._tokens = 0
 
 
@@ -150,7 +154,7 @@
             answer.keep_alive_seconds = head.keep_alive_seconds
         if head.load is not None:
             now = self._deps.clock.monotonic()
-            self._deps.loads.note_report(instance, head.load, now)
+            self._deps.loads.record_report(instance, head.load, now)
         if head.not_run:
             await limit.wait_for(answer.read(MAX_REFUSAL_BODY_BYTES))
             return AttemptOutcome.NOT_RUN
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -1,18 +1,15 @@
 """Retry loop shared by routed requests, completions and service calls."""
 
+from berylshift.clock import Clock
+from berylshift.request.retry_policy import AttemptHistory
+from berylshift.request.retry_policy import AttemptOutcome
+from berylshift.request.retry_policy import AttemptRecord
+from berylshift.request.retry_policy import NEVER_SENT
+from berylshift.request.retry_policy import RetryBounds
+from berylshift.request.retry_policy import may_retry
 from enum import StrEnum
 from typing import Protocol
 
-from berylshift.clock import Clock
-from berylshift.request.retry_policy import (
-    NEVER_SENT,
-    AttemptHistory,
-    AttemptOutcome,
-    AttemptRecord,
-    RetryBounds,
-    may_retry,
-)
-
 
 class StopReason(StrEnum):
     """Why the loop stopped."""
@@ -40,7 +37,7 @@
 class RetryBudgetInterface(Protocol):
     """Retry budget shared by all requests."""
 
-    def note_first_attempt(self, now: float) -> None:
+    def record_first_attempt(self, now: float) -> None:
         """Record a request's first attempt."""
 
     def try_acquire(self, now: float) -> bool:
@@ -59,7 +56,7 @@
     An attempt that never reached a target costs no retry budget, since it caused no
     load.
     """
-    budget.note_first_attempt(clock.monotonic())
+    budget.record_first_attempt(clock.monotonic())
     while True:
         attempt = await sender.send()
         if attempt is None:
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -1,13 +1,12 @@
 """In-memory links between hosts: datagrams and table views."""
 
-import math
-from dataclasses import dataclass, field
-
-import trio
-
 from berylshift.process.membership.digest import Digest
-from berylshift.process.table.follower import PeerView
+from berylshift.process.table.table_follower import PeerView
 from berylshift.stand_ins.network import Network
+from dataclasses import dataclass
+from dataclasses import field
+import math
+import trio
 
 
 @dataclass
@@ -46,7 +45,7 @@
             on_message(digest)
 
 
-class MemoryPeerTables:
+class MemoryPeerViews:
     """Fetches table views from peers' admin addresses."""
 
     def __init__(self, hub: PeerHub, host: str):
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -1,14 +1,15 @@
 """Tests of native API targets that refuse a call with a Retry-After."""
 
-import unittest
-
-import trio
-
 from berylshift.ids import TargetName
 from berylshift.messages.retry_after import parse_retry_after
 from berylshift.process.engine_state.health import Health
 from berylshift.request.messages import Outcome
-from berylshift.tests.world import call_service, plain_call, run_world, small_rows
+from berylshift.tests.world import call_service
+from berylshift.tests.world import plain_call
+from berylshift.tests.world import run_world
+from berylshift.tests.world import small_rows
+import trio
+import unittest
 
 RETRY_AFTER_SECONDS = 10.0
 TARGET = TargetName("engine-1")
@@ -44,7 +45,7 @@
         self.health.back_off(TARGET, 3.0, 10.0)
 
     def test_backoff_outlasts_later_successes(self):
-        self.health.note_success(TARGET)
+        self.health.record_success(TARGET)
         self.assertFalse(self.health.is_usable(TARGET, 12.9))
         self.assertEqual(self.health.suspended_targets(12.9), [TARGET])
         self.assertTrue(self.health.is_usable(TARGET, 13.0))
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -1,14 +1,15 @@
 """End-to-end tests of engines that restart under the same name."""
 
-import unittest
-
-import trio
-
-from berylshift.ids import BlockId, InstanceId
+from berylshift.ids import BlockId
+from berylshift.ids import InstanceId
 from berylshift.messages.engine_control import OrderAnswer
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.targets.target_load import SEVERE_FAILURE
-from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
+from berylshift.tests.entry_world import ENGINES
+from berylshift.tests.entry_world import prompt_headers
+from berylshift.tests.entry_world import run_entry
+import trio
+import unittest
 
 FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_009_000
 FEED_DELAY_SECONDS = 1.0
@@ -33,7 +34,7 @@
             cached_before = host.prefix_cache.is_cached(
                 BlockId("a1"), old_instance, KV_CAPACITY_TOKENS
             )
-            host.loads.note_failure(old_instance, SEVERE_FAILURE, now)
+            host.loads.record_failure(old_instance, SEVERE_FAILURE, now)
             host.phases.record_order(old_instance, EnginePhase.DECODE, now)
             await self.start(world, engine, SECOND_START_MS)
             reply = await world.ask("/note/x", "r2", headers=prompt_headers(block="b2"))
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -1,8 +1,5 @@
 """The baseline placement policies do only what their names say."""
 
-import random
-import unittest
-
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.pools import Pool
@@ -10,14 +7,15 @@
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES
+from berylshift.request.placement_policies import PlacementContext
 from berylshift.settings import CHOICES
-from berylshift.tests.test_request_placement import (
-    DECODE_ENGINES,
-    ENGINES,
-    PREFILL_ENGINES,
-    prompt,
-)
+from berylshift.tests.test_request_placement import DECODE_ENGINES
+from berylshift.tests.test_request_placement import ENGINES
+from berylshift.tests.test_request_placement import PREFILL_ENGINES
+from berylshift.tests.test_request_placement import prompt
+import random
+import unittest
 
 
 class BaselineTest(unittest.TestCase):
@@ -56,7 +54,7 @@
 
     def test_least_reported_uses_the_last_report(self):
         for number, rep in enumerate(DECODE_ENGINES):
-            self.loads.note_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
+            self.loads.record_report(rep.instance, ReportedLoad(5 - number, 0, 64), 0.0)
         policy = PLACEMENT_POLICIES["least-reported"](self.context)
         placement = policy.choose_decode(
             self.pool, prompt(), PREFILL_ENGINES[0], (), 0.0
@@ -68,10 +66,10 @@
         wanted = prompt()
         home = self.pool.homes(wanted.prefix_blocks[-1].id)[0]
         for block in wanted.prefix_blocks:
-            self.context.prefix_cache.note_sent(
+            self.context.prefix_cache.record_sent(
                 block.id, block.tokens, home.instance, 0.0
             )
-        self.loads.note_sent(home.instance, 5_000, Urgency.USUAL)
+        self.loads.record_sent(home.instance, 5_000, Urgency.USUAL)
         placement = policy.choose_prefill(self.pool, wanted, Urgency.USUAL, (), 0.0)
         self.assertIsNot(placement.target, home)
         self.assertIs(self.choose_prefill("warm", wanted).target, home)
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -5,12 +5,12 @@
 with its safeguard and fails without it.
 """
 
+from dataclasses import dataclass
+from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
-from dataclasses import dataclass
-from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
@@ -762,8 +762,8 @@
     Proof(
         "a collector forwards the crashes that its hosts saw",
         "process/gossip/protocol.py",
-        "return digest.domain == self._sources.domain\n\n    def _note",
-        "return False\n\n    def _note",
+        "return digest.domain == self._sources.domain\n\n    def _record",
+        "return False\n\n    def _record",
         "test_quarantine_spread.PropagationTest.test_all_hosts_learn_in_half_of_the_allowed_time",
     ),
     Proof(
@@ -946,7 +946,7 @@
     Proof(
         "hosts share a replica's rate limit",
         "process/targets/limit_shares.py",
-        "            return LimitShare(HOLDERS_FRACTION / count, True)\n",
+        "            return LimitShare(MAIN_SENDERS_FRACTION / count, True)\n",
         "            return LimitShare(1.0, True)\n",
         RATES,
     ),
@@ -989,7 +989,7 @@
     Proof(
         "the end of a limit is sent to all hosts",
         "process/targets/throttle.py",
-        "            self._gossip.note_own(target_hash(instance), None, now)\n",
+        "            self._gossip.record_own(target_hash(instance), None, now)\n",
         "            pass\n",
         "test_targets_limit_gossip.PropagationTest",
     ),
