--- a/berylshift/tools/session.py
+++ b/berylshift/tools/session.py
@@ -111,7 +111,7 @@
             return exc.code
         except PlatformError as exc:
             self.line_error(
-                f"<error>the platform does not answer ({exc}); the change is not"
+                f"<error>the platform does not answer ({exc}); no change is"
                 " confirmed: check 'table history' once it is reachable</error>"
             )
             return Exit.PLATFORM_UNAVAILABLE
