--- a/berylshift/request/routed_handler.py
+++ b/berylshift/request/routed_handler.py
@@ -31,7 +31,7 @@
 from berylshift.request.relay_result import RelayOutcome, RelayResult
 from berylshift.request.replica_exchange import FailedResponse
 from berylshift.request.request_timeout import TimeoutSource, request_timeout
-from berylshift.utils import host_of
+from berylshift.utils import host_without_port
 from berylshift.version.routes import Route
 
 logger = logging.getLogger(__name__)
@@ -103,7 +103,7 @@
                 http.method.encode(),
                 http.target,
                 list(http.raw_headers),
-                http.arriving,
+                http.body_stream,
             )
         except BadRequestError as exc:
             logger.info("bad request", extra={"path": path, "reason": str(exc)})
@@ -114,7 +114,7 @@
             reason = "no routes are known yet"
             await self._reject(req, responder, reason, NO_REPLICA_RETRY_SECONDS)
         else:
-            host = host_of(http.headers.get("host", ""))
+            host = host_without_port(http.headers.get("host", ""))
             await self._serve(req, table.match(host, path), responder, host, path)
 
     async def _serve(
@@ -152,7 +152,7 @@
         if customer is None:
             return self._deps.codec.strip_key(req, None), route
         named = self._deps.codec.strip_key(req, customer.name)
-        return named, route.ranked(customer.rank)
+        return named, route.with_rank(customer.rank)
 
     async def _refuse_unauthorized(
         self,
@@ -298,9 +298,9 @@
             await refuse(responder, self._timed_out(relay))
 
     async def _forward_failure(
-        self, failed: FailedResponse, responder: Responder
+        self, failure: FailedResponse, responder: Responder
     ) -> None:
-        head, body = failed.head, failed.body
+        head, body = failure.head, failure.body
         await responder.full_raw(head.status, list(head.headers), body)
 
     def _timed_out(self, relay: Relay) -> Refusal:
--- a/berylshift/stand_ins/memory_targets.py
+++ b/berylshift/stand_ins/memory_targets.py
@@ -15,8 +15,8 @@
     EngineChunk,
     LoadReport,
     Order,
-    ServiceAnswer,
     ServiceCall,
+    ServiceResponse,
     TargetBrokenError,
     TargetNotReachedError,
     TargetRefusedError,
@@ -77,7 +77,7 @@
         except TargetNotReachedError:
             return
         runner.engine.cancel(attempt, trio.current_time())
-        runner.poke()
+        runner.notify()
 
     async def report(self, address: str) -> LoadReport:
         """Return the engine's load report."""
@@ -88,7 +88,7 @@
         """Have an order carried out."""
         runner = await self._reach(address)
         runner.engine.order(order, trio.current_time())
-        runner.poke()
+        runner.notify()
         if not await self._network.hop(runner.engine.name, self._host):
             raise TargetBrokenError("the answer was lost")
 
@@ -115,7 +115,7 @@
         if replica is None or not open_link or not replica.alive:
             raise TargetNotReachedError(name)
 
-    async def call(self, address: str, call: ServiceCall) -> ServiceAnswer:
+    async def call(self, address: str, call: ServiceCall) -> ServiceResponse:
         """Run a call and return its answer."""
         replica = self._replicas.get(address)
         name = replica.name if replica else address
--- a/berylshift/stand_ins/platform_server.py
+++ b/berylshift/stand_ins/platform_server.py
@@ -7,8 +7,8 @@
 from berylshift.connection.responder import Responder
 from berylshift.stand_ins.fake_platform import FakePlatform, PlatformScript
 from berylshift.store.interfaces import (
-    AnswerLostError,
     HostEntry,
+    ResponseLostError,
     StoreThrottledError,
     StoreUnavailableError,
     Transaction,
@@ -38,7 +38,7 @@
             status, body = STATUS_THROTTLED, b"{}"
         except StoreUnavailableError:
             status, body = STATUS_UNAVAILABLE, b"{}"
-        except AnswerLostError:
+        except ResponseLostError:
             return
         await responder.full(status, JSON_TYPE, body)
 
@@ -60,7 +60,7 @@
     def _rows(self, req: HttpRequest) -> object:
         fake = self._fake
         if req.path == "/rows":
-            return fake.read(req.multi("key"))
+            return fake.read(req.query_values("key"))
         if req.path == "/scan":
             limit = int(req.query["limit"])
             return fake.scan(req.query["prefix"], req.query.get("after", ""), limit)
--- a/berylshift/tests/limit_load.py
+++ b/berylshift/tests/limit_load.py
@@ -27,7 +27,7 @@
 
 def max_from_informed(replica: EntryReplica) -> int:
     """Return the most requests in a window, from hosts that knew of the limit."""
-    informed_at = replica.told_limit
+    informed_at = replica.rate_limit_sent_at
     times = [
         call.at
         for call in replica.calls
@@ -61,7 +61,7 @@
                 await trio.sleep(rng.expovariate(requests_per_second))
 
     async def _send(self, path: str, number: int, host: int) -> None:
-        headers = prompt_headers(part=f"{number:x}") if path[1] in "nb" else ()
+        headers = prompt_headers(block=f"{number:x}") if path[1] in "nb" else ()
         began = trio.current_time()
         reply = await self.world.ask(path, f"r{number}", host=host, headers=headers)
         self.replies.append(reply)
--- a/berylshift/tests/multi_host_world.py
+++ b/berylshift/tests/multi_host_world.py
@@ -29,7 +29,7 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.settings import DirectorySettings
 from berylshift.stand_ins.fake_directory import FakeDirectory, FakeHostRows
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 from berylshift.tests.entry_world import PLAIN, routes
 from berylshift.tests.support import no_limits
 from berylshift.tests.usage_support import no_usage
@@ -92,9 +92,9 @@
         for address in addresses:
             self._net.send(self._address, address, data)
 
-    async def receive(self, take) -> None:
+    async def receive(self, on_message) -> None:
         """Receive until cancelled."""
-        self._take = take
+        self._take = on_message
         await trio.sleep_forever()
 
     def deliver(self, data: bytes) -> None:
@@ -128,7 +128,7 @@
         if self.hangs:
             self.hangs = False
             await trio.sleep(wait + TIMEOUT_SECONDS)
-            raise AnswerLostError("connection hangs")
+            raise ResponseLostError("connection hangs")
         if self.refused:
             await trio.sleep(REFUSAL_SECONDS)
             raise StoreUnavailableError("refused")
--- a/berylshift/tests/order_simulation.py
+++ b/berylshift/tests/order_simulation.py
@@ -37,19 +37,14 @@
 from berylshift.stand_ins.fake_platform import FakePlatform
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
+    ResponseLostError,
     StoreUnavailableError,
     Transaction,
     Write,
     as_raw,
 )
-from berylshift.targets import (
-    Order,
-    Role,
-    StaleOrderError,
-    TargetRefusedError,
-)
+from berylshift.targets import Order, Role, StaleOrderError, TargetRefusedError
 from berylshift.version.rows import OrderCheck
 
 POOL = PoolName("match-note")
@@ -152,7 +147,7 @@
     def _transact(self, conditions, writes) -> WriteOutcome:
         try:
             answer = self.world.platform.transact(Transaction(conditions, writes))
-        except AnswerLostError:
+        except ResponseLostError:
             return WriteOutcome.LOST
         except StoreUnavailableError:
             return WriteOutcome.UNAVAILABLE
@@ -341,7 +336,7 @@
 
     def check(self) -> None:
         """Check the invariants as seen by the engine."""
-        numbers = [order.number for order in self.engine.orders_taken]
+        numbers = [order.number for order in self.engine.accepted_orders]
         assert self.engine.conflicts == 0, "two conflicting orders at once"
         assert numbers == sorted(numbers), f"an old order after a new one: {numbers}"
         holders = [p.host for p in self.contenders if p.lease.holds(self.now)]
--- a/berylshift/tests/test_native_handler.py
+++ b/berylshift/tests/test_native_handler.py
@@ -8,9 +8,9 @@
 from berylshift.connection.http_client import HttpClient, Outgoing
 from berylshift.connection.http_server import HttpServer
 from berylshift.replay.http_fleet import _read_stream
-from berylshift.replay.result import Fate
+from berylshift.replay.result import CallerOutcome
 from berylshift.settings import Credential
-from berylshift.stand_ins.text import answer_text, make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.tests.support import FLEET, MODEL, VirtualTestCase
 from berylshift.tests.world import SERVICE, run_world
 
@@ -75,7 +75,7 @@
         self.assertEqual(headers["berylshift-outcome"], "complete")
         self.assertTrue(headers["berylshift-request"])
         text = msgspec.json.decode(body)["choices"][0]["text"]
-        self.assertEqual(text, answer_text(prompt, 30))
+        self.assertEqual(text, completion_text(prompt, 30))
 
     def test_stream_ends_with_its_outcome(self):
         prompt = make_prompt("f", "1", 200, 60)
@@ -89,8 +89,8 @@
                 return await _read_stream(resp)
 
         received = self.with_callers(use)
-        self.assertIs(received.fate, Fate.COMPLETE)
-        self.assertEqual(received.text, answer_text(prompt, 256))
+        self.assertIs(received.outcome, CallerOutcome.COMPLETE)
+        self.assertEqual(received.text, completion_text(prompt, 256))
 
     def test_unfinished_stream_has_no_end_marker(self):
         # All engines crash in mid-stream and stay down. The last event has the outcome
@@ -113,7 +113,7 @@
                     return await _read_stream(resp)
 
         received = self.with_callers(use)
-        self.assertIs(received.fate, Fate.CUT)
+        self.assertIs(received.outcome, CallerOutcome.CUT)
 
     def test_bad_requests_get_400(self):
         async def use(callers, world):
--- a/berylshift/tests/test_request_fingerprint.py
+++ b/berylshift/tests/test_request_fingerprint.py
@@ -9,7 +9,7 @@
 from berylshift.messages.fingerprint import fingerprint_hex, head_hash_of
 from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
-from berylshift.platform.exchange import PlatformCodec
+from berylshift.platform.codec import PlatformCodec
 from berylshift.request.fingerprint import MAX_HASHED_BODY_BYTES, RequestFingerprinter
 from berylshift.tests.entry_world import prompt_headers
 
@@ -52,7 +52,7 @@
             make_request(target=b"/note/y"),
             make_request(target=b"/note/x?page=2"),
             make_request(host=b"other.example"),
-            make_request(headers=prompt_headers(part="b2")),
+            make_request(headers=prompt_headers(block="b2")),
             make_request(headers=(*prompt_headers(), (b"authorization", b"Bearer b"))),
         )
         fingerprints = {self.fingerprinter.hash_request(req) for req in variants}
--- a/berylshift/tests/test_request_streams.py
+++ b/berylshift/tests/test_request_streams.py
@@ -66,7 +66,11 @@
     def test_disaggregated_prefill_uses_the_kv_cache(self):
         async def task(world):
             reply = await world.ask("/note/x", headers=prompt_headers())
-            return reply, [len(rep.runs) for rep in world.replicas.values()], world.kept
+            return (
+                reply,
+                [len(rep.runs) for rep in world.replicas.values()],
+                world.fleet_state,
+            )
 
         reply, runs, kept = run_entry(task, plain=0, engines="pd")
         self.assertEqual(reply.body, stream_body(1, 4))
@@ -81,13 +85,13 @@
         """
 
         async def task(world):
-            world.dark.add("10.0.0.2:80")
+            world.unresponsive.add("10.0.0.2:80")
             link = world.connect()
             await link.send("/note/x", headers=prompt_headers())
             await trio.sleep(0.15)
             await link.close()
             await trio.sleep(0.5)
-            return world.kept.handles
+            return world.fleet_state.handles
 
         self.assertEqual(run_entry(task, plain=0, engines="pd"), {})
 
@@ -108,7 +112,7 @@
         reply, seconds = run_entry(task, plain=0, engines="pd")
         self.assertEqual(reply.status, 503)
         self.assertLess(seconds, 0.05)
-        self.assertGreater(reply.again, 1)
+        self.assertGreater(reply.retry_after_seconds, 1)
 
     def test_late_retry_is_not_reported_as_not_run(self):
         """Guards against "not run" for a request that the first engine may have run.
--- a/berylshift/tests/test_request_target_gate.py
+++ b/berylshift/tests/test_request_target_gate.py
@@ -12,8 +12,8 @@
 from berylshift.messages.replicas import EnginePhase, Replica, ReplicaChanges
 from berylshift.messages.routed import FlowControl
 from berylshift.platform import names
+from berylshift.platform.codec import PlatformCodec
 from berylshift.platform.engines import PlatformEngines
-from berylshift.platform.exchange import PlatformCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.limit_shares import LimitShare
 from berylshift.process.targets.rate_limits import RateLimits
@@ -62,7 +62,7 @@
                 client = TargetClient(0.3, dial)
                 codec, clock = PlatformCodec(), LoopClock()
                 gate = ReplicaGate(codec, self.throttle, self.replicas, clock)
-                client.guard_by(gate)
+                client.set_gate(gate)
                 result = await task(client)
                 nursery.cancel_scope.cancel()
                 return result
@@ -96,7 +96,7 @@
 
     def test_a_call_to_a_draining_replica_is_rejected(self):
         async def task(client):
-            self.replica.says_leaving = True
+            self.replica.announces_draining = True
             await self.call(client)
             with self.assertRaises(ThrottledError):
                 await self.call(client)
--- a/berylshift/tools/demo_entry.py
+++ b/berylshift/tools/demo_entry.py
@@ -238,7 +238,7 @@
         headers |= self.auth_header()
         if kind is Kind.NOTE:
             headers[names.TOKEN_COUNTS.decode()] = "3000,80"
-            headers[names.PROMPT_PARTS.decode()] = "a1:2000,ff:1000"
+            headers[names.PREFIX_BLOCKS.decode()] = "a1:2000,ff:1000"
             headers["x-pieces"] = str(STREAM_EVENTS)
         host = random.choice([host for host in self.hosts if host.serving])
         out = Outgoing(host.address, "POST", f"/{kind}/x", headers, b"{}", reuse=False)
--- a/berylshift/tools/make_traces.py
+++ b/berylshift/tools/make_traces.py
@@ -6,18 +6,12 @@
 from berylshift.replay.trace import (
     EventKind,
     Expect,
-    Head,
     Trace,
     TraceEvent,
+    TraceHeader,
     write_trace,
 )
-from berylshift.replay.workloads import (
-    CONSORCIO,
-    NESTWATCH,
-    Mixture,
-    Phase,
-    make_trace,
-)
+from berylshift.replay.workloads import CONSORCIO, NESTWATCH, Mixture, Phase, make_trace
 
 STRICT_EXPECT = Expect(lost=0, doubled=0, cut=0, goodput_min=0.95, role_changes_max=4)
 
@@ -71,7 +65,7 @@
     for trace in (nestwatch(), consorcio()):
         items = [*trace.requests, *trace.events]
         path = directory / f"{trace.name}.jsonl"
-        write_trace(path, Head(trace.name, trace.expect), items)
+        write_trace(path, TraceHeader(trace.name, trace.expect), items)
         sys.stdout.write(f"{path}: {len(items)} lines\n")
 
 
--- a/berylshift/tools/mark_commands.py
+++ b/berylshift/tools/mark_commands.py
@@ -16,7 +16,7 @@
 from berylshift.tools.table_commands import find_row
 from berylshift.version.diff import Edit
 from berylshift.version.rows import Row, RowKind, RowState
-from berylshift.version.sheet import row_with
+from berylshift.version.table_csv import with_cell
 
 POLL_SECONDS = 0.5
 STATES_BY_VERB = {
@@ -48,9 +48,9 @@
         """Commit the new state, then wait if ``--wait`` is given."""
         table = await session.log.load()
         row = self.row(table)
-        changed = row_with(row, "state", self.state.value).unwrap()
+        changed = with_cell(row, "state", self.state.value).unwrap()
         if self.option("address"):
-            changed = row_with(changed, "address", self.option("address")).unwrap()
+            changed = with_cell(changed, "address", self.option("address")).unwrap()
         result = await session.commit(Edit(table.version, [changed], []))
         code = self.print_result(result)
         if code is not Exit.OK or not self.option("wait"):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -67,7 +67,7 @@
     ),
     Proof(
         "a request with two keys is treated as having none",
-        "platform/exchange.py",
+        "platform/codec.py",
         "    if len(values) != 1:\n",
         "    if not values:\n",
         f"{GATE}.HeaderTest",
@@ -139,7 +139,7 @@
         "the last engine takes no suspect request",
         "request/routed_crash_watch.py",
         "        if is_last_remaining(left, pool.decode_engines)"
-        " and not has_started:\n",
+        " and not response_started:\n",
         "        if False:\n",
         f"{ISOLATION}.SuspectsTest",
     ),
@@ -175,15 +175,15 @@
         "the response's request id is compared",
         "request/replica_exchange.py",
         "if head.request is not None and head.request != self._req.id:\n"
-        "            await limit.bound(answer.skip())",
-        "if False:\n            await limit.bound(answer.skip())",
+        "            await limit.wait_for(answer.skip_to_next())",
+        "if False:\n            await limit.wait_for(answer.skip_to_next())",
         f"{RELAY}.ConnectionReuseTest.test_unexpected_second_response_is_discarded",
     ),
     Proof(
         "a connection with an unfinished request body is not reused",
         "connection/target_client.py",
-        "whole = sent.is_set() and answer.usable and wire.reusable()",
-        "whole = answer.usable and wire.reusable()",
+        "sent.is_set() and response.may_reuse and connection",
+        "response.may_reuse and connection",
         "test_request_bodies.ClientTest."
         "test_connection_with_an_unsent_chunk_is_not_reused",
     ),
@@ -192,7 +192,7 @@
         "request/routed_handler.py",
         "        if self._finishes_before_stop(req, route):\n",
         "        if True:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a host in shutdown uses recent durations only",
@@ -206,18 +206,19 @@
         "process/shutdown.py",
         "            work.deadline = min(work.deadline, self._ends_at)\n\n",
         "            pass\n\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a truncated body is not sent as complete",
         "connection/target_client.py",
-        "BodyBrokenError:\n            close_now(wire.stream)\n            return\n",
+        "BodyBrokenError:\n"
+        "            close_now(connection.stream)\n            return\n",
         "BodyBrokenError:\n            pass\n",
         "test_request_bodies.ClientTest.test_truncated_body_is_not_sent_as_complete",
     ),
     Proof(
         "a slow target applies backpressure to the request body",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "                await body.wait_for_room()\n",
         "",
         "test_request_bodies.StreamedBodyTest."
@@ -232,7 +233,7 @@
     ),
     Proof(
         "responses must be signed",
-        "platform/exchange.py",
+        "platform/codec.py",
         "genuine=names.SIGNATURE in found and",
         "genuine=True or",
         f"{RELAY}.NotRunTest.test_at_most_once_request_runs_once_after_failures",
@@ -254,14 +255,14 @@
     ),
     Proof(
         "a request names the instance that it is meant for",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        headers.append((names.TARGET_INSTANCE, dispatch.replica.encode()))\n",
         "",
         f"{RELAY}.InstanceTest",
     ),
     Proof(
         "the replica's request is cancelled when the caller disconnects",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        scope.cancel()\n",
         "",
         f"{RELAY}.CallerDisconnectTest",
@@ -282,21 +283,21 @@
     ),
     Proof(
         "forged orders are dropped",
-        "platform/exchange.py",
-        "HOP_BY_HOP | names.RESERVED | REWRITTEN | named",
-        "HOP_BY_HOP | REWRITTEN | named",
-        "test_platform_adapter.OnwardTest",
+        "platform/codec.py",
+        "HOP_BY_HOP | names.RESERVED | REWRITTEN | listed",
+        "HOP_BY_HOP | REWRITTEN | listed",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "a connection header can't remove protected headers",
-        "platform/exchange.py",
-        " - (KEPT - REWRITTEN)",
+        "platform/codec.py",
+        " - (\n        PROTECTED - REWRITTEN\n    )",
         "",
-        "test_platform_adapter.OnwardTest",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "two content lengths are rejected",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        check_framing(head)\n",
         "",
         f"{RELAY}.PlainAnswerTest.test_two_lengths_are_rejected",
@@ -358,7 +359,7 @@
         "process/directory/route_holder.py",
         "if table.version < self.table.version:\n            return False",
         "if table.version < self.table.version:\n            return True",
-        "test_entry_application.ChangeTest.test_an_older_version_changes_nothing",
+        "test_entry_application.ChangeTest.test_older_version_is_ignored",
     ),
     Proof(
         "a truncated feed is read from the start",
@@ -366,7 +367,7 @@
         "HistoryLostError as exc:\n                self._watch.forget(feed)\n",
         "HistoryLostError as exc:\n                await trio.sleep(1)\n",
         "test_entry_application.ChangeTest."
-        "test_in_force_although_the_history_was_dropped",
+        "test_in_force_although_feed_history_was_dropped",
     ),
     Proof(
         "the newest row in a feed response wins",
@@ -385,28 +386,28 @@
     Proof(
         "a graceful shutdown reports not ready at once",
         "entry_application.py",
-        "        if self.leaving or self.routes.table is None:\n",
+        "        if self.is_stopping or self.routes.table is None:\n",
         "        if self.routes.table is None:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a graceful shutdown waits for open requests",
         "entry_application.py",
-        "            await self.server.wait_until_quiet(QUIET_SECONDS)\n",
+        "            await self.server.wait_until_idle(QUIET_SECONDS)\n",
         "",
-        "test_entry_shutdown.PlannedStopTest.test_a_stream_under_way_ends_whole",
+        "test_entry_shutdown.GracefulShutdownTest.test_open_stream_completes",
     ),
     Proof(
         "a response to HEAD has no body",
-        "connection/server_link.py",
-        "        if not self.headless:\n",
+        "connection/server_connection.py",
+        "        if not self.is_head_request:\n",
         "        if True:\n",
         "test_entry_writes.HeadRequestTest",
     ),
     Proof(
         "the write to a caller that disconnected is cancelled",
-        "connection/server_link.py",
-        "        self.writing.cancel()\n",
+        "connection/server_connection.py",
+        "        self.write_scope.cancel()\n",
         "",
         "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
     ),
@@ -423,17 +424,17 @@
         "connection/http_server.py",
         "        while self._idle:\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "        await self.wait_until_quiet(0)\n",
+        "        await self.wait_until_idle(0)\n",
         "",
-        "test_entry_ledger.FinishTest.test_what_was_read_as_a_server_finishes_is_answered",
+        "test_entry_answered_requests.FinishTest.test_requests_read_during_finish_are_answered",
     ),
     Proof(
         "a request that has arrived is read before its connection closes",
-        "connection/server_link.py",
-        "scope.cancelled_caught and self.server.taking",
+        "connection/server_connection.py",
+        "scope.cancelled_caught and self.server.accepts_requests",
         "False",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_has_come_is_read_before_a_stop_closes",
+        ".test_arrived_request_is_read_before_shutdown_closes_connection",
     ),
     Proof(
         "a longer idle timeout applies to idle connections",
@@ -441,14 +442,14 @@
         "max(scope.deadline, start + limits.idle_seconds)",
         "scope.deadline",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_longer_rest_holds_for_connections_at_rest",
+        ".test_raised_idle_timeout_applies_to_idle_connections",
     ),
     Proof(
         "a shorter idle timeout closes no connection early",
         "connection/http_server.py",
         "max(scope.deadline, start + limits.idle_seconds)",
         "start + limits.idle_seconds",
-        "test_entry_connections.ClosedUnreadTest.test_a_lower_bound_ends_no_rest_early",
+        "test_entry_connections.ClosedUnreadTest.test_lowered_idle_timeout_closes_no_idle_connection_early",
     ),
     Proof(
         "a refusal is not lost to a connection reset",
@@ -456,28 +457,28 @@
         "                await self._linger(stream)\n",
         "                pass\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_refusal_for_lack_of_room_reaches_its_caller",
+        ".test_refusal_at_connection_limit_reaches_caller",
     ),
     Proof(
         "the last response is not lost when the process exits",
         "connection/http_server.py",
-        "                await drop_rest(stream)\n            raise",
+        "                await discard_input(stream)\n            raise",
         "                pass\n            raise",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_the_last_answer_survives_the_end_of_the_process",
+        ".test_final_response_survives_process_exit",
     ),
     Proof(
         "a partly read request is refused when the shutdown ends",
         "connection/http_server.py",
-        "        for scope in self._reading:\n",
+        "        for scope in self._read_scopes:\n",
         "        for scope in ():\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused",
+        ".test_partial_request_at_shutdown_deadline_is_refused",
     ),
     Proof(
         "a host without free file descriptors keeps running",
         "connection/http_server.py",
-        "                if exc.errno not in NO_ROOM:\n",
+        "                if exc.errno not in RESOURCE_ERRNOS:\n",
         "                if exc.errno:\n",
         "test_entry_own_end.ProcessSurvivalTest.test_host_without_free_descriptors_keeps_running",
     ),
@@ -508,7 +509,7 @@
         "        sources.phases.apply_updates(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
-        "test_an_ordered_engine_is_used_although_the_store_is_down",
+        "test_engine_with_ordered_phase_is_used_during_store_outage",
     ),
     Proof(
         "reports of a single host do not exclude a replica",
@@ -566,32 +567,32 @@
     Proof(
         "a full log pipe does not block",
         "log.py",
-        "except OSError:\n            return False\n        self._rest = data",
-        "except ValueError:\n            return False\n        self._rest = data",
+        "except OSError:\n            return False\n        self._unwritten = data",
+        "except ValueError:\n            return False\n        self._unwritten = data",
         "test_log.DescriptorSinkTest",
     ),
     Proof(
         "the target timeout covers only the wait for the target",
-        "connection/silence.py",
-        "            return await wait\n",
-        "            word = await wait\n"
+        "connection/read_timeout.py",
+        "            return await operation\n",
+        "            value = await operation\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "            return word\n",
+        "            return value\n",
         "test_request_silence.RoutedResponseTest",
     ),
     Proof(
         "a slow store response is read while data arrives",
-        "store/calls.py",
-        "                limit.allow(self._timeout)\n",
+        "store/client.py",
+        "                limit.restart(self._timeout_seconds)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
     Proof(
         "a store response that never ends is abandoned",
-        "store/calls.py",
-        "wait + LONGEST_READ_SECONDS",
+        "store/client.py",
+        "wait_seconds + MAX_READ_SECONDS",
         'float("inf")',
-        "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
+        "test_store_slow_answers.UnfinishedResponseTest.test_trickling_response_ends_in_time",
     ),
     Proof(
         "a ready response is written when its deadline passes",
@@ -612,14 +613,14 @@
         "messages/replicas.py",
         'return InstanceId(f"{name}@{started_ms}")',
         "return InstanceId(name)",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an order is sent only to the instance it was planned for",
         "process/leader_tasks/phase_loop.py",
         "if report.started_ms != replica.started_ms:",
         "if False:",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an entry without the replica's start time has another writer",
@@ -631,16 +632,18 @@
     Proof(
         "an unreadable row does not hide others",
         "platform/store.py",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except MalformedEntryError as exc:",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except KeyError as exc:",
         "test_platform_store.ReplicaFeedTest",
     ),
     Proof(
         "an entry with an unknown state is ignored",
         "platform/entries.py",
-        "if found.state not in STATES:",
+        "if decoded.state not in STATES:",
         "if False:",
         "test_platform_adapter.EntryTest",
     ),
@@ -671,7 +674,7 @@
         "request/completion.py",
         "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
-        "test_shutdown.AnswerTest",
+        "test_shutdown.ResponseTest",
     ),
     Proof(
         "a retryable call that outlasts the shutdown is answered",
@@ -683,14 +686,14 @@
     Proof(
         "no confirmation is sent that would outlast the host",
         "application.py",
-        "self.last_sends.begin(seconds - sent_and_recorded)",
+        "self.last_sends.begin(seconds - last_send_seconds)",
         "self.last_sends.begin(seconds)",
         "test_shutdown.ConfirmationTest",
     ),
     Proof(
         "a shutdown of the native API waits for last requests",
         "application.py",
-        "        await self.server.wait_until_quiet(0)\n",
+        "        await self.server.wait_until_idle(0)\n",
         "",
         "test_shutdown.LastRequestTest",
     ),
@@ -699,23 +702,22 @@
         "process/control/pool_loop.py",
         "        async with self._pass_lock:\n            while self._sending:",
         "        if True:\n            while self._sending:",
-        "test_shutdown.HolderTest.test_a_lease_is_given_up_whatever_its_loop_is_at",
+        "test_shutdown.LeaseHolderTest.test_lease_is_released_at_any_point_of_its_loop",
     ),
     Proof(
         "a shutdown waits for the order in flight",
         "process/control/pool_loop.py",
         "while self._sending:",
         "while False:",
-        "test_shutdown.HolderTest."
-        "test_an_order_under_way_is_accounted_for_before_the_end",
+        "test_shutdown.LeaseHolderTest.test_pending_order_is_resolved_before_exit",
     ),
     Proof(
         "orders of a dead sender are resolved by its successor",
         "process/control/pool_loop.py",
         "return self._parts.members.is_replaced(host_of(incarnation), incarnation)",
         "return False",
-        "test_shutdown.HolderTest."
-        "test_an_order_of_a_killed_host_is_accounted_for_by_its_successor",
+        "test_shutdown.LeaseHolderTest."
+        "test_order_of_killed_host_is_resolved_by_lease_successor",
     ),
     Proof(
         "a request that crashed replicas is quarantined",
@@ -923,8 +925,8 @@
     Proof(
         "every call to a replica passes the gate",
         "connection/target_client.py",
-        "        entered_at = self._gate.enter(out.instance, out.limit_exempt)\n",
-        "        entered_at = 0.0\n",
+        "        admitted_at = self._gate.admit(out.instance, out.limit_exempt)\n",
+        "        admitted_at = 0.0\n",
         TARGET_GATE,
     ),
     Proof(
@@ -936,7 +938,7 @@
     ),
     Proof(
         "a response of another replica has no effect",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        if status == STATUS_WRONG_INSTANCE:\n            return None\n",
         "",
         f"{LIMITS}.LiftedTest.test_response_of_another_replica_sets_no_limit",
@@ -973,7 +975,7 @@
     Proof(
         "a throttled engine's send slot is held during prefill",
         "request/relay.py",
-        "            self._choice.reserve(place.target.instance)\n",
+        "            self._choice.reserve(placement.target.instance)\n",
         "",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
--- a/berylshift/tools/replay_command.py
+++ b/berylshift/tools/replay_command.py
@@ -13,13 +13,13 @@
 from berylshift.replay.http_fleet import HttpBalancer, HttpFleet
 from berylshift.replay.policies import POLICIES
 from berylshift.replay.result import ReplayResult
-from berylshift.replay.runner import play
+from berylshift.replay.runner import replay_trace
 from berylshift.replay.trace import Trace, read_trace
 from berylshift.replay.virtual import replay_virtual
 from berylshift.replay.virtual_fleet import FleetSpec
 from berylshift.settings import read_credentials
 from berylshift.tools.session import Exit, ToolError
-from berylshift.version.checks import valid_address
+from berylshift.version.checks import is_valid_address
 
 COLUMNS = (
     "trace",
@@ -111,7 +111,7 @@
 
     async def _replay_http(self, trace: Trace, progress) -> ReplayResult:
         entries = self.option("entry")
-        if not entries or not all(valid_address(entry) for entry in entries):
+        if not entries or not all(is_valid_address(entry) for entry in entries):
             raise ToolError(Exit.BAD_INPUT, "--virtual or --entry IP:PORT is required")
         client = HttpClient()
         fleet = HttpFleet(
@@ -123,7 +123,7 @@
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(fleet.balancer.run)
-            result = await play(trace, fleet, progress)
+            result = await replay_trace(trace, fleet, progress)
             nursery.cancel_scope.cancel()
         return result
 
