--- a/bench/micro.py
+++ b/bench/micro.py
@@ -1,37 +1,30 @@
 """Cost of a routing decision and a relayed chunk, and the memory of an idle process."""
 
+import os
+import random
+import statistics
+import subprocess
+import sys
+import time
+
+import h11
+import msgspec
+
 from bench.report import print_rows
-from berylshift.ids import Incarnation
-from berylshift.ids import TableVersion
+from berylshift.ids import Incarnation, TableVersion
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
 from berylshift.process.engine_state.cost_model import CostModel
 from berylshift.process.engine_state.health import Health
 from berylshift.process.engine_state.load_view import LoadView
-from berylshift.process.engine_state.prefix_index import PrefixIndex
-from berylshift.process.engine_state.prefix_index import prefix_hashes
-from berylshift.request.router import LeastLateness
-from berylshift.request.router import RoutingContext
-from berylshift.request.router import WorkItem
+from berylshift.process.engine_state.prefix_index import PrefixIndex, prefix_hashes
+from berylshift.request.router import LeastLateness, RoutingContext, WorkItem
 from berylshift.settings import PolicySettings
 from berylshift.stand_ins.text import make_prompt
-from berylshift.targets import EngineChunk
-from berylshift.targets import LoadReport
-from berylshift.targets import Role
-from berylshift.tests.support import FLEET
-from berylshift.tests.support import MODEL
-from berylshift.version.rows import OrderCheck
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
+from berylshift.targets import EngineChunk, LoadReport, Role
+from berylshift.tests.support import FLEET, MODEL
+from berylshift.version.rows import OrderCheck, Row, RowKind
 from berylshift.version.table import Table
-import h11
-import msgspec
-import os
-import random
-import statistics
-import subprocess
-import sys
-import time
 
 SIZES = (10, 100, 1600)
 DECISIONS = 3000
--- a/bench/placement.py
+++ b/bench/placement.py
@@ -1,22 +1,18 @@
 """CPU time of one placement by pool size and number of hosts."""
 
+import random
+import time
+
 from bench.report import print_rows
-from berylshift.messages.load_digest import LoadDigest
-from berylshift.messages.load_digest import LoadEntry
-from berylshift.messages.load_digest import Urgency
-from berylshift.messages.load_digest import target_hash
-from berylshift.messages.replicas import EnginePhase
-from berylshift.messages.replicas import Replica
-from berylshift.messages.routed import Prompt
-from berylshift.messages.routed import PromptBlock
+from berylshift.messages.load_digest import LoadDigest, LoadEntry, Urgency, target_hash
+from berylshift.messages.replicas import EnginePhase, Replica
+from berylshift.messages.routed import Prompt, PromptBlock
 from berylshift.process.directory.pools import Pool
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placer
-import random
-import time
 
 SIZES = ((9, 9), (45, 78), (400, 370), (1600, 370))
 PLACEMENTS = 2000
--- a/bench/unit_costs.py
+++ b/bench/unit_costs.py
@@ -1,36 +1,28 @@
 """Costs per unit (host, target, row, entry, call) for docs/CAPACITY.md."""
 
-from bench.report import print_rows
-from berylshift.connection.http_client import HttpClient
-from berylshift.connection.http_client import Outgoing
-from berylshift.connection.http_server import HttpServer
-from berylshift.connection.peer_codec import PeerCodec
-from berylshift.ids import ChangeId
-from berylshift.ids import HostName
-from berylshift.ids import Incarnation
-from berylshift.ids import TableVersion
-from berylshift.process.engine_state.load_view import LoadView
-from berylshift.process.engine_state.load_view import Share
-from berylshift.process.engine_state.prefix_index import PrefixIndex
-from berylshift.process.membership.digest import Digest
-from berylshift.process.membership.digest import Echo
-from berylshift.process.membership.members import Membership
-from berylshift.process.membership.members import make_incarnation
-from berylshift.targets import LoadReport
-from berylshift.targets import Role
-from berylshift.tests.support import engine_row
-from berylshift.tests.support import route_row
-from berylshift.version.table import Change
-from berylshift.version.table import Table
-from collections.abc import Callable
-import msgspec
 import random
 import statistics
 import time
 import tracemalloc
+from collections.abc import Callable
+
+import msgspec
 import trio
 import trio.testing
 
+from bench.report import print_rows
+from berylshift.connection.http_client import HttpClient, Outgoing
+from berylshift.connection.http_server import HttpServer
+from berylshift.connection.peer_codec import PeerCodec
+from berylshift.ids import ChangeId, HostName, Incarnation, TableVersion
+from berylshift.process.engine_state.load_view import LoadView, Share
+from berylshift.process.engine_state.prefix_index import PrefixIndex
+from berylshift.process.membership.digest import Digest, Echo
+from berylshift.process.membership.members import Membership, make_incarnation
+from berylshift.targets import LoadReport, Role
+from berylshift.tests.support import engine_row, route_row
+from berylshift.version.table import Change, Table
+
 REPEATS = 5
 ROWS = 10_000
 HOSTS = 370
--- a/berylshift/application.py
+++ b/berylshift/application.py
@@ -1,80 +1,82 @@
 """Application object for the native API: wiring and life-cycle hooks."""
 
+import logging
+import random
+from dataclasses import dataclass
+
+import trio
+
 from berylshift.clock import Clock
-from berylshift.connection.http_server import HttpServer
-from berylshift.connection.http_server import ServerLimits
-from berylshift.ids import DomainName
-from berylshift.ids import HostName
+from berylshift.connection.http_server import HttpServer, ServerLimits
+from berylshift.ids import DomainName, HostName
 from berylshift.metrics import Metrics
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.control.plans import Plans
-from berylshift.process.control.pool_loop import ORDER_TIMEOUT_SECONDS
-from berylshift.process.control.pool_loop import PoolDependencies
-from berylshift.process.control.pool_loop import PoolLoop
+from berylshift.process.control.pool_loop import (
+    ORDER_TIMEOUT_SECONDS,
+    PoolDependencies,
+    PoolLoop,
+)
 from berylshift.process.engine_state.cost_model import CostModel
 from berylshift.process.engine_state.health import Health
 from berylshift.process.engine_state.load_view import LoadView
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.engine_state.prefix_index import PrefixIndex
-from berylshift.process.engine_state.report_poller import PollerDependencies
-from berylshift.process.engine_state.report_poller import ReportPoller
+from berylshift.process.engine_state.report_poller import (
+    PollerDependencies,
+    ReportPoller,
+)
 from berylshift.process.limits.customer_limits import CustomerLimits
 from berylshift.process.limits.retry_budget import RetryBudget
 from berylshift.process.limits.store_budget import StoreBudget
 from berylshift.process.membership.host_list_loop import HostListLoop
-from berylshift.process.membership.members import Membership
-from berylshift.process.membership.members import make_incarnation
-from berylshift.process.membership.peer_loop import PeerDependencies
-from berylshift.process.membership.peer_loop import PeerLink
-from berylshift.process.membership.peer_loop import PeerLoop
-from berylshift.process.membership.readiness import Phase
-from berylshift.process.membership.readiness import Readiness
+from berylshift.process.membership.members import Membership, make_incarnation
+from berylshift.process.membership.peer_loop import PeerDependencies, PeerLink, PeerLoop
+from berylshift.process.membership.readiness import Phase, Readiness
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.records.pending_loop import PendingLoop
 from berylshift.process.records.pending_records import PendingRecords
 from berylshift.process.records.sweep_loop import SweepLoop
 from berylshift.process.shutdown import Shutdown
-from berylshift.process.table.table_follower import FollowerDependencies
-from berylshift.process.table.table_follower import PeerView
-from berylshift.process.table.table_follower import PeerViews
-from berylshift.process.table.table_follower import TableFollower
-from berylshift.process.table.table_follower import TableHolder
+from berylshift.process.table.table_follower import (
+    FollowerDependencies,
+    PeerView,
+    PeerViews,
+    TableFollower,
+    TableHolder,
+)
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.engine_attempt import CompletionDependencies
 from berylshift.request.fingerprint import RequestFingerprinter
-from berylshift.request.native_handler import NativeHandler
-from berylshift.request.native_handler import NativeHandlerDependencies
-from berylshift.request.router import LeastLateness
-from berylshift.request.router import ReplicaChooser
-from berylshift.request.router import Router
-from berylshift.request.router import RoutingContext
-from berylshift.request.router_baselines import LeastReported
-from berylshift.request.router_baselines import RoundRobin
-from berylshift.request.service_call import RECORD_TIMEOUT_SECONDS
-from berylshift.request.service_call import ServiceCalls
-from berylshift.request.service_call import ServiceDependencies
+from berylshift.request.native_handler import NativeHandler, NativeHandlerDependencies
+from berylshift.request.router import (
+    LeastLateness,
+    ReplicaChooser,
+    Router,
+    RoutingContext,
+)
+from berylshift.request.router_baselines import LeastReported, RoundRobin
+from berylshift.request.service_call import (
+    RECORD_TIMEOUT_SECONDS,
+    ServiceCalls,
+    ServiceDependencies,
+)
 from berylshift.request.service_sender import ServiceSender
-from berylshift.settings import CallerSettings
-from berylshift.settings import Credential
-from berylshift.settings import PolicySettings
-from berylshift.settings import Settings
+from berylshift.settings import CallerSettings, Credential, PolicySettings, Settings
 from berylshift.store.batch import TableGate
-from berylshift.store.interfaces import HostEntry
-from berylshift.store.interfaces import HostList
-from berylshift.store.interfaces import HostState
-from berylshift.store.interfaces import ObjectStore
-from berylshift.store.interfaces import TableService
-from berylshift.store.interfaces import WeightStore
-from berylshift.targets import EngineClient
-from berylshift.targets import ServiceClient
+from berylshift.store.interfaces import (
+    HostEntry,
+    HostList,
+    HostState,
+    ObjectStore,
+    TableService,
+    WeightStore,
+)
+from berylshift.targets import EngineClient, ServiceClient
 from berylshift.version.changelog import TableLog
 from berylshift.version.freshness import Freshness
 from berylshift.version.table import Table
-from dataclasses import dataclass
-import logging
-import random
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/entry_application.py
+++ b/berylshift/entry_application.py
@@ -1,45 +1,44 @@
 """Entry application: wires a host that serves the platform's routes."""
 
+import logging
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import trio
+
 from berylshift.clock import Clock
 from berylshift.connection.entry_status import EntryStatus
-from berylshift.connection.http_server import HttpServer
-from berylshift.connection.http_server import ServerLimits
+from berylshift.connection.http_server import HttpServer, ServerLimits
 from berylshift.connection.target_client import TargetClient
 from berylshift.entry_gauges import report_gauges
-from berylshift.entry_leader_tasks import EntryLeaderTasks
-from berylshift.entry_leader_tasks import LeaderTaskDependencies
-from berylshift.ids import DomainName
-from berylshift.ids import HostName
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+from berylshift.entry_leader_tasks import EntryLeaderTasks, LeaderTaskDependencies
+from berylshift.ids import DomainName, HostName, InstanceId, ServiceName
 from berylshift.messages.engine_control import EngineControl
 from berylshift.messages.replicas import ENTRY_TTL_HEARTBEATS
 from berylshift.messages.routed import WireCodec
-from berylshift.messages.scaling import ScaleOrdering
-from berylshift.messages.scaling import ScaleRows
-from berylshift.messages.usage import UsageReporting
-from berylshift.messages.usage import UsageRows
+from berylshift.messages.scaling import ScaleOrdering, ScaleRows
+from berylshift.messages.usage import UsageReporting, UsageRows
 from berylshift.process.directory.directory_loop import DirectoryLoop
 from berylshift.process.directory.expected_phases import ExpectedPhases
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.directory.route_holder import RouteHolder
 from berylshift.process.directory.store_watch import StoreWatch
 from berylshift.process.gossip.digest_builder import DigestSources
-from berylshift.process.gossip.load_loop import LoadLink
-from berylshift.process.gossip.load_loop import LoadLoop
-from berylshift.process.gossip.load_loop import LoadLoopDependencies
+from berylshift.process.gossip.load_loop import LoadLink, LoadLoop, LoadLoopDependencies
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.leader_tasks.leader_lease import LeaderLease
 from berylshift.process.leader_tasks.phase_loop import PhaseLoop
 from berylshift.process.leader_tasks.phase_planner import PhasePlanner
-from berylshift.process.limits.shared_retry_budget import DEFAULT_HOST_COUNT
-from berylshift.process.limits.shared_retry_budget import SharedRetryBudget
+from berylshift.process.limits.shared_retry_budget import (
+    DEFAULT_HOST_COUNT,
+    SharedRetryBudget,
+)
 from berylshift.process.quarantine.quarantine import Quarantine
 from berylshift.process.quarantine.quarantine_loop import QuarantineLoop
 from berylshift.process.shutdown import Shutdown
 from berylshift.process.targets.engine_speeds import EngineSpeeds
-from berylshift.process.targets.limit_shares import LimitShare
-from berylshift.process.targets.limit_shares import LimitShares
+from berylshift.process.targets.limit_shares import LimitShare, LimitShares
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.rate_limits import RateLimits
 from berylshift.process.targets.recent_durations import RecentDurations
@@ -47,8 +46,7 @@
 from berylshift.process.targets.throttle import Throttle
 from berylshift.request.fingerprint import RequestFingerprinter
 from berylshift.request.key_gate import KeyGate
-from berylshift.request.placement_policies import PLACEMENT_POLICIES
-from berylshift.request.placement_policies import PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
 from berylshift.request.prefill_client import PrefillClient
 from berylshift.request.prefill_scheduler import PrefillScheduler
 from berylshift.request.relay_dependencies import RelayDependencies
@@ -60,14 +58,7 @@
 from berylshift.store.host_rows import HostRows
 from berylshift.store.lease_rows import LeaseRows
 from berylshift.telemetry import Telemetry
-from berylshift.version.routes import EngineFacts
-from berylshift.version.routes import RouteTable
-from berylshift.version.routes import Service
-from collections.abc import Callable
-from dataclasses import dataclass
-import logging
-import random
-import trio
+from berylshift.version.routes import EngineFacts, RouteTable, Service
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/messages/load_digest.py
+++ b/berylshift/messages/load_digest.py
@@ -1,17 +1,16 @@
 """The load digest: what one entry host sends the others of its load at replicas."""
 
-from berylshift.ids import Fingerprint
-from berylshift.ids import InstanceId
-from berylshift.ids import Revision
-from berylshift.ids import StoreEra
-from berylshift.messages.replicas import EnginePhase
-from berylshift.messages.usage import RunCount
-from berylshift.store.eras import FIRST_ERA
-from enum import IntEnum
 import functools
+from enum import IntEnum
+
 import msgspec
 import xxhash
 
+from berylshift.ids import Fingerprint, InstanceId, Revision, StoreEra
+from berylshift.messages.replicas import EnginePhase
+from berylshift.messages.usage import RunCount
+from berylshift.store.eras import FIRST_ERA
+
 # Each placement looks up the hashes of a dozen engines several times.
 MAX_CACHED_HASHES = 8192
 # Prompt tokens that still need prefill: urgent, usual, patient.
--- a/berylshift/model/prompt_run.py
+++ b/berylshift/model/prompt_run.py
@@ -1,5 +1,7 @@
 """One simulated prompt: through a host, a prefill engine and a decode engine."""
 
+from typing import TYPE_CHECKING
+
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -8,17 +10,12 @@
 from berylshift.model.parameters import SERVICE
 from berylshift.model.result import PromptOutcome
 from berylshift.model.traffic import Arrival
-from berylshift.process.targets.target_load import MILD_FAILURE
-from berylshift.process.targets.target_load import SEVERE_FAILURE
+from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_scheduler import PrefillJob
-from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS
-from berylshift.request.refusals import MIN_RETRY_AFTER_SECONDS
+from berylshift.request.refusals import MAX_RETRY_AFTER_SECONDS, MIN_RETRY_AFTER_SECONDS
 from berylshift.request.relay import MAX_PREFILLS
-from berylshift.request.slo_status import SloStatus
-from berylshift.request.slo_status import engine_rank
-from berylshift.request.slo_status import urgency_for
-from typing import TYPE_CHECKING
+from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 
 if TYPE_CHECKING:
     from berylshift.model.fleet import ModelFleet
@@ -112,7 +109,9 @@
         self._prefill_count += 1
         self._sent_at = now
         host.prefill_scheduler.record_sent(job, decision, now)
-        host.loads.record_sent(placement.target.instance, placement.tokens, self._urgency)
+        host.loads.record_sent(
+            placement.target.instance, placement.tokens, self._urgency
+        )
         engine = self._fleet.engines[placement.target.address]
         rank = engine_rank(self._kind, self._slo_status)
         self._queue.call_after(
--- a/berylshift/process/membership/readiness.py
+++ b/berylshift/process/membership/readiness.py
@@ -1,15 +1,14 @@
 """Whether this process accepts new requests, and its readiness for load balancers."""
 
+from dataclasses import dataclass, field
+from enum import Enum
+
 from berylshift.clock import Clock
 from berylshift.ids import HostName
 from berylshift.process.table.table_follower import TableHolder
 from berylshift.request.messages import Reason
-from berylshift.version.freshness import Freshness
-from berylshift.version.freshness import View
+from berylshift.version.freshness import Freshness, View
 from berylshift.version.rows import RowState
-from dataclasses import dataclass
-from dataclasses import field
-from enum import Enum
 
 # How long a draining host serves new requests while load balancers take it out.
 DRAIN_NOTICE_SECONDS = 5.0
--- a/berylshift/process/targets/prefix_cache_index.py
+++ b/berylshift/process/targets/prefix_cache_index.py
@@ -12,16 +12,14 @@
 is too long, evicted blocks count as cached and are prefilled anew.
 """
 
-from berylshift.ids import BlockId
-from berylshift.ids import InstanceId
-from berylshift.messages.load_digest import BlockPrefill
-from berylshift.messages.load_digest import MAX_CACHED_HASHES
-from berylshift.messages.load_digest import target_hash
-from collections import OrderedDict
-from collections import deque
 import functools
+from collections import OrderedDict, deque
+
 import xxhash
 
+from berylshift.ids import BlockId, InstanceId
+from berylshift.messages.load_digest import MAX_CACHED_HASHES, BlockPrefill, target_hash
+
 # The share of an engine's KV cache that prefix blocks fill: prompts in prefill, and
 # those that wait to be fetched, occupy the rest.
 PREFIX_CACHE_SHARE = 0.8
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -1,42 +1,41 @@
 """Runs a model call over one or more attempts."""
 
-from berylshift.ids import AttemptId
-from berylshift.ids import PoolName
-from berylshift.ids import TargetName
-from berylshift.process.engine_state.prefix_index import Prefixes
-from berylshift.process.engine_state.prefix_index import prefix_hashes
-from berylshift.request.assembly import ChunkStatus
-from berylshift.request.assembly import ResponseAssembler
+import trio
+from returns.result import Failure, Result, Success
+
+from berylshift.ids import AttemptId, PoolName, TargetName
+from berylshift.process.engine_state.prefix_index import Prefixes, prefix_hashes
+from berylshift.request.assembly import ChunkStatus, ResponseAssembler
 from berylshift.request.crash_watch import QuarantinedError
-from berylshift.request.engine_attempt import AttemptFailedError
-from berylshift.request.engine_attempt import Chunks
-from berylshift.request.engine_attempt import CompletionDependencies
-from berylshift.request.engine_attempt import EngineAttempt
-from berylshift.request.messages import ModelCall
-from berylshift.request.messages import NativeResult
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import Reason
-from berylshift.request.messages import ResponseSink
-from berylshift.request.retry_loop import StopReason
-from berylshift.request.retry_loop import run_attempts
-from berylshift.request.retry_policy import AttemptHistory
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import AttemptRecord
-from berylshift.request.retry_targets import RETRY_BOUNDS
-from berylshift.request.retry_targets import excluded_targets
-from berylshift.request.retry_targets import preferred_target
-from berylshift.request.router import PlacementRefusal
-from berylshift.request.router import Plan
-from berylshift.request.router import WorkItem
+from berylshift.request.engine_attempt import (
+    AttemptFailedError,
+    Chunks,
+    CompletionDependencies,
+    EngineAttempt,
+)
+from berylshift.request.messages import (
+    ModelCall,
+    NativeResult,
+    Outcome,
+    Reason,
+    ResponseSink,
+)
+from berylshift.request.retry_loop import StopReason, run_attempts
+from berylshift.request.retry_policy import (
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+)
+from berylshift.request.retry_targets import (
+    RETRY_BOUNDS,
+    excluded_targets,
+    preferred_target,
+)
+from berylshift.request.router import PlacementRefusal, Plan, WorkItem
 from berylshift.request.target_check import accepts_connections
-from berylshift.targets import EngineCall
-from berylshift.targets import KvSource
+from berylshift.targets import EngineCall, KvSource
 from berylshift.utils import estimate_token_count
 from berylshift.version.rows import Row
-from returns.result import Failure
-from returns.result import Result
-from returns.result import Success
-import trio
 
 PLACEMENT_RETRY_SECONDS = 0.2
 
--- a/berylshift/request/engine_attempt.py
+++ b/berylshift/request/engine_attempt.py
@@ -1,11 +1,14 @@
 """One attempt of a model call at an engine, with its load and health accounting."""
 
+from collections.abc import AsyncIterator, Awaitable, Callable
+from contextlib import AsyncExitStack, aclosing
+from dataclasses import dataclass
+
+import trio
+
 from berylshift.clock import Clock
-from berylshift.connection.read_timeout import NEVER
-from berylshift.connection.read_timeout import ReadTimeout
-from berylshift.connection.read_timeout import ReadTimeoutError
-from berylshift.ids import PoolName
-from berylshift.ids import TargetName
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
+from berylshift.ids import PoolName, TargetName
 from berylshift.process.control.demand_meter import DemandMeter
 from berylshift.process.engine_state.output_lengths import OutputLengths
 from berylshift.process.limits.retry_budget import RetryBudget
@@ -13,26 +16,18 @@
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
 from berylshift.request.messages import ModelCall
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import outcome_of
-from berylshift.request.retry_policy import retry_after_of
-from berylshift.request.router import Router
-from berylshift.request.router import RoutingContext
+from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
+from berylshift.request.router import Router, RoutingContext
 from berylshift.settings import TargetSettings
-from berylshift.targets import EngineCall
-from berylshift.targets import EngineChunk
-from berylshift.targets import EngineClient
-from berylshift.targets import TargetBrokenError
-from berylshift.targets import TargetError
+from berylshift.targets import (
+    EngineCall,
+    EngineChunk,
+    EngineClient,
+    TargetBrokenError,
+    TargetError,
+)
 from berylshift.version.rows import Row
 from berylshift.version.table import Table
-from collections.abc import AsyncIterator
-from collections.abc import Awaitable
-from collections.abc import Callable
-from contextlib import AsyncExitStack
-from contextlib import aclosing
-from dataclasses import dataclass
-import trio
 
 Chunks = list[EngineChunk]
 OnChunks = Callable[[Chunks], Awaitable[bool]]
--- a/berylshift/request/placement.py
+++ b/berylshift/request/placement.py
@@ -6,8 +6,14 @@
 that prefilling the prefix again elsewhere is faster.
 """
 
-from berylshift.ids import DomainName
-from berylshift.ids import InstanceId
+import random
+from collections.abc import Iterable
+from enum import StrEnum
+from typing import Protocol
+
+import msgspec
+
+from berylshift.ids import DomainName, InstanceId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
 from berylshift.messages.routed import Prompt
@@ -15,13 +21,7 @@
 from berylshift.process.gossip.peer_loads import PeerLoads
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
-from berylshift.process.targets.target_load import TargetLoad
-from berylshift.process.targets.target_load import TargetLoads
-from collections.abc import Iterable
-from enum import StrEnum
-from typing import Protocol
-import msgspec
-import random
+from berylshift.process.targets.target_load import TargetLoad, TargetLoads
 
 # Shorter prefixes have no home engine: prefilling them again takes so little time that
 # a hop to a home engine is not worth it.
--- a/berylshift/request/prefill_client.py
+++ b/berylshift/request/prefill_client.py
@@ -1,12 +1,22 @@
 """Disaggregated prefill: one engine prefills a prompt, another one decodes it."""
 
+import logging
+from collections.abc import Callable
+
+import msgspec
+import trio
+
 from berylshift.clock import Clock
-from berylshift.connection.errors import ConnectFailedError
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.errors import ThrottledError
-from berylshift.connection.target_client import TargetClient
-from berylshift.connection.target_client import TargetRequest
-from berylshift.connection.target_client import TargetResponse
+from berylshift.connection.errors import (
+    ConnectFailedError,
+    ConnectionLayerError,
+    ThrottledError,
+)
+from berylshift.connection.target_client import (
+    TargetClient,
+    TargetRequest,
+    TargetResponse,
+)
 from berylshift.ids import RequestId
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
@@ -14,10 +24,6 @@
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.placement import Placement
 from berylshift.request.retry_policy import AttemptOutcome
-from collections.abc import Callable
-import logging
-import msgspec
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/relay.py
+++ b/berylshift/request/relay.py
@@ -1,50 +1,49 @@
 """Relays one routed request to a replica and retries it where that is allowed."""
 
+import logging
+from collections.abc import Callable
+
+import trio
+
 from berylshift.connection.responder import Responder
 from berylshift.connection.target_client import TargetRequest
-from berylshift.ids import InstanceId
-from berylshift.ids import ServiceName
+from berylshift.ids import InstanceId, ServiceName
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.replicas import Replica
-from berylshift.messages.routed import Dispatch
-from berylshift.messages.routed import Prompt
-from berylshift.messages.routed import RoutedRequest
-from berylshift.process.targets.target_load import MILD_FAILURE
-from berylshift.process.targets.target_load import SEVERE_FAILURE
+from berylshift.messages.routed import Dispatch, Prompt, RoutedRequest
+from berylshift.process.targets.target_load import MILD_FAILURE, SEVERE_FAILURE
 from berylshift.request.crash_watch import QuarantinedError
 from berylshift.request.messages import Outcome
 from berylshift.request.placement import Placement
 from berylshift.request.prefill_client import KvSource
-from berylshift.request.prefill_scheduler import PrefillDecision
-from berylshift.request.prefill_scheduler import PrefillJob
+from berylshift.request.prefill_scheduler import PrefillDecision, PrefillJob
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.relay_result import AllThrottledError
-from berylshift.request.relay_result import DeadlineUnreachableError
-from berylshift.request.relay_result import KeyRevokedError
-from berylshift.request.relay_result import RelayOutcome
-from berylshift.request.relay_result import RelayResult
-from berylshift.request.replica_exchange import FailedResponse
-from berylshift.request.replica_exchange import PendingPrefill
-from berylshift.request.replica_exchange import ReplicaExchange
+from berylshift.request.relay_result import (
+    AllThrottledError,
+    DeadlineUnreachableError,
+    KeyRevokedError,
+    RelayOutcome,
+    RelayResult,
+)
+from berylshift.request.replica_exchange import (
+    FailedResponse,
+    PendingPrefill,
+    ReplicaExchange,
+)
 from berylshift.request.replica_selector import ReplicaSelector
-from berylshift.request.request_timeout import TimeoutSource
-from berylshift.request.request_timeout import request_timeout
+from berylshift.request.request_timeout import TimeoutSource, request_timeout
 from berylshift.request.response_stream import ResponseStream
-from berylshift.request.retry_loop import StopReason
-from berylshift.request.retry_loop import run_attempts
-from berylshift.request.retry_policy import AttemptHistory
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import AttemptRecord
-from berylshift.request.retry_policy import NEVER_SENT
-from berylshift.request.retry_policy import retry_bounds
+from berylshift.request.retry_loop import StopReason, run_attempts
+from berylshift.request.retry_policy import (
+    NEVER_SENT,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    retry_bounds,
+)
 from berylshift.request.routed_crash_watch import RoutedCrashWatch
-from berylshift.request.slo_status import SloStatus
-from berylshift.request.slo_status import engine_rank
-from berylshift.request.slo_status import urgency_for
+from berylshift.request.slo_status import SloStatus, engine_rank, urgency_for
 from berylshift.version.routes import Route
-from collections.abc import Callable
-import logging
-import trio
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -1,28 +1,24 @@
 """One exchange with a replica: sends the request and relays the response."""
 
-from berylshift.connection.errors import ConnectFailedError
-from berylshift.connection.errors import ConnectionLayerError
-from berylshift.connection.errors import ThrottledError
-from berylshift.connection.read_timeout import NEVER
-from berylshift.connection.read_timeout import ReadTimeout
-from berylshift.connection.read_timeout import ReadTimeoutError
-from berylshift.connection.target_client import TargetRequest
-from berylshift.connection.target_client import TargetResponse
+from contextlib import AsyncExitStack, aclosing
+
+import msgspec
+
+from berylshift.connection.errors import (
+    ConnectFailedError,
+    ConnectionLayerError,
+    ThrottledError,
+)
+from berylshift.connection.read_timeout import NEVER, ReadTimeout, ReadTimeoutError
+from berylshift.connection.target_client import TargetRequest, TargetResponse
 from berylshift.ids import InstanceId
 from berylshift.messages.load_digest import Urgency
-from berylshift.messages.routed import ResponseHead
-from berylshift.messages.routed import RoutedRequest
+from berylshift.messages.routed import ResponseHead, RoutedRequest
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.relay_dependencies import RelayDependencies
-from berylshift.request.response_stream import ResponseStream
-from berylshift.request.response_stream import StreamBrokenError
-from berylshift.request.retry_policy import AttemptHistory
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.version.routes import Route
-from berylshift.version.routes import RouteKind
-from contextlib import AsyncExitStack
-from contextlib import aclosing
-import msgspec
+from berylshift.request.response_stream import ResponseStream, StreamBrokenError
+from berylshift.request.retry_policy import AttemptHistory, AttemptOutcome
+from berylshift.version.routes import Route, RouteKind
 
 MIN_ERROR_STATUS = 400
 MIN_SERVER_ERROR_STATUS = 500
--- a/berylshift/request/replica_gate.py
+++ b/berylshift/request/replica_gate.py
@@ -1,13 +1,13 @@
 """Applies replicas' flow control to all calls to them."""
 
+import logging
+
 from berylshift.clock import Clock
 from berylshift.connection.errors import ThrottledError
 from berylshift.ids import InstanceId
-from berylshift.messages.routed import Header
-from berylshift.messages.routed import WireCodec
+from berylshift.messages.routed import Header, WireCodec
 from berylshift.process.directory.replica_set import ReplicaSet
 from berylshift.process.targets.throttle import Throttle
-import logging
 
 logger = logging.getLogger(__name__)
 
--- a/berylshift/request/retry_loop.py
+++ b/berylshift/request/retry_loop.py
@@ -1,15 +1,18 @@
 """Retry loop shared by routed requests, completions and service calls."""
 
-from berylshift.clock import Clock
-from berylshift.request.retry_policy import AttemptHistory
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import AttemptRecord
-from berylshift.request.retry_policy import NEVER_SENT
-from berylshift.request.retry_policy import RetryBounds
-from berylshift.request.retry_policy import may_retry
 from enum import StrEnum
 from typing import Protocol
 
+from berylshift.clock import Clock
+from berylshift.request.retry_policy import (
+    NEVER_SENT,
+    AttemptHistory,
+    AttemptOutcome,
+    AttemptRecord,
+    RetryBounds,
+    may_retry,
+)
+
 
 class StopReason(StrEnum):
     """Why the loop stopped."""
--- a/berylshift/request/service_sender.py
+++ b/berylshift/request/service_sender.py
@@ -1,36 +1,29 @@
 """Sends calls to plain services: chooses a replica and tracks load and health."""
 
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+import trio
+from returns.result import Failure, Success
+
 from berylshift.clock import Clock
-from berylshift.ids import AttemptId
-from berylshift.ids import TargetName
-from berylshift.request.crash_watch import CrashWatch
-from berylshift.request.crash_watch import QuarantinedError
+from berylshift.ids import AttemptId, TargetName
+from berylshift.request.crash_watch import CrashWatch, QuarantinedError
 from berylshift.request.crash_watch_factory import CrashWatchFactory
 from berylshift.request.decisions import DecisionLog
-from berylshift.request.messages import NativeResult
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import PlainCall
-from berylshift.request.messages import Reason
-from berylshift.request.retry_policy import AttemptOutcome
-from berylshift.request.retry_policy import outcome_of
-from berylshift.request.retry_policy import retry_after_of
-from berylshift.request.router import Plan
-from berylshift.request.router import ReplicaChooser
-from berylshift.request.router import RoutingContext
-from berylshift.request.router import WorkItem
+from berylshift.request.messages import NativeResult, Outcome, PlainCall, Reason
+from berylshift.request.retry_policy import AttemptOutcome, outcome_of, retry_after_of
+from berylshift.request.router import Plan, ReplicaChooser, RoutingContext, WorkItem
 from berylshift.request.target_check import accepts_connections
-from berylshift.targets import ServiceCall
-from berylshift.targets import ServiceClient
-from berylshift.targets import ServiceResponse
-from berylshift.targets import TargetBrokenError
-from berylshift.targets import TargetError
+from berylshift.targets import (
+    ServiceCall,
+    ServiceClient,
+    ServiceResponse,
+    TargetBrokenError,
+    TargetError,
+)
 from berylshift.version.table import Table
-from collections.abc import Callable
-from dataclasses import dataclass
-from returns.result import Failure
-from returns.result import Success
-import msgspec
-import trio
 
 
 class ServiceAttempt(msgspec.Struct, frozen=True):
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -1,12 +1,13 @@
 """In-memory links between hosts: datagrams and table views."""
 
+import math
+from dataclasses import dataclass, field
+
+import trio
+
 from berylshift.process.membership.digest import Digest
 from berylshift.process.table.table_follower import PeerView
 from berylshift.stand_ins.network import Network
-from dataclasses import dataclass
-from dataclasses import field
-import math
-import trio
 
 
 @dataclass
--- a/berylshift/store/batch.py
+++ b/berylshift/store/batch.py
@@ -1,22 +1,24 @@
 """Access to the table service: rate budget, priorities and batched writes."""
 
-from berylshift.clock import Clock
-from berylshift.process.limits.store_budget import Priority
-from berylshift.process.limits.store_budget import StoreBudget
-from berylshift.store.interfaces import Condition
-from berylshift.store.interfaces import PlatformError
-from berylshift.store.interfaces import ResponseLostError
-from berylshift.store.interfaces import StoreUnavailableError
-from berylshift.store.interfaces import StoredRow
-from berylshift.store.interfaces import TableService
-from berylshift.store.interfaces import Transaction
-from berylshift.store.interfaces import TransactionResult
-from berylshift.store.interfaces import Write
-from dataclasses import dataclass
-from dataclasses import field
 import math
+from dataclasses import dataclass, field
+
 import trio
 
+from berylshift.clock import Clock
+from berylshift.process.limits.store_budget import Priority, StoreBudget
+from berylshift.store.interfaces import (
+    Condition,
+    PlatformError,
+    ResponseLostError,
+    StoredRow,
+    StoreUnavailableError,
+    TableService,
+    Transaction,
+    TransactionResult,
+    Write,
+)
+
 
 @dataclass
 class _PendingWrite:
--- a/berylshift/tests/test_backoff_calls.py
+++ b/berylshift/tests/test_backoff_calls.py
@@ -1,15 +1,14 @@
 """Tests of native API targets that refuse a call with a Retry-After."""
 
+import unittest
+
+import trio
+
 from berylshift.ids import TargetName
 from berylshift.messages.retry_after import parse_retry_after
 from berylshift.process.engine_state.health import Health
 from berylshift.request.messages import Outcome
-from berylshift.tests.world import call_service
-from berylshift.tests.world import plain_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
-import trio
-import unittest
+from berylshift.tests.world import call_service, plain_call, run_world, small_rows
 
 RETRY_AFTER_SECONDS = 10.0
 TARGET = TargetName("engine-1")
--- a/berylshift/tests/test_entry_starts.py
+++ b/berylshift/tests/test_entry_starts.py
@@ -1,15 +1,14 @@
 """End-to-end tests of engines that restart under the same name."""
 
-from berylshift.ids import BlockId
-from berylshift.ids import InstanceId
+import unittest
+
+import trio
+
+from berylshift.ids import BlockId, InstanceId
 from berylshift.messages.engine_control import OrderAnswer
 from berylshift.messages.replicas import EnginePhase
 from berylshift.process.targets.target_load import SEVERE_FAILURE
-from berylshift.tests.entry_world import ENGINES
-from berylshift.tests.entry_world import prompt_headers
-from berylshift.tests.entry_world import run_entry
-import trio
-import unittest
+from berylshift.tests.entry_world import ENGINES, prompt_headers, run_entry
 
 FIRST_START_MS, SECOND_START_MS = 1_700_000_000_000, 1_700_000_009_000
 FEED_DELAY_SECONDS = 1.0
--- a/berylshift/tests/test_replay_trace.py
+++ b/berylshift/tests/test_replay_trace.py
@@ -1,27 +1,28 @@
 """Tests of parsing and checking traces, and of short virtual replays."""
 
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import Expect
-from berylshift.replay.trace import Kind
-from berylshift.replay.trace import TraceEvent
-from berylshift.replay.trace import TraceHeader
-from berylshift.replay.trace import TraceRequest
-from berylshift.replay.trace import parse_trace
-from berylshift.replay.trace import read_trace
-from berylshift.replay.trace import write_trace
+import tempfile
+import unittest
+from pathlib import Path
+
+import msgspec
+from cleo.testers.command_tester import CommandTester
+
+from berylshift.replay.trace import (
+    EventKind,
+    Expect,
+    Kind,
+    TraceEvent,
+    TraceHeader,
+    TraceRequest,
+    parse_trace,
+    read_trace,
+    write_trace,
+)
 from berylshift.replay.virtual import replay_virtual
 from berylshift.replay.virtual_fleet import FleetSpec
-from berylshift.replay.workloads import CONSORCIO
-from berylshift.replay.workloads import Mixture
-from berylshift.replay.workloads import Phase
-from berylshift.replay.workloads import make_trace
+from berylshift.replay.workloads import CONSORCIO, Mixture, Phase, make_trace
 from berylshift.tools.replay_command import ReplayCommand
 from berylshift.tools.session import Exit
-from cleo.testers.command_tester import CommandTester
-from pathlib import Path
-import msgspec
-import tempfile
-import unittest
 
 HEADER = b'{"trace": "t", "expect": {"lost": 0}}'
 REQUEST = TraceRequest(
--- a/berylshift/tests/test_request_placement_baselines.py
+++ b/berylshift/tests/test_request_placement_baselines.py
@@ -1,5 +1,8 @@
 """The baseline placement policies do only what their names say."""
 
+import random
+import unittest
+
 from berylshift.messages.load_digest import Urgency
 from berylshift.messages.routed import ReportedLoad
 from berylshift.process.directory.pools import Pool
@@ -7,15 +10,14 @@
 from berylshift.process.targets.engine_speeds import EngineSpeeds
 from berylshift.process.targets.prefix_cache_index import PrefixCacheIndex
 from berylshift.process.targets.target_load import TargetLoads
-from berylshift.request.placement_policies import PLACEMENT_POLICIES
-from berylshift.request.placement_policies import PlacementContext
+from berylshift.request.placement_policies import PLACEMENT_POLICIES, PlacementContext
 from berylshift.settings import CHOICES
-from berylshift.tests.test_request_placement import DECODE_ENGINES
-from berylshift.tests.test_request_placement import ENGINES
-from berylshift.tests.test_request_placement import PREFILL_ENGINES
-from berylshift.tests.test_request_placement import prompt
-import random
-import unittest
+from berylshift.tests.test_request_placement import (
+    DECODE_ENGINES,
+    ENGINES,
+    PREFILL_ENGINES,
+    prompt,
+)
 
 
 class BaselineTest(unittest.TestCase):
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -5,12 +5,12 @@
 with its safeguard and fails without it.
 """
 
-from dataclasses import dataclass
-from pathlib import Path
 import shutil
 import subprocess
 import sys
 import tempfile
+from dataclasses import dataclass
+from pathlib import Path
 
 TEST_SECONDS = 60
 TESTS = "berylshift.tests"
