--- a/berylshift/model/parameters.py
+++ b/berylshift/model/parameters.py
@@ -72,7 +72,7 @@
     prefix_blocks: tuple[SizeDistribution, ...]
     suffix: SizeDistribution
     event_counts: SizeDistribution
-    objective: float
+    objective_seconds: float
     max_event_gap_seconds: float
     timeout_seconds: float
     worth: float
@@ -82,7 +82,7 @@
     @property
     def caller_patience_seconds(self) -> float:
         """Return how long a caller waits for the first event."""
-        return max(2.0, 4 * self.objective, 8 * self.max_event_gap_seconds)
+        return max(2.0, 4 * self.objective_seconds, 8 * self.max_event_gap_seconds)
 
 
 class SiteParameters(msgspec.Struct, frozen=True, kw_only=True):
@@ -115,7 +115,7 @@
             ),
             suffix=SizeDistribution(3_720, 1.1, 53_200, 0),
             event_counts=SizeDistribution(17.1, 1.4, 68.4, 0),
-            objective=0.8,
+            objective_seconds=0.8,
             max_event_gap_seconds=0.3,
             timeout_seconds=6.0,
             worth=1.9,
@@ -131,7 +131,7 @@
             ),
             suffix=SizeDistribution(2_890, 1.0, 39_600, 0),
             event_counts=SizeDistribution(7.44, 1.4, 29.8, 0),
-            objective=0.6,
+            objective_seconds=0.6,
             max_event_gap_seconds=0.3,
             timeout_seconds=4.0,
             worth=2.0,
@@ -147,7 +147,7 @@
             ),
             suffix=SizeDistribution(1_110, 1.0, 3_790, 0),
             event_counts=SizeDistribution(24.6, 0.89, 85.9, 0),
-            objective=0.5,
+            objective_seconds=0.5,
             max_event_gap_seconds=0.3,
             timeout_seconds=8.0,
             worth=1.6,
@@ -190,7 +190,7 @@
             prefix_blocks=(SizeDistribution(13_300, 0.7, 39_900, 264, 0.3),),
             suffix=SizeDistribution(3_720, 1.1, 53_200, 0),
             event_counts=SizeDistribution(12.0, 1.4, 47.9, 0),
-            objective=0.863,
+            objective_seconds=0.863,
             max_event_gap_seconds=0.4,
             timeout_seconds=6.475,
             worth=1.9,
@@ -206,7 +206,7 @@
             ),
             suffix=SizeDistribution(2_890, 1.0, 39_600, 0),
             event_counts=SizeDistribution(5.21, 1.4, 20.8, 0),
-            objective=0.645,
+            objective_seconds=0.645,
             max_event_gap_seconds=0.4,
             timeout_seconds=4.298,
             worth=2.0,
@@ -222,7 +222,7 @@
             ),
             suffix=SizeDistribution(1_110, 1.0, 3_790, 0),
             event_counts=SizeDistribution(17.2, 0.89, 60.1, 0),
-            objective=0.526,
+            objective_seconds=0.526,
             max_event_gap_seconds=0.4,
             timeout_seconds=8.419,
             worth=1.6,
--- a/berylshift/model/result.py
+++ b/berylshift/model/result.py
@@ -26,7 +26,7 @@
             return 0.0
         kind = self.kind
         late = (
-            self.first_event_seconds > kind.objective
+            self.first_event_seconds > kind.objective_seconds
             or self.max_event_gap_seconds > kind.max_event_gap_seconds
         )
         return kind.late_worth if late else kind.worth
--- a/berylshift/platform/configuration.py
+++ b/berylshift/platform/configuration.py
@@ -162,7 +162,7 @@
         prefix=route.prefix,
         kind=KINDS[route.route_kind],
         timeout=route.timeout_ms / 1000,
-        objective=route.target_latency_ms / 1000,
+        objective_seconds=route.target_latency_ms / 1000,
         rank=route.priority,
         shares=tuple(
             ServiceShare(ServiceName(share.service), share.weight) for share in shares
--- a/berylshift/request/replica_exchange.py
+++ b/berylshift/request/replica_exchange.py
@@ -124,7 +124,7 @@
             return NEVER
         stream = self._route.kind is RouteKind.STREAM
         factor = STREAM_SILENCE_FACTOR if stream else SILENCE_FACTOR
-        return max(MIN_SILENCE_SECONDS, factor * self._route.objective)
+        return max(MIN_SILENCE_SECONDS, factor * self._route.objective_seconds)
 
     def _may_retry_elsewhere(self) -> bool:
         more = self._history.possible_runs + 1 < self._route.most_attempts
--- a/berylshift/request/slo_status.py
+++ b/berylshift/request/slo_status.py
@@ -29,7 +29,7 @@
     """What a route asks for: a time to first token, and a rank (0 is most urgent)."""
 
     @property
-    def objective(self) -> float:
+    def objective_seconds(self) -> float:
         """Return the time to first token in seconds; 0 means no objective."""
 
     @property
@@ -50,7 +50,7 @@
     ``seconds`` is the time from its arrival to its first token. A route without an
     objective is always on time.
     """
-    if route.objective and seconds > ON_TIME_SHARE * route.objective:
+    if route.objective_seconds and seconds > ON_TIME_SHARE * route.objective_seconds:
         return SloStatus.LATE
     return SloStatus.ON_TIME
 
--- a/berylshift/stand_ins/memory_peers.py
+++ b/berylshift/stand_ins/memory_peers.py
@@ -39,11 +39,11 @@
         if address in self._hub.inboxes and not network.is_cut(self._host, name):
             self._hub.inboxes[address].send_nowait(digest)
 
-    async def receive(self, on_digest) -> None:
-        """Pass each received digest to ``on_digest``."""
+    async def receive(self, on_message) -> None:
+        """Pass each received digest to ``on_message``."""
         async for digest in self._receive:
             await self._hub.network.wait_resumed(self._host)
-            on_digest(digest)
+            on_message(digest)
 
 
 class MemoryPeerTables:
--- a/berylshift/tests/entry_world.py
+++ b/berylshift/tests/entry_world.py
@@ -66,7 +66,7 @@
     """Return a route of the path ``/NAME/``."""
     values = {
         "timeout": 4.0,
-        "objective": 0.5,
+        "objective_seconds": 0.5,
         "rank": 1,
         "shares": (ServiceShare(PLAIN, 1),),
         "most_attempts": 1,
--- a/berylshift/tests/test_platform_adapter.py
+++ b/berylshift/tests/test_platform_adapter.py
@@ -83,7 +83,7 @@
         route = table.match("a.example", "/x/1")
         self.assertEqual(table.version, 7)
         self.assertEqual(
-            (route.kind, route.timeout, route.objective), ("stream", 4, 0.6)
+            (route.kind, route.timeout, route.objective_seconds), ("stream", 4, 0.6)
         )
         self.assertTrue(route.prompted and route.resumable)
         self.assertEqual((route.rank, route.most_attempts, route.pause), (1, 2, 0.3))
--- a/berylshift/tests/test_request_prefill_scheduler.py
+++ b/berylshift/tests/test_request_prefill_scheduler.py
@@ -21,7 +21,7 @@
 from berylshift.tests.test_request_placement import prompt, replica
 from berylshift.version.routes import RouteKind
 
-ROUTE = route("x", RouteKind.STREAM, objective=0.8, rank=0, pause=0.3)
+ROUTE = route("x", RouteKind.STREAM, objective_seconds=0.8, rank=0, pause=0.3)
 PREFILL_ENGINE = replica(1, EnginePhase.PREFILL)
 POOL = Pool([PREFILL_ENGINE, replica(2, EnginePhase.DECODE)])
 # The tokens that the engine prefills in half a second.
@@ -75,7 +75,7 @@
         self.loads.of(PREFILL_ENGINE.instance).prefill_tokens[Urgency.URGENT] = 0
         decision = self.arrive()
         self.assertIs(decision.slo_status, SloStatus.ON_TIME)
-        self.assertLess(decision.seconds, ROUTE.objective)
+        self.assertLess(decision.seconds, ROUTE.objective_seconds)
 
     def test_a_prompt_that_waited_too_long_is_late_at_an_idle_engine(self):
         self.assertIs(self.arrive(waited_seconds=0.5).slo_status, SloStatus.LATE)
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -142,7 +142,7 @@
     body = SimpleNamespace(ended=True)
     req = RoutedRequest(RequestId("r1"), b"POST", b"/x", (), body)
     relayed_route = route(
-        "x", kind, resumable=True, most_attempts=2, objective=OBJECTIVE
+        "x", kind, resumable=True, most_attempts=2, objective_seconds=OBJECTIVE
     )
     out = ResponseStream(caller, deps.clock)
     exchange = ReplicaExchange(deps, req, relayed_route, out, AttemptHistory())
--- a/berylshift/tests/test_request_slo_status.py
+++ b/berylshift/tests/test_request_slo_status.py
@@ -19,24 +19,24 @@
 from berylshift.tests.entry_world import route
 from berylshift.version.routes import RouteKind
 
-URGENT_ROUTE = route("x", RouteKind.STREAM, objective=0.2, rank=0)
-LOW_RANK_ROUTE = route("y", RouteKind.STREAM, objective=0.2, rank=7)
+URGENT_ROUTE = route("x", RouteKind.STREAM, objective_seconds=0.2, rank=0)
+LOW_RANK_ROUTE = route("y", RouteKind.STREAM, objective_seconds=0.2, rank=7)
 
 
 class SloStatusTest(unittest.TestCase):
     """The status, the rank and the expected wait of a prompt."""
 
     def test_a_prompt_is_late_before_its_objective_has_passed(self):
-        limit = ON_TIME_SHARE * URGENT_ROUTE.objective
+        limit = ON_TIME_SHARE * URGENT_ROUTE.objective_seconds
         self.assertIs(slo_status_of(URGENT_ROUTE, limit), SloStatus.ON_TIME)
         self.assertIs(slo_status_of(URGENT_ROUTE, limit + 0.001), SloStatus.LATE)
 
     def test_a_route_without_an_objective_is_never_late(self):
-        no_objective = msgspec.structs.replace(URGENT_ROUTE, objective=0.0)
+        no_objective = msgspec.structs.replace(URGENT_ROUTE, objective_seconds=0.0)
         self.assertIs(slo_status_of(no_objective, 100.0), SloStatus.ON_TIME)
 
     def test_late_prompts_rank_behind_all_that_are_on_time(self):
-        on_time = route("z", RouteKind.STREAM, objective=0.2, rank=4)
+        on_time = route("z", RouteKind.STREAM, objective_seconds=0.2, rank=4)
         late = engine_rank(URGENT_ROUTE, SloStatus.LATE)
         self.assertGreater(late, engine_rank(on_time, SloStatus.ON_TIME))
         self.assertEqual(urgency_for(URGENT_ROUTE, SloStatus.LATE), Urgency.PATIENT)
--- a/berylshift/tests/test_version_routes.py
+++ b/berylshift/tests/test_version_routes.py
@@ -34,11 +34,13 @@
         self.assertIsNone(self.name("/look/x", "other.example"))
 
     def test_a_caller_of_a_stream_waits_four_objectives(self):
-        stream = route("s", RouteKind.STREAM, objective=0.8, pause=0.3, timeout=6.0)
+        stream = route(
+            "s", RouteKind.STREAM, objective_seconds=0.8, pause=0.3, timeout=6.0
+        )
         self.assertEqual(stream.patience, 3.2)
 
     def test_patience_ends_with_the_time_out(self):
-        stream = route("s", RouteKind.STREAM, objective=0.8, timeout=1.0)
+        stream = route("s", RouteKind.STREAM, objective_seconds=0.8, timeout=1.0)
         self.assertEqual(stream.patience, 1.0)
 
     def test_only_streams_that_resume_may_be_repeated(self):
--- a/berylshift/version/routes.py
+++ b/berylshift/version/routes.py
@@ -40,7 +40,7 @@
     prefix: str
     kind: RouteKind
     timeout: float
-    objective: float
+    objective_seconds: float
     rank: int
     shares: tuple[ServiceShare, ...]
     most_attempts: int
@@ -71,7 +71,7 @@
         """
         if self.kind is not RouteKind.STREAM:
             return self.timeout
-        longest = max(LEAST_PATIENCE, 4 * self.objective, 8 * self.pause)
+        longest = max(LEAST_PATIENCE, 4 * self.objective_seconds, 8 * self.pause)
         return min(self.timeout, longest)
 
 
