--- a/berylshift/platform/names.py
+++ b/berylshift/platform/names.py
@@ -1,8 +1,8 @@
-"""The platform's names on the wire, each written once."""
+"""The platform's names on the wire: headers, paths, tables and keys."""
 
 ATTEMPT_ID = b"berylshift-attempt-id"
 TIME_LEFT_MS = b"berylshift-deadline-ms"
-PROMPT_PARTS = b"berylshift-prefix-hash"
+PREFIX_BLOCKS = b"berylshift-prefix-hash"
 MODEL = b"berylshift-model"
 TOKEN_COUNTS = b"berylshift-token-count"
 LENGTH_HINT = b"berylshift-length-hint"
@@ -12,9 +12,9 @@
 INSTANCE = b"berylshift-instance-id"
 LOAD = b"berylshift-instance-load"
 NOT_RUN = b"berylshift-not-executed"
-# Requests a second that a replica takes from all hosts together.
+# Requests per second that a replica accepts from all hosts together.
 RATE_LIMIT = b"server-limit"
-LEAVING = b"server-leaving"
+DRAINING = b"server-leaving"
 RANK = b"berylshift-request-priority"
 PHASE = b"berylshift-phase"
 KV_SOURCE = b"berylshift-kv-source"
@@ -27,7 +27,7 @@
 AUTHORIZATION = b"authorization"
 CUSTOMER = b"berylshift-tenant"
 
-# Only the system may say these to a replica; what a caller sends of them is dropped.
+# Only this system may send these to a replica; those from callers are dropped.
 RESERVED = frozenset(
     {
         TARGET_INSTANCE,
@@ -46,8 +46,8 @@
     }
 )
 
-# What replicas' answers may carry.
-IN_ANSWERS = frozenset(
+# Headers that replicas may send in responses.
+RESPONSE_HEADERS = frozenset(
     {
         ATTEMPT_ID,
         SIGNATURE,
@@ -55,12 +55,12 @@
         LOAD,
         NOT_RUN,
         RATE_LIMIT,
-        LEAVING,
+        DRAINING,
         WEIGHT_VERSIONS,
     }
 )
 
-# Rises by one each time that the store comes back from an older copy.
+# Increases by one each time the store is restored from an older copy.
 STORE_ERA = "store-era"
 
 READY_PATH = "/v1/readyz"
@@ -69,8 +69,8 @@
 ORDER_PATH = b"/v1/order"
 SCALE_PATH = "/scale"
 USAGE_PATH = "/usage"
-DUTY_HOLDER = "berylshift-lease-holder"
-DUTY_FENCE = "berylshift-fencing-token"
+LEASE_HOLDER = "berylshift-lease-holder"
+FENCING_TOKEN = "berylshift-fencing-token"
 ROWS_GET = "/v1/rows-get"
 ROWS_FEED = "/v1/rows-feed"
 ROWS_TX = "/v1/rows-tx"
--- a/berylshift/process/gossip/load_loop.py
+++ b/berylshift/process/gossip/load_loop.py
@@ -32,8 +32,8 @@
     async def send_to_all(self, addresses: list[str], message: LoadDigest) -> None:
         """Send a digest to each address; some may be lost."""
 
-    async def receive(self, take: Callable[[LoadDigest], None]) -> None:
-        """Pass each digest to ``take`` until cancelled."""
+    async def receive(self, on_message: Callable[[LoadDigest], None]) -> None:
+        """Pass each digest to ``on_message`` until cancelled."""
 
 
 @dataclass
@@ -165,7 +165,7 @@
         record = self._own_record()
         while True:
             try:
-                key = await deps.rows.shared_key(proposal)
+                key = await deps.rows.get_or_set_shared_key(proposal)
                 await deps.rows.announce(record)
                 return key
             except PlatformError as exc:
--- a/berylshift/request/completion.py
+++ b/berylshift/request/completion.py
@@ -28,7 +28,7 @@
 from berylshift.request.router import Plan, Refusal, WorkItem
 from berylshift.request.target_check import accepts_connections
 from berylshift.targets import EngineCall, KvSource
-from berylshift.utils import token_count
+from berylshift.utils import estimate_token_count
 from berylshift.version.rows import Row
 
 PLACEMENT_RETRY_SECONDS = 0.2
@@ -48,7 +48,7 @@
         self._refusal: Refusal | None = None
         self._answer = ResponseAssembler()
         self._prefixes: Prefixes = prefix_hashes(call.prompt)
-        self._prompt_tokens = token_count(call.prompt)
+        self._prompt_tokens = estimate_token_count(call.prompt)
         self._crash_watch = deps.crash_watches.for_completion(call)
         self._attempt_count = 0
         self._response_deadline = deps.clock.monotonic() + deps.max_duration_seconds
@@ -91,7 +91,7 @@
     def _is_allowed(self) -> bool:
         """Return whether the call is not quarantined; record the refusal if it is."""
         try:
-            self._crash_watch.check(has_started=self._answer.tokens > 0)
+            self._crash_watch.check(response_started=self._answer.tokens > 0)
         except QuarantinedError as exc:
             self._refusal = Refusal(Reason.QUARANTINED, exc.seconds)
             self._deps.decisions.log_refusal(
@@ -105,9 +105,9 @@
 
         The maximum duration applies once the response has started.
         """
-        has_started = self._answer.tokens > 0
+        response_started = self._answer.tokens > 0
         return self._now() >= (
-            self._response_deadline if has_started else self._call.deadline
+            self._response_deadline if response_started else self._call.deadline
         )
 
     def ignores_retry_budget(self) -> bool:
@@ -190,7 +190,7 @@
     async def _on_connection_lost(self, target: TargetName) -> None:
         """Report a broken connection to the crash watch if the engine takes work."""
         row = self._deps.table().targets.get(target)
-        if row is None or not row.takes_work:
+        if row is None or not row.accepts_work:
             return
         client = self._deps.client
         await self._crash_watch.on_connection_lost(
@@ -208,7 +208,7 @@
     def _check_accepts_work(self, row: Row) -> None:
         """Fail the attempt if the target started draining during the prefill."""
         current = self._deps.table().targets.get(row.name)
-        is_leaving = current is None or not current.takes_work
+        is_leaving = current is None or not current.accepts_work
         is_leaving = is_leaving or self._deps.context.plans.is_moving(row.name)
         if is_leaving or not self._deps.may_route():
             raise AttemptFailedError(row.name, AttemptOutcome.NOT_RUN)
--- a/berylshift/request/retry_policy.py
+++ b/berylshift/request/retry_policy.py
@@ -9,11 +9,7 @@
 import msgspec
 
 from berylshift.request.messages import Outcome
-from berylshift.targets import (
-    TargetError,
-    TargetNotReachedError,
-    TargetRefusedError,
-)
+from berylshift.targets import TargetError, TargetNotReachedError, TargetRefusedError
 from berylshift.version.routes import Route
 
 # Includes rejected attempts: a service at capacity rejects each at once, and telling
@@ -79,9 +75,9 @@
         self.has_open_attempt = False
         self._may_have_run_before = False
 
-    def add(self, sent: AttemptRecord) -> None:
+    def add(self, attempt: AttemptRecord) -> None:
         """Add a finished attempt."""
-        self.attempts.append(sent)
+        self.attempts.append(attempt)
 
     def clear_attempts(self) -> None:
         """Clear the attempts, but remember whether one may have run.
@@ -94,7 +90,7 @@
     @property
     def possible_runs(self) -> int:
         """Return how many attempts may have run."""
-        return sum(sent.outcome.may_have_run for sent in self.attempts)
+        return sum(attempt.outcome.may_have_run for attempt in self.attempts)
 
     @property
     def may_have_run(self) -> bool:
@@ -124,7 +120,7 @@
 
 def retry_bounds(route: Route) -> RetryBounds:
     """Return the retry limits of a routed request."""
-    return RetryBounds(route.repeatable, route.most_attempts)
+    return RetryBounds(route.repeatable, route.max_attempts)
 
 
 def may_retry(bounds: RetryBounds, history: AttemptHistory) -> bool:
--- a/berylshift/request/routed_crash_watch.py
+++ b/berylshift/request/routed_crash_watch.py
@@ -57,7 +57,7 @@
             self._watch.check()
 
     def avoided(
-        self, pool: Pool, tried: Iterable[InstanceId], has_started: bool
+        self, pool: Pool, tried: Iterable[InstanceId], response_started: bool
     ) -> list[InstanceId]:
         """Return the replicas that the request must not be sent to.
 
@@ -78,7 +78,7 @@
         if not crashes:
             return found
         left = remaining_replicas(pool.decode_engines, found)
-        if is_last_remaining(left, pool.decode_engines) and not has_started:
+        if is_last_remaining(left, pool.decode_engines) and not response_started:
             raise QuarantinedError(crashes, LAST_REPLICA_RETRY_SECONDS)
         aside = isolation_replicas(left)
         return found + [rep.instance for rep in left if rep not in aside]
--- a/berylshift/stand_ins/entry_replica.py
+++ b/berylshift/stand_ins/entry_replica.py
@@ -449,7 +449,7 @@
             )
             self.replica.rate_limit_sent_at.setdefault(self.host, trio.current_time())
         if self.replica.announces_draining:
-            response_headers.append((names.LEAVING, b"1"))
+            response_headers.append((names.DRAINING, b"1"))
             self.replica.draining_sent_at.setdefault(self.host, trio.current_time())
         return response_headers
 
--- a/berylshift/stand_ins/fake_directory.py
+++ b/berylshift/stand_ins/fake_directory.py
@@ -8,11 +8,11 @@
 
 from berylshift.ids import ReplicaName, Revision, StoreEra
 from berylshift.messages.replicas import Replica, ReplicaChanges, RouteSnapshot
-from berylshift.store.crash_rows import CrashRow, CrashRowsRead
+from berylshift.store.crash_rows import CrashRow, CrashRowsSnapshot
 from berylshift.store.directory import HistoryLostError
 from berylshift.store.eras import FIRST_ERA
 from berylshift.store.host_rows import HostRecord
-from berylshift.store.interfaces import AnswerLostError, StoreUnavailableError
+from berylshift.store.interfaces import ResponseLostError, StoreUnavailableError
 from berylshift.store.lease_rows import ABSENT, Granted, LeaseRecord, LeaseRow
 from berylshift.version.routes import RouteTable
 
@@ -164,7 +164,7 @@
         if self.silent:
             # A feed that never answers: only the caller's timeout ends the call.
             await trio.sleep(seconds + 0.6)
-            raise AnswerLostError("no answer")
+            raise ResponseLostError("no answer")
         with trio.move_on_after(seconds):
             while not has_changes():
                 await self._changed.wait()
@@ -212,7 +212,7 @@
             await hook()
         return row
 
-    async def swap(
+    async def compare_and_swap(
         self, name: str, record: LeaseRecord, expected: Revision
     ) -> Granted | None:
         """Write a row if its revision is ``expected``."""
@@ -224,7 +224,7 @@
             else:
                 at = self._now() + self.delayed_write_seconds
                 self._delayed_writes.append((at, name, record, expected))
-            raise AnswerLostError("answer lost")
+            raise ResponseLostError("answer lost")
         return self._apply(name, record, expected)
 
     def restore(self, seconds: float) -> None:
@@ -277,11 +277,11 @@
         """Return how many rows there are."""
         return len(self._rows)
 
-    async def read(self) -> CrashRowsRead:
+    async def read(self) -> CrashRowsSnapshot:
         """Return all rows."""
         self._check()
         now = trio.current_time() + STORE_CLOCK_OFFSET_SECONDS
-        return CrashRowsRead(tuple(self._rows.values()), int(now * 1000))
+        return CrashRowsSnapshot(tuple(self._rows.values()), int(now * 1000))
 
     def lose_all(self) -> None:
         """Remove all rows, as a restore from an empty snapshot does."""
@@ -324,7 +324,7 @@
         """Return all hosts' rows."""
         return list(self._hosts.values())
 
-    async def shared_key(self, proposal: str) -> str:
+    async def get_or_set_shared_key(self, proposal: str) -> str:
         """Return the key all hosts share."""
         self._key = self._key or proposal
         return self._key
--- a/berylshift/stand_ins/fake_engine.py
+++ b/berylshift/stand_ins/fake_engine.py
@@ -206,12 +206,16 @@
         same = order.number == self.order_number and self._repeats_last_order(order)
         if same and self.role is not Role.UNKNOWN:
             return
-        if self._pending_order is not None and not self._pending_order.same_aim(order):
+        if self._pending_order is not None and not self._pending_order.has_same_goal(
+            order
+        ):
             self.conflicts += 1
         self._start_change(order, now)
 
     def _repeats_last_order(self, order: Order) -> bool:
-        return bool(self.accepted_orders) and self.accepted_orders[-1].same_aim(order)
+        return bool(self.accepted_orders) and self.accepted_orders[-1].has_same_goal(
+            order
+        )
 
     def _start_change(self, order: Order, now: float) -> None:
         self.order_number = OrderNumber(max(self.order_number, order.number))
--- a/berylshift/tests/test_confirmation_machine.py
+++ b/berylshift/tests/test_confirmation_machine.py
@@ -23,14 +23,14 @@
 from berylshift.stand_ins.fake_service import FakeService
 from berylshift.store.interfaces import (
     ABSENT,
-    AnswerLostError,
     Condition,
+    ResponseLostError,
     StoreUnavailableError,
     Transaction,
     Write,
     as_raw,
 )
-from berylshift.targets import ServiceAnswer, ServiceCall
+from berylshift.targets import ServiceCall, ServiceResponse
 from berylshift.tests.support import EXPLORE
 
 KEYS = ("k1", "k2")
@@ -145,7 +145,7 @@
             self._put(key, revision, row)
         self.pending.remove(key)
 
-    def _run(self, arrival: Arrival) -> ServiceAnswer:
+    def _run(self, arrival: Arrival) -> ServiceResponse:
         call = ServiceCall(
             arrival.state.attempt, "booking", "POST", "/", {}, b"", False, arrival.key
         )
@@ -155,7 +155,7 @@
         transaction = Transaction([Condition(key, revision)], [Write(key, as_raw(row))])
         try:
             answer = self.platform.transact(transaction)
-        except AnswerLostError:
+        except ResponseLostError:
             return Event.LOST
         except StoreUnavailableError:
             return Event.UNAVAILABLE
--- a/berylshift/tests/test_request_silence.py
+++ b/berylshift/tests/test_request_silence.py
@@ -13,7 +13,7 @@
 from berylshift.ids import AttemptId, InstanceId, RequestId
 from berylshift.messages.routed import RoutedRequest
 from berylshift.platform import names
-from berylshift.platform.exchange import PlatformCodec
+from berylshift.platform.codec import PlatformCodec
 from berylshift.process.targets.target_load import TargetLoads
 from berylshift.request.engine_attempt import AttemptFailedError, EngineAttempt
 from berylshift.request.relay_dependencies import RelayDependencies
@@ -46,8 +46,8 @@
 class LateAnswer:
     """An engine's response whose ``late`` part arrives as the timeout expires."""
 
-    usable = True
-    keep_seconds = 1.0
+    may_reuse = True
+    keep_alive_seconds = 1.0
     status = 200
     headers = ((names.SIGNATURE, b"s"),)
 
@@ -64,7 +64,7 @@
         if self._late == "end":
             await wait_until_timeouts_expire()
 
-    async def read(self, most: int) -> bytes:
+    async def read(self, max_bytes: int) -> bytes:
         """Return the whole body."""
         if self._late == "whole":
             await wait_until_timeouts_expire()
@@ -142,7 +142,7 @@
     body = SimpleNamespace(ended=True)
     req = RoutedRequest(RequestId("r1"), b"POST", b"/x", (), body)
     relayed_route = route(
-        "x", kind, resumable=True, most_attempts=2, objective_seconds=OBJECTIVE
+        "x", kind, resumable=True, max_attempts=2, objective_seconds=OBJECTIVE
     )
     out = ResponseStream(caller, deps.clock)
     exchange = ReplicaExchange(deps, req, relayed_route, out, AttemptHistory())
--- a/berylshift/tools/proofs.py
+++ b/berylshift/tools/proofs.py
@@ -63,7 +63,7 @@
     ),
     Proof(
         "two keys in one request are none",
-        "platform/exchange.py",
+        "platform/codec.py",
         "    if len(values) != 1:\n",
         "    if not values:\n",
         f"{GATE}.HeaderTest",
@@ -135,7 +135,7 @@
         "the last engine takes no suspect",
         "request/routed_crash_watch.py",
         "        if is_last_remaining(left, pool.decode_engines)"
-        " and not has_started:\n",
+        " and not response_started:\n",
         "        if False:\n",
         f"{ISOLATION}.SuspectsTest",
     ),
@@ -171,15 +171,15 @@
         "the answer's id is compared",
         "request/replica_exchange.py",
         "if head.request is not None and head.request != self._req.id:\n"
-        "            await limit.bound(answer.skip())",
-        "if False:\n            await limit.bound(answer.skip())",
+        "            await limit.wait_for(answer.skip_to_next())",
+        "if False:\n            await limit.wait_for(answer.skip_to_next())",
         f"{RELAY}.ConnectionReuseTest.test_unexpected_second_response_is_discarded",
     ),
     Proof(
         "a connection with a body still under way is not kept",
         "connection/target_client.py",
-        "whole = sent.is_set() and answer.usable and wire.reusable()",
-        "whole = answer.usable and wire.reusable()",
+        "sent.is_set() and response.may_reuse and connection",
+        "response.may_reuse and connection",
         "test_request_bodies.ClientTest."
         "test_connection_with_an_unsent_chunk_is_not_reused",
     ),
@@ -188,7 +188,7 @@
         "request/routed_handler.py",
         "        if self._finishes_before_stop(req, route):\n",
         "        if True:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a leaving host goes by the times of just now",
@@ -202,18 +202,19 @@
         "process/shutdown.py",
         "            work.deadline = min(work.deadline, self._ends_at)\n\n",
         "            pass\n\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "half a body does not look whole",
         "connection/target_client.py",
-        "BodyBrokenError:\n            close_now(wire.stream)\n            return\n",
+        "BodyBrokenError:\n"
+        "            close_now(connection.stream)\n            return\n",
         "BodyBrokenError:\n            pass\n",
         "test_request_bodies.ClientTest.test_truncated_body_is_not_sent_as_complete",
     ),
     Proof(
         "a body is read at its target's pace",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "                await body.wait_for_room()\n",
         "",
         "test_request_bodies.StreamedBodyTest."
@@ -228,7 +229,7 @@
     ),
     Proof(
         "an answer must bear its signature",
-        "platform/exchange.py",
+        "platform/codec.py",
         "genuine=names.SIGNATURE in found and",
         "genuine=True or",
         f"{RELAY}.NotRunTest.test_at_most_once_request_runs_once_after_failures",
@@ -250,14 +251,14 @@
     ),
     Proof(
         "a request names the instance it is for",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        headers.append((names.TARGET_INSTANCE, dispatch.replica.encode()))\n",
         "",
         f"{RELAY}.InstanceTest",
     ),
     Proof(
         "the replica's request ends with its caller's",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        scope.cancel()\n",
         "",
         f"{RELAY}.CallerDisconnectTest",
@@ -278,21 +279,21 @@
     ),
     Proof(
         "forged orders are dropped",
-        "platform/exchange.py",
-        "HOP_BY_HOP | names.RESERVED | REWRITTEN | named",
-        "HOP_BY_HOP | REWRITTEN | named",
-        "test_platform_adapter.OnwardTest",
+        "platform/codec.py",
+        "HOP_BY_HOP | names.RESERVED | REWRITTEN | listed",
+        "HOP_BY_HOP | REWRITTEN | listed",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "a connection header strips no request",
-        "platform/exchange.py",
-        " - (KEPT - REWRITTEN)",
+        "platform/codec.py",
+        " - (\n        PROTECTED - REWRITTEN\n    )",
         "",
-        "test_platform_adapter.OnwardTest",
+        "test_platform_adapter.ForwardedHeadersTest",
     ),
     Proof(
         "two lengths are rejected",
-        "connection/server_link.py",
+        "connection/server_connection.py",
         "        check_framing(head)\n",
         "",
         f"{RELAY}.PlainAnswerTest.test_two_lengths_are_rejected",
@@ -354,7 +355,7 @@
         "process/directory/route_holder.py",
         "if table.version < self.table.version:\n            return False",
         "if table.version < self.table.version:\n            return True",
-        "test_entry_application.ChangeTest.test_an_older_version_changes_nothing",
+        "test_entry_application.ChangeTest.test_older_version_is_ignored",
     ),
     Proof(
         "a cut feed is read anew",
@@ -362,7 +363,7 @@
         "HistoryLostError as exc:\n                self._watch.forget(feed)\n",
         "HistoryLostError as exc:\n                await trio.sleep(1)\n",
         "test_entry_application.ChangeTest."
-        "test_in_force_although_the_history_was_dropped",
+        "test_in_force_although_feed_history_was_dropped",
     ),
     Proof(
         "the newest row of a feed's answer counts",
@@ -381,28 +382,28 @@
     Proof(
         "not ready at once on a planned stop",
         "entry_application.py",
-        "        if self.leaving or self.routes.table is None:\n",
+        "        if self.is_stopping or self.routes.table is None:\n",
         "        if self.routes.table is None:\n",
-        "test_entry_shutdown.PlannedStopTest",
+        "test_entry_shutdown.GracefulShutdownTest",
     ),
     Proof(
         "a planned stop waits for what is under way",
         "entry_application.py",
-        "            await self.server.wait_until_quiet(QUIET_SECONDS)\n",
+        "            await self.server.wait_until_idle(QUIET_SECONDS)\n",
         "",
-        "test_entry_shutdown.PlannedStopTest.test_a_stream_under_way_ends_whole",
+        "test_entry_shutdown.GracefulShutdownTest.test_open_stream_completes",
     ),
     Proof(
         "an answer to HEAD goes out without a body",
-        "connection/server_link.py",
-        "        if not self.headless:\n",
+        "connection/server_connection.py",
+        "        if not self.is_head_request:\n",
         "        if True:\n",
         "test_entry_writes.HeadRequestTest",
     ),
     Proof(
         "a caller that has left ends the write to it",
-        "connection/server_link.py",
-        "        self.writing.cancel()\n",
+        "connection/server_connection.py",
+        "        self.write_scope.cancel()\n",
         "",
         "test_entry_writes.SlowCallerTest.test_half_closed_caller_frees_its_engine",
     ),
@@ -419,17 +420,17 @@
         "connection/http_server.py",
         "        while self._idle:\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "        await self.wait_until_quiet(0)\n",
+        "        await self.wait_until_idle(0)\n",
         "",
-        "test_entry_ledger.FinishTest.test_what_was_read_as_a_server_finishes_is_answered",
+        "test_entry_answered_requests.FinishTest.test_requests_read_during_finish_are_answered",
     ),
     Proof(
         "a request that has come is read before its connection closes",
-        "connection/server_link.py",
-        "scope.cancelled_caught and self.server.taking",
+        "connection/server_connection.py",
+        "scope.cancelled_caught and self.server.accepts_requests",
         "False",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_has_come_is_read_before_a_stop_closes",
+        ".test_arrived_request_is_read_before_shutdown_closes_connection",
     ),
     Proof(
         "a longer rest holds for connections at rest",
@@ -437,14 +438,14 @@
         "max(scope.deadline, start + limits.idle_seconds)",
         "scope.deadline",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_longer_rest_holds_for_connections_at_rest",
+        ".test_raised_idle_timeout_applies_to_idle_connections",
     ),
     Proof(
         "a shorter rest ends none early",
         "connection/http_server.py",
         "max(scope.deadline, start + limits.idle_seconds)",
         "start + limits.idle_seconds",
-        "test_entry_connections.ClosedUnreadTest.test_a_lower_bound_ends_no_rest_early",
+        "test_entry_connections.ClosedUnreadTest.test_lowered_idle_timeout_closes_no_idle_connection_early",
     ),
     Proof(
         "no reset erases a refusal",
@@ -452,28 +453,28 @@
         "                await self._linger(stream)\n",
         "                pass\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_refusal_for_lack_of_room_reaches_its_caller",
+        ".test_refusal_at_connection_limit_reaches_caller",
     ),
     Proof(
         "the end of a process erases no last answer",
         "connection/http_server.py",
-        "                await drop_rest(stream)\n            raise",
+        "                await discard_input(stream)\n            raise",
         "                pass\n            raise",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_the_last_answer_survives_the_end_of_the_process",
+        ".test_final_response_survives_process_exit",
     ),
     Proof(
         "what is half read at a stop's end is refused",
         "connection/http_server.py",
-        "        for scope in self._reading:\n",
+        "        for scope in self._read_scopes:\n",
         "        for scope in ():\n",
         "test_entry_connections.ClosedUnreadTest"
-        ".test_a_request_that_is_still_being_sent_at_the_hard_end_is_refused",
+        ".test_partial_request_at_shutdown_deadline_is_refused",
     ),
     Proof(
         "a host without a free descriptor goes on",
         "connection/http_server.py",
-        "                if exc.errno not in NO_ROOM:\n",
+        "                if exc.errno not in RESOURCE_ERRNOS:\n",
         "                if exc.errno:\n",
         "test_entry_own_end.ProcessSurvivalTest.test_host_without_free_descriptors_keeps_running",
     ),
@@ -504,7 +505,7 @@
         "        sources.phases.apply_updates(digest.phases, now)\n",
         "",
         "test_entry_application.PhaseTest."
-        "test_an_ordered_engine_is_used_although_the_store_is_down",
+        "test_engine_with_ordered_phase_is_used_during_store_outage",
     ),
     Proof(
         "one host's word condemns no replica",
@@ -562,32 +563,32 @@
     Proof(
         "a full pipe of logs blocks nothing",
         "log.py",
-        "except OSError:\n            return False\n        self._rest = data",
-        "except ValueError:\n            return False\n        self._rest = data",
+        "except OSError:\n            return False\n        self._unwritten = data",
+        "except ValueError:\n            return False\n        self._unwritten = data",
         "test_log.DescriptorSinkTest",
     ),
     Proof(
         "a target's time bounds the wait for it alone",
-        "connection/silence.py",
-        "            return await wait\n",
-        "            word = await wait\n"
+        "connection/read_timeout.py",
+        "            return await operation\n",
+        "            value = await operation\n"
         "            await trio.lowlevel.checkpoint()\n"
-        "            return word\n",
+        "            return value\n",
         "test_request_silence.RoutedResponseTest",
     ),
     Proof(
         "a slow answer of the store is read on while its parts come",
-        "store/calls.py",
-        "                limit.allow(self._timeout)\n",
+        "store/client.py",
+        "                limit.restart(self._timeout_seconds)\n",
         "",
         "test_store_slow_answers.LargeConfigurationTest",
     ),
     Proof(
         "an answer of the store that never ends is given up",
-        "store/calls.py",
-        "wait + LONGEST_READ_SECONDS",
+        "store/client.py",
+        "wait_seconds + MAX_READ_SECONDS",
         'float("inf")',
-        "test_store_slow_answers.BrokenOffTest.test_a_byte_now_and_then_is_no_answer",
+        "test_store_slow_answers.UnfinishedResponseTest.test_trickling_response_ends_in_time",
     ),
     Proof(
         "an answer that has come is written whatever ends meanwhile",
@@ -608,14 +609,14 @@
         "messages/replicas.py",
         'return InstanceId(f"{name}@{started_ms}")',
         "return InstanceId(name)",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an order goes to the start it was planned for",
         "process/leader_tasks/phase_loop.py",
         "if report.started_ms != replica.started_ms:",
         "if False:",
-        "test_entry_starts.StartAgainTest",
+        "test_entry_starts.RestartTest",
     ),
     Proof(
         "an entry that lacks its replica's start is another writer's",
@@ -627,16 +628,18 @@
     Proof(
         "a row that can't be read hides no other",
         "platform/store.py",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except MalformedEntryError as exc:",
-        "            found.append(read_replica(row.key, row.data(), row.row_version))\n"
+        "            found.append("
+        "parse_replica_entry(row.key, row.data(), row.row_version))\n"
         "        except KeyError as exc:",
         "test_platform_store.ReplicaFeedTest",
     ),
     Proof(
         "an entry of an unknown state names no replica",
         "platform/entries.py",
-        "if found.state not in STATES:",
+        "if decoded.state not in STATES:",
         "if False:",
         "test_platform_adapter.EntryTest",
     ),
@@ -667,7 +670,7 @@
         "request/completion.py",
         "with scope, self._deps.shutdown.bounding(scope):",
         "with scope:",
-        "test_shutdown.AnswerTest",
+        "test_shutdown.ResponseTest",
     ),
     Proof(
         "a look-up that outlasts a stop is answered",
@@ -679,14 +682,14 @@
     Proof(
         "no confirmation is sent whose end the host will not see",
         "application.py",
-        "self.last_sends.begin(seconds - sent_and_recorded)",
+        "self.last_sends.begin(seconds - last_send_seconds)",
         "self.last_sends.begin(seconds)",
         "test_shutdown.ConfirmationTest",
     ),
     Proof(
         "a stop of the own interface waits for requests that still come",
         "application.py",
-        "        await self.server.wait_until_quiet(0)\n",
+        "        await self.server.wait_until_idle(0)\n",
         "",
         "test_shutdown.LastRequestTest",
     ),
@@ -695,23 +698,22 @@
         "process/control/pool_loop.py",
         "        async with self._pass_lock:\n            while self._sending:",
         "        if True:\n            while self._sending:",
-        "test_shutdown.HolderTest.test_a_lease_is_given_up_whatever_its_loop_is_at",
+        "test_shutdown.LeaseHolderTest.test_lease_is_released_at_any_point_of_its_loop",
     ),
     Proof(
         "an order under way is waited for before the end",
         "process/control/pool_loop.py",
         "while self._sending:",
         "while False:",
-        "test_shutdown.HolderTest."
-        "test_an_order_under_way_is_accounted_for_before_the_end",
+        "test_shutdown.LeaseHolderTest.test_pending_order_is_resolved_before_exit",
     ),
     Proof(
         "a sender that is gone is known to be gone",
         "process/control/pool_loop.py",
         "return self._parts.members.is_replaced(host_of(incarnation), incarnation)",
         "return False",
-        "test_shutdown.HolderTest."
-        "test_an_order_of_a_killed_host_is_accounted_for_by_its_successor",
+        "test_shutdown.LeaseHolderTest."
+        "test_order_of_killed_host_is_resolved_by_lease_successor",
     ),
     Proof(
         "a request under which replicas ended is held back",
@@ -919,8 +921,8 @@
     Proof(
         "every call to a replica asks the gate",
         "connection/target_client.py",
-        "        entered_at = self._gate.enter(out.instance, out.limit_exempt)\n",
-        "        entered_at = 0.0\n",
+        "        admitted_at = self._gate.admit(out.instance, out.limit_exempt)\n",
+        "        admitted_at = 0.0\n",
         TARGET_GATE,
     ),
     Proof(
@@ -932,7 +934,7 @@
     ),
     Proof(
         "another replica's answer asks for nothing",
-        "platform/exchange.py",
+        "platform/codec.py",
         "        if status == STATUS_WRONG_INSTANCE:\n            return None\n",
         "",
         f"{LIMITS}.LiftedTest.test_response_of_another_replica_sets_no_limit",
@@ -969,7 +971,7 @@
     Proof(
         "a throttled engine's turn is kept while a prompt is read",
         "request/relay.py",
-        "            self._choice.reserve(place.target.instance)\n",
+        "            self._choice.reserve(placement.target.instance)\n",
         "",
         f"{LIMITS}.AllLimitedTest.test_no_prefill_without_a_decode_engine",
     ),
