--- a/berylshift/process/targets/engine_speeds.py
+++ b/berylshift/process/targets/engine_speeds.py
@@ -28,15 +28,15 @@
 MIN_PREFILL_TOKENS = 2_000
 # A prefill is a sample only if the tokens queued ahead are at most this share of it.
 MAX_AHEAD_SHARE = 0.5
-# Priors of an average engine: tokens a second, seconds per running request, and seconds
-# of a whole response.
+# Priors of an average engine: prefilled tokens per second, seconds per running request,
+# and seconds per response.
 PRIOR_PREFILL_RATE = 61_400.0
 PRIOR_RUNNING_SECONDS = 0.002
 PRIOR_RESPONSE_SECONDS = 1.9
 # An engine's KV cache capacity where the configuration does not state it.
 PRIOR_KV_CAPACITY_TOKENS = 400_000
 # Fixed time of a KV cache transfer, in addition to the time for its bytes: two messages
-# and the connection set-up.
+# and a set-up.
 TRANSFER_SETUP_SECONDS = 0.003
 BITS_PER_BYTE = 8
 MEGA = 1_000_000
