--- a/berylshift/replay/virtual.py
+++ b/berylshift/replay/virtual.py
@@ -1,41 +1,28 @@
 """Replays on a virtual clock, with callers, events and counts in one process."""
 
-from berylshift.ids import ChangeId
-from berylshift.ids import CustomerName
-from berylshift.ids import FleetName
-from berylshift.ids import WorkName
+import trio
+import trio.testing
+
+from berylshift.ids import ChangeId, CustomerName, FleetName, WorkName
 from berylshift.replay.determinism import seed_scheduler
-from berylshift.replay.result import CallerOutcome
-from berylshift.replay.result import ReplayResult
-from berylshift.replay.result import RequestResult
-from berylshift.replay.runner import Progress
-from berylshift.replay.runner import TargetCounts
-from berylshift.replay.runner import replay_trace
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import Kind
-from berylshift.replay.trace import Trace
-from berylshift.replay.trace import TraceEvent
-from berylshift.replay.trace import TraceRequest
-from berylshift.replay.virtual_fleet import FleetSpec
-from berylshift.replay.virtual_fleet import HostDownError
-from berylshift.replay.virtual_fleet import STORE
-from berylshift.replay.virtual_fleet import VirtualHost
-from berylshift.replay.virtual_fleet import VirtualWorld
-from berylshift.replay.virtual_fleet import find_row
-from berylshift.replay.virtual_fleet import trace_rows
-from berylshift.replay.virtual_fleet import with_cell
-from berylshift.request.messages import Caller
-from berylshift.request.messages import ModelCall
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import PlainCall
+from berylshift.replay.result import CallerOutcome, ReplayResult, RequestResult
+from berylshift.replay.runner import Progress, TargetCounts, replay_trace
+from berylshift.replay.trace import EventKind, Kind, Trace, TraceEvent, TraceRequest
+from berylshift.replay.virtual_fleet import (
+    STORE,
+    FleetSpec,
+    HostDownError,
+    VirtualHost,
+    VirtualWorld,
+    find_row,
+    trace_rows,
+    with_cell,
+)
+from berylshift.request.messages import Caller, ModelCall, Outcome, PlainCall
 from berylshift.stand_ins.fake_service import service_echo
-from berylshift.stand_ins.text import completion_text
-from berylshift.stand_ins.text import make_prompt
+from berylshift.stand_ins.text import completion_text, make_prompt
 from berylshift.version.diff import Edit
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
-import trio
-import trio.testing
+from berylshift.version.rows import Row, RowKind
 
 MAX_ATTEMPTS = 4
 RETRY_PAUSE_SECONDS = 0.2
--- a/berylshift/replay/virtual_fleet.py
+++ b/berylshift/replay/virtual_fleet.py
@@ -4,49 +4,41 @@
 memory. A new fleet is built for each replay, from the names in the trace.
 """
 
-from berylshift.application import Addresses
-from berylshift.application import Application
-from berylshift.application import Ports
+import random
+from collections import Counter
+from collections.abc import Callable
+from contextlib import contextmanager
+from dataclasses import dataclass, field
+from datetime import UTC, datetime
+
+import msgspec
+import trio
+
+from berylshift.application import Addresses, Application, Ports
 from berylshift.clock import LoopClock
 from berylshift.ids import ChangeId
 from berylshift.metrics import NoMetrics
 from berylshift.process.limits.store_budget import StoreBudget
 from berylshift.replay.keys import KeyOutcomes
 from berylshift.replay.policies import policy_settings
-from berylshift.replay.trace import Kind
-from berylshift.replay.trace import Trace
-from berylshift.settings import HostSettings
-from berylshift.settings import PolicySettings
-from berylshift.settings import Settings
+from berylshift.replay.trace import Kind, Trace
+from berylshift.settings import HostSettings, PolicySettings, Settings
 from berylshift.stand_ins.engine_costs import EngineCosts
 from berylshift.stand_ins.engine_runner import EngineRunner
 from berylshift.stand_ins.fake_engine import FakeEngine
-from berylshift.stand_ins.fake_platform import FakePlatform
-from berylshift.stand_ins.fake_platform import MemoryPlatform
-from berylshift.stand_ins.fake_platform import PlatformScript
+from berylshift.stand_ins.fake_platform import (
+    FakePlatform,
+    MemoryPlatform,
+    PlatformScript,
+)
 from berylshift.stand_ins.fake_service import FakeService
-from berylshift.stand_ins.memory_peers import MemoryPeerLink
-from berylshift.stand_ins.memory_peers import MemoryPeerViews
-from berylshift.stand_ins.memory_peers import PeerHub
-from berylshift.stand_ins.memory_targets import MemoryEngines
-from berylshift.stand_ins.memory_targets import MemoryServices
+from berylshift.stand_ins.memory_peers import MemoryPeerLink, MemoryPeerViews, PeerHub
+from berylshift.stand_ins.memory_targets import MemoryEngines, MemoryServices
 from berylshift.stand_ins.network import Network
 from berylshift.store.batch import TableGate
 from berylshift.version.changelog import TableLog
 from berylshift.version.diff import Edit
-from berylshift.version.rows import OrderCheck
-from berylshift.version.rows import Row
-from berylshift.version.rows import RowKind
-from collections import Counter
-from collections.abc import Callable
-from contextlib import contextmanager
-from dataclasses import dataclass
-from dataclasses import field
-from datetime import UTC
-from datetime import datetime
-import msgspec
-import random
-import trio
+from berylshift.version.rows import OrderCheck, Row, RowKind
 
 HOSTS = 9
 ENGINES = 10
--- a/berylshift/tests/test_draining.py
+++ b/berylshift/tests/test_draining.py
@@ -1,24 +1,26 @@
 """End-to-end tests: draining targets and hosts, table changes, store outages."""
 
+import unittest
+
+import trio
+
 from berylshift.ids import ChangeId
 from berylshift.process.membership.readiness import DRAIN_NOTICE_SECONDS
-from berylshift.replay.trace import EventKind
-from berylshift.replay.trace import TraceEvent
+from berylshift.replay.trace import EventKind, TraceEvent
 from berylshift.replay.virtual import VirtualFleet
-from berylshift.request.messages import Outcome
-from berylshift.request.messages import Reason
+from berylshift.request.messages import Outcome, Reason
 from berylshift.settings import TableSettings
 from berylshift.tests.support import route_row
-from berylshift.tests.world import call_service
-from berylshift.tests.world import complete
-from berylshift.tests.world import expected_text
-from berylshift.tests.world import model_call
-from berylshift.tests.world import plain_call
-from berylshift.tests.world import run_world
-from berylshift.tests.world import small_rows
+from berylshift.tests.world import (
+    call_service,
+    complete,
+    expected_text,
+    model_call,
+    plain_call,
+    run_world,
+    small_rows,
+)
 from berylshift.version.diff import Edit
-import trio
-import unittest
 
 # A draining target gets no new work once each host has read the table again, after the
 # poll interval, or has found its own too old, after the freshness limit.
